--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,11 @@
 // Package placement plans the roles and models of the engines of one pool.
 //
-// A Planner follows the offered work with a fast and a slow average, forecasts it, and compares
-// all splits of the pool into prefill, mixed and decode engines. The expected loss of work of a
-// split, weighted by the document's goodput weight, is set against the engine time that the
-// changes to reach it take out of service, weighted by the role-change weight. Both are in
-// engine-seconds. The package does no I/O and takes the time and the pool as arguments.
+// A Planner keeps a fast and a slow moving average of the offered work, forecasts the work, and
+// compares all splits of the pool into prefill, mixed and decode engines. It weighs the expected
+// loss of work under a split against the engine time that is out of service during the changes to
+// reach that split. Both are in engine-seconds: the loss is multiplied by the document's goodput
+// weight and the engine time by its role-change weight. The package does no I/O; the time and the
+// state of the pool are arguments.
 package placement
 
 import (
@@ -18,53 +19,56 @@
 
 // Defaults of Config.
 const (
-	DefaultFast         = 8 * time.Second
-	DefaultSlow         = 60 * time.Second
-	DefaultHorizon      = 60 * time.Second
-	DefaultMemory       = 60 * time.Second
-	DefaultHedge        = 15 * time.Second
-	DefaultTrend        = 0.5
-	DefaultMargin       = 0.7
-	DefaultDwell        = 30 * time.Second
-	DefaultShareChange  = 0.3
-	DefaultWarmUp       = 30 * time.Second
-	DefaultChange       = 5 * time.Second
-	DefaultShortPrefill = 512
-	DefaultMixedUse     = 0.3
-	DefaultMinRelief    = 0.15
+	DefaultFastTimeConstant  = 8 * time.Second
+	DefaultSlowTimeConstant  = 60 * time.Second
+	DefaultHorizon           = 60 * time.Second
+	DefaultHistoryWeight     = 60 * time.Second
+	DefaultHedgeWeight       = 15 * time.Second
+	DefaultTrendGain         = 0.5
+	DefaultCostMargin        = 0.7
+	DefaultMinDwell          = 30 * time.Second
+	DefaultMaxChangingShare  = 0.3
+	DefaultWarmUp            = 30 * time.Second
+	DefaultChange            = 5 * time.Second
+	DefaultShortPrefill      = 512
+	DefaultMixedPrefillShare = 0.3
+	DefaultMinLossReduction  = 0.15
 )
 
-// Config sets a Planner. Zero fields take the defaults.
+// Config configures a Planner. Zero fields take the defaults.
 type Config struct {
-	// Fast and Slow are the time constants of the two averages of the offered work.
-	Fast, Slow time.Duration
-	// Horizon is how long the forecast work is expected to last.
+	// FastTimeConstant and SlowTimeConstant are the time constants of the two exponential moving
+	// averages of the offered work.
+	FastTimeConstant, SlowTimeConstant time.Duration
+	// Horizon is the time for which the forecast work is expected to last.
 	Horizon time.Duration
-	// Memory is the weight, as a time, of the mixes seen in the last 20 minutes. It makes the
-	// planner prefer a split that also suits a mix that is likely to return.
-	Memory time.Duration
-	// Hedge is the weight, as a time, of mixes that were not seen but may come. It keeps a long
-	// calm from moving the whole pool to one mix.
-	Hedge time.Duration
-	// Trend damps the extrapolation: 0 is none, 1 is a straight line.
-	Trend float64
-	// Margin is the share by which a gain must exceed the cost of the changes.
-	Margin float64
-	// MinRelief is the share of the expected loss that changes must remove. In a pool that is
-	// overloaded whatever its split, it keeps small differences from moving engines.
-	MinRelief float64
-	// Dwell is the least time that an engine keeps a role.
-	Dwell time.Duration
-	// ShareInChange bounds the share of the pool in change at a time. One is always allowed.
-	ShareInChange float64
-	// WarmUp is the time after the first round in which no role changes.
+	// HistoryWeight is the weight, as a time, of the mixes of work seen in the last 20 minutes. It
+	// makes the planner prefer a split that also suits a mix that is likely to return.
+	HistoryWeight time.Duration
+	// HedgeWeight is the weight, as a time, of mixes that were not seen but may occur. It prevents
+	// a long period with a steady mix from specialising the whole pool for that mix.
+	HedgeWeight time.Duration
+	// TrendGain scales the slope of the extrapolation: 0 ignores it, 1 extrapolates linearly.
+	TrendGain float64
+	// CostMargin is the share by which a gain must exceed the cost of the changes.
+	CostMargin float64
+	// MinLossReduction is the least share of the expected loss that changes must remove. If a pool
+	// is overloaded under every split, this prevents role changes for small differences.
+	MinLossReduction float64
+	// MinDwell is the minimum time that an engine keeps a role.
+	MinDwell time.Duration
+	// MaxChangingShare limits the share of the pool that may be changing at the same time. One
+	// engine may always change.
+	MaxChangingShare float64
+	// WarmUp is the time after the first round during which no roles change.
 	WarmUp time.Duration
-	// Change is how long a role change itself takes, without draining.
+	// Change is the duration of a role change, without draining.
 	Change time.Duration
-	// ShortPrefill is the most prompt tokens that a decode engine prefills itself.
+	// ShortPrefill is the maximum number of prompt tokens that a decode engine prefills itself.
 	ShortPrefill int
-	// MixedUse is the part of a mixed engine that long prompts can use while it decodes.
-	MixedUse float64
+	// MixedPrefillShare is the share of the spare capacity of a mixed engine that counts towards
+	// prefill.
+	MixedPrefillShare float64
 }
 
 func (c Config) withDefaults() Config {
@@ -72,12 +76,12 @@
 		v *time.Duration
 		d time.Duration
 	}{
-		{&c.Fast, DefaultFast},
-		{&c.Slow, DefaultSlow},
+		{&c.FastTimeConstant, DefaultFastTimeConstant},
+		{&c.SlowTimeConstant, DefaultSlowTimeConstant},
 		{&c.Horizon, DefaultHorizon},
-		{&c.Memory, DefaultMemory},
-		{&c.Hedge, DefaultHedge},
-		{&c.Dwell, DefaultDwell},
+		{&c.HistoryWeight, DefaultHistoryWeight},
+		{&c.HedgeWeight, DefaultHedgeWeight},
+		{&c.MinDwell, DefaultMinDwell},
 		{&c.WarmUp, DefaultWarmUp},
 		{&c.Change, DefaultChange},
 	} {
@@ -89,11 +93,11 @@
 		v *float64
 		d float64
 	}{
-		{&c.Trend, DefaultTrend},
-		{&c.Margin, DefaultMargin},
-		{&c.ShareInChange, DefaultShareChange},
-		{&c.MixedUse, DefaultMixedUse},
-		{&c.MinRelief, DefaultMinRelief},
+		{&c.TrendGain, DefaultTrendGain},
+		{&c.CostMargin, DefaultCostMargin},
+		{&c.MaxChangingShare, DefaultMaxChangingShare},
+		{&c.MixedPrefillShare, DefaultMixedPrefillShare},
+		{&c.MinLossReduction, DefaultMinLossReduction},
 	} {
 		if *f.v <= 0 {
 			*f.v = f.d
@@ -105,11 +109,11 @@
 	return c
 }
 
-// State is whether an engine can take work.
+// State tells whether an engine can take work.
 type State string
 
-// States of engines. Changing engines count with the role that they will have; withdrawn and
-// crashed engines do not count.
+// States of engines. A changing engine counts with its new role. Withdrawn and crashed engines do
+// not count; an engine that cannot be reached or ordered is reported as crashed.
 const (
 	Serving   State = "serving"
 	Changing  State = "changing"
@@ -117,90 +121,97 @@
 	Crashed   State = "crashed"
 )
 
-// Engine is one engine of the pool.
+// Engine is the state of one engine of the pool.
 type Engine struct {
 	ID    string
 	State State
-	// Config is what the engine has, or will have when its change is done.
+	// Config is the engine's configuration, or its next one while the engine is changing.
 	Config external.EngineConfig
-	// Since is when the engine took its role.
+	// Since is the time at which the engine took its role.
 	Since time.Time
-	// Sequences and PrefillTokens are its current work, which a planned change lets finish.
+	// Sequences and PrefillTokens are the engine's unfinished work. The engine finishes it before
+	// it changes its role.
 	Sequences     int
 	PrefillTokens float64
 }
 
-// KindWork is the work of one kind of request that was offered since the last round, including
-// what was refused.
+// KindWork is the work of one kind of request, including refused requests. In a Snapshot it is the
+// work since the last round.
 type KindWork struct {
-	// Rank is the kind's rank in the document; 1 is the most important.
+	// Rank is the kind's rank in the service document; 1 is the most important.
 	Rank     int
 	Requests float64
-	// PromptTokens are the tokens to prefill after the expected cache hits.
+	// PromptTokens is the number of tokens to prefill, without those that are expected in the
+	// prefix cache.
 	PromptTokens float64
 	OutputTokens float64
-	// FirstToken is the kind's latency target; zero means none.
+	// FirstToken is the kind's latency target for the first token. Zero means none.
 	FirstToken time.Duration
 }
 
-// Snapshot is what the planner sees of the pool.
+// Snapshot describes the pool for one round.
 type Snapshot struct {
 	Engines []Engine
 	Offered []KindWork
-	// Interval is the time over which Offered was counted.
+	// Interval is the time during which Offered was counted.
 	Interval time.Duration
 	// Speed is the mean speed of the pool's engines.
 	Speed load.Speed
-	// BetweenTokens is the strictest latency target between tokens; zero means none.
+	// BetweenTokens is the strictest latency target between two tokens. Zero means none.
 	BetweenTokens time.Duration
-	// SequencePieces and EnginePieces bound the sequences of an engine by its KV cache. Zero
-	// means unknown.
+	// SequencePieces is the number of KV cache pieces that a sequence needs, and EnginePieces the
+	// number that an engine has. They limit the decode batch size. Zero means unknown.
 	SequencePieces, EnginePieces float64
-	// Models and Adapters are those that each engine of the pool should have.
+	// Models and Adapters are those that every engine of the pool should have loaded.
 	Models, Adapters []external.ModelVersion
-	// LoadWait is the expected time to load a model or adapter, with the wait for the weight store.
+	// LoadWait returns the expected time to load a model or adapter, including the wait for the
+	// weight store. It may be nil.
 	LoadWait func(external.ModelVersion) time.Duration
 	// FixedRoles forbids role changes.
 	FixedRoles bool
 }
 
-// Weights are those of the service document.
+// Weights are the planning weights of the service document.
 type Weights struct {
 	Goodput     float64
 	RoleChanges float64
 }
 
-// Change is a planned change of one engine.
+// Change is a planned configuration change of one engine.
 type Change struct {
 	Engine string
 	Config external.EngineConfig
-	// Gain and Cost are the weighted engine-seconds that led to the decision.
+	// Gain and Cost led to the decision, in engine-seconds. For a role change they are weighted and
+	// are those of the whole transition to the new split.
 	Gain, Cost float64
 	Reason     string
 }
 
 // Planner plans one pool. It is not safe for concurrent use: one goroutine runs the rounds.
 type Planner struct {
-	cfg      Config
-	started  time.Time
-	last     time.Time
+	cfg       Config
+	started   time.Time
+	lastRound time.Time
+	// fast and slow are the moving averages of the demand.
 	fast     demand
 	slow     demand
 	history  history
 	decision string
-	// slack is the time that long prompts can wait, relative to their own prefill time.
+	// slack is the moving average of the time that a long prompt can wait before prefill, relative
+	// to its own prefill time.
 	slack float64
-	// weights are the mean rank weights of long prompts, short prompts and answers.
-	weights demand
-	tables  losses
+	// rankWeights are the mean rank weights of long prompts, short prompts and decoding.
+	rankWeights demand
+	// tables is reused by every round to avoid allocations.
+	tables lossTables
 }
 
-// New returns a planner.
+// New returns a planner with the given configuration.
 func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg.withDefaults(), slack: initialSlack, weights: demand{1, 1, 1}}
+	return &Planner{cfg: cfg.withDefaults(), slack: initialSlack, rankWeights: demand{1, 1, 1}}
 }
 
-// Explain says what the last round decided and why.
+// Explain returns the decision of the last round and its reason.
 func (p *Planner) Explain() string { return p.decision }
 
 // Plan runs one round and returns the changes to order now.
@@ -208,8 +219,8 @@
 	if p.started.IsZero() {
 		p.started = now
 	}
-	p.follow(now, p.measure(s))
-	pool := newPool(s, p.cfg.Dwell, now)
+	p.update(now, p.measureDemand(s))
+	pool := newPool(s, p.cfg.MinDwell, now)
 	budget := p.changeBudget(pool)
 	if pool.size == 0 {
 		p.decision = "no engine is in service"
@@ -228,18 +239,20 @@
 	case s.FixedRoles:
 		return "the document fixes the roles"
 	case budget <= 0:
-		return "the allowed share of the pool is in change"
+		return "the allowed share of the pool is already changing"
 	default:
 		return "the averages are warming up"
 	}
 }
 
+// changeBudget returns the number of engines that may start to change in this round.
 func (p *Planner) changeBudget(pool *pool) int {
-	return max(1, int(p.cfg.ShareInChange*float64(pool.size))) - pool.changing
+	return max(1, int(p.cfg.MaxChangingShare*float64(pool.size))) - pool.changing
 }
 
-// modelChanges brings engines to the wanted models and adapters, one per round, so that the pool
-// keeps its capacity and the weight store is not asked by all engines together.
+// modelChanges changes an engine to the wanted models and adapters. It changes one engine per
+// round, so that the pool keeps its capacity and the engines do not all load from the weight store
+// at the same time.
 func (p *Planner) modelChanges(s *Snapshot, pool *pool, budget *int) []Change {
 	if len(s.Models) == 0 || *budget <= 0 {
 		return nil
@@ -249,25 +262,25 @@
 		if e.State != Serving {
 			continue
 		}
-		missing, wait := missing(e, s)
+		missing, wait := missingModels(e, s)
 		if missing == "" {
 			continue
 		}
 		*budget--
-		pool.taken[i] = true
+		pool.excluded[i] = true
 		cfg := e.Config
 		cfg.Models, cfg.Adapters = slices.Clone(s.Models), slices.Clone(s.Adapters)
 		return []Change{{
 			Engine: e.ID, Config: cfg, Cost: (p.cfg.Change + wait).Seconds(),
-			Reason: fmt.Sprintf("%s has to be loaded, expected wait %s", missing, wait),
+			Reason: fmt.Sprintf("%s must be loaded, expected wait %s", missing, wait),
 		}}
 	}
 	return nil
 }
 
-// missing returns the first wanted model or adapter that the engine lacks and the time to load
-// everything that it lacks.
-func missing(e *Engine, s *Snapshot) (string, time.Duration) {
+// missingModels returns the first wanted model or adapter that the engine lacks, and the time to
+// load all that it lacks.
+func missingModels(e *Engine, s *Snapshot) (string, time.Duration) {
 	name, wait := "", time.Duration(0)
 	check := func(wanted, have []external.ModelVersion) {
 		for _, m := range wanted {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -42,8 +42,8 @@
 	return s
 }
 
-// run applies the changes at once and returns them all.
-func run(p *placement.Planner, s *placement.Snapshot, w placement.Weights, from, rounds int) (all []placement.Change) {
+// runRounds applies the planned changes immediately and returns them all.
+func runRounds(p *placement.Planner, s *placement.Snapshot, w placement.Weights, from, rounds int) (all []placement.Change) {
 	for i := from; i < from+rounds; i++ {
 		now := start.Add(time.Duration(i) * time.Second)
 		for _, c := range p.Plan(now, s, w) {
@@ -58,35 +58,37 @@
 	return all
 }
 
-// Guards against changes on a mix that the split serves, and against a planner that does not
-// follow a shifted mix.
+// Guards against role changes while the split serves the mix of work, and against a planner that
+// does not adapt the split when the mix changes.
 func TestFollowsTheMix(t *testing.T) {
 	p := placement.New(placement.Config{})
 	s := snapshot(7, 4, 15, 5)
-	assert.Empty(t, run(p, s, weights, 0, 300))
+	assert.Empty(t, runRounds(p, s, weights, 0, 300))
 	s.Offered = snapshot(0, 0, 3, 35).Offered
-	changes := run(p, s, weights, 300, 120)
+	changes := runRounds(p, s, weights, 300, 120)
 	require.NotEmpty(t, changes)
 	for _, c := range changes {
 		assert.NotEqual(t, external.RolePrefill, c.Config.Role)
 		assert.NotEmpty(t, c.Reason)
 	}
-	assert.Empty(t, run(p, s, weights, 420, 300), "settled")
+	assert.Empty(t, runRounds(p, s, weights, 420, 300), "settled")
 }
 
-// Guards against weights without effect: the heavier the role changes, the fewer there are.
+// Guards against weights that have no effect: with a higher weight of role changes, there must be
+// fewer of them.
 func TestWeights(t *testing.T) {
 	count := func(w placement.Weights) int {
 		p, s := placement.New(placement.Config{}), snapshot(7, 4, 18, 5)
-		run(p, s, w, 0, 100)
+		runRounds(p, s, w, 0, 100)
 		s.Offered = snapshot(0, 0, 8, 26).Offered
-		return len(run(p, s, w, 100, 200))
+		return len(runRounds(p, s, w, 100, 200))
 	}
 	assert.Greater(t, count(placement.Weights{Goodput: 4, RoleChanges: 1}), count(placement.Weights{Goodput: 1, RoleChanges: 20}))
 }
 
-// Guards against an exceeded bound on engines in change, changes of engines that are not in
-// service or within their dwell time, and a pool left without prefill or decode engines.
+// Guards against more changing engines than the limit, changes of engines that are not in service
+// or within their minimum dwell time, and a pool without an engine that can prefill or one that can
+// decode.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := placement.New(placement.Config{})
@@ -117,12 +119,12 @@
 			}
 			changes := p.Plan(now, s, weights)
 			if len(changes) > 0 {
-				require.LessOrEqual(t, len(changes)+changing, max(1, int(placement.DefaultShareChange*float64(alive))))
+				require.LessOrEqual(t, len(changes)+changing, max(1, int(placement.DefaultMaxChangingShare*float64(alive))))
 			}
 			for _, c := range changes {
 				e := byID[c.Engine]
 				require.Equal(t, placement.Serving, e.State)
-				require.GreaterOrEqual(t, now.Sub(e.Since), placement.DefaultDwell)
+				require.GreaterOrEqual(t, now.Sub(e.Since), placement.DefaultMinDwell)
 				e.Config, e.Since = c.Config, now
 			}
 			canPrefill, canDecode := 0, 0
@@ -144,7 +146,8 @@
 	})
 }
 
-// Guards against engines that keep an old model version, and against loading on all at once.
+// Guards against engines that keep an old model version, and against loading a new one on all
+// engines at once.
 func TestModels(t *testing.T) {
 	s := snapshot(2, 2, 1, 1)
 	s.Models = []external.ModelVersion{{Name: "halte", Version: "2"}}
@@ -158,13 +161,13 @@
 	assert.Equal(t, s.Models, changes[0].Config.Models)
 	assert.Equal(t, external.RolePrefill, changes[0].Config.Role)
 	assert.InDelta(t, 45, changes[0].Cost, 0.1)
-	assert.Len(t, run(p, s, weights, 1, 10), 3)
+	assert.Len(t, runRounds(p, s, weights, 1, 10), 3)
 }
 
-// Target: under 1 ms for a pool of 32.
+// The target is less than 1 ms per round for a pool of 32 engines.
 func BenchmarkPlan(b *testing.B) {
 	p, s := placement.New(placement.Config{}), snapshot(16, 16, 50, 15)
-	run(p, s, weights, 0, 1500)
+	runRounds(p, s, weights, 0, 1500)
 	s.Offered = snapshot(0, 0, 10, 100).Offered
 	b.ReportAllocs()
 	i := 1500
--- a/placement/split.go
+++ b/placement/split.go
@@ -7,14 +7,14 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// split is the number of engines per role.
+// split is the number of engines in each role.
 type split struct{ prefill, mixed, decode int }
 
 func (s split) String() string {
 	return fmt.Sprintf("%d prefill, %d mixed, %d decode", s.prefill, s.mixed, s.decode)
 }
 
-func (s split) of(r external.Role) int {
+func (s split) count(r external.Role) int {
 	switch r {
 	case external.RolePrefill:
 		return s.prefill
@@ -38,32 +38,34 @@
 
 var roles = [...]external.Role{external.RolePrefill, external.RoleMixed, external.RoleDecode}
 
-// pool is the part of a snapshot that a round works on.
+// pool is the state of the pool during one round.
 type pool struct {
 	current  split
 	size     int
 	changing int
-	// movable are serving engines beyond their dwell time, per role.
+	// movable counts, per role, the serving engines that have kept their role for the minimum dwell
+	// time.
 	movable split
-	taken   []bool
+	// excluded marks, by index, the engines that must not change in this round.
+	excluded []bool
 }
 
 func newPool(s *Snapshot, dwell time.Duration, now time.Time) *pool {
-	p := &pool{taken: make([]bool, len(s.Engines))}
+	p := &pool{excluded: make([]bool, len(s.Engines))}
 	for i := range s.Engines {
 		e := &s.Engines[i]
 		switch e.State {
 		case Changing:
 			p.changing++
-			p.taken[i] = true
+			p.excluded[i] = true
 		case Serving:
 			if now.Sub(e.Since) < dwell {
-				p.taken[i] = true
+				p.excluded[i] = true
 			} else {
 				p.movable.add(e.Config.Role, 1)
 			}
 		default:
-			p.taken[i] = true
+			p.excluded[i] = true
 			continue
 		}
 		p.current.add(e.Config.Role, 1)
@@ -72,88 +74,91 @@
 	return p
 }
 
-// drainSeconds bounds the time that an engine takes to finish its work before a change. It is
-// derived from the engine's own sequences below this bound.
-const drainSeconds = 15.0
+// maxDrainSeconds is the longest time that an engine takes to finish its work before a change.
+const maxDrainSeconds = 15.0
 
-// changeCost is the engine time that a change of one engine takes out of service: half of the
-// drain, because the engine still works on what it has, and the change itself.
+// changeCost returns the engine time, in seconds, that a change of one engine takes out of service:
+// the change itself and half of the drain, because a draining engine still works on its sequences.
+// A prefill engine drains in about a second.
 func (p *Planner) changeCost(from external.Role) float64 {
 	if from == external.RolePrefill {
 		return p.cfg.Change.Seconds() + 1
 	}
-	return p.cfg.Change.Seconds() + drainSeconds/2
+	return p.cfg.Change.Seconds() + maxDrainSeconds/2
 }
 
+// moveCost returns the weighted cost of the changes from one split to another, with the margin that
+// the gain must exceed.
 func (p *Planner) moveCost(from, to split, w Weights) float64 {
 	cost := 0.0
 	for _, r := range roles {
-		if leave := from.of(r) - to.of(r); leave > 0 {
-			cost += float64(leave) * p.changeCost(r)
+		if leaving := from.count(r) - to.count(r); leaving > 0 {
+			cost += float64(leaving) * p.changeCost(r)
 		}
 	}
-	return cost * w.RoleChanges * (1 + p.cfg.Margin)
+	return cost * w.RoleChanges * (1 + p.cfg.CostMargin)
 }
 
-// tieSeconds is the preference, per mixed engine, for a split with dedicated engines when the
-// losses are equal.
-const tieSeconds = 0.01
+// mixedPenaltySeconds is added per mixed engine, so that of two splits with equal losses the one
+// with more dedicated engines is chosen.
+const mixedPenaltySeconds = 0.01
 
-// roleChanges compares all splits and returns the first steps towards the best one.
+// roleChanges compares all splits and returns the changes to order now towards the best one.
 func (p *Planner) roleChanges(s *Snapshot, pool *pool, w Weights, budget int) []Change {
-	f := p.forecast(p.cfg.Change)
-	l := p.losses(f, pool.size)
-	stay := l.value(pool.current) * w.Goodput
-	best, bestTotal, bestCost := pool.current, stay, 0.0
+	expected := p.forecast(p.cfg.Change)
+	tables := p.lossTables(expected, pool.size)
+	currentLoss := tables.expectedLoss(pool.current) * w.Goodput
+	best, bestTotal, bestCost := pool.current, currentLoss, 0.0
 	for prefill := 0; prefill <= pool.size; prefill++ {
 		for mixed := 0; mixed <= pool.size-prefill; mixed++ {
 			to := split{prefill, mixed, pool.size - prefill - mixed}
-			if to.mixed == 0 && (to.prefill == 0 || to.decode == 0) || !pool.reachable(to) {
+			if to.mixed == 0 && (to.prefill == 0 || to.decode == 0) || !pool.canReach(to) {
 				continue
 			}
 			cost := p.moveCost(pool.current, to, w)
 			if cost >= bestTotal {
 				continue
 			}
-			if total := l.value(to)*w.Goodput + cost + tieSeconds*float64(mixed); total < bestTotal {
+			if total := tables.expectedLoss(to)*w.Goodput + cost + mixedPenaltySeconds*float64(mixed); total < bestTotal {
 				best, bestTotal, bestCost = to, total, cost
 			}
 		}
 	}
-	if stay-(bestTotal-bestCost) < p.cfg.MinRelief*stay {
+	if currentLoss-(bestTotal-bestCost) < p.cfg.MinLossReduction*currentLoss {
 		best = pool.current
 	}
 	if best == pool.current {
-		p.decision = fmt.Sprintf("keep %s: no change gains more than it costs, expected loss %.1f", best, stay)
+		p.decision = fmt.Sprintf("keep %s: no change gains more than it costs, expected loss %.1f", best, currentLoss)
 		return nil
 	}
-	gain := stay - (bestTotal - bestCost)
+	gain := currentLoss - (bestTotal - bestCost)
 	p.decision = fmt.Sprintf("towards %s: expected gain %.1f, cost %.1f engine-seconds (weighted); work forecast: prefill %.1f, decode %.1f engines",
-		best, gain, bestCost, f.long+f.short, f.decode)
-	return p.steps(s, pool, best, budget, gain, bestCost)
+		best, gain, bestCost, expected.long+expected.short, expected.decode)
+	return p.selectChanges(s, pool, best, budget, gain, bestCost)
 }
 
-// reachable tells whether enough engines of each role are beyond their dwell time.
-func (p *pool) reachable(to split) bool {
+// canReach reports whether enough engines of each role are movable to reach a split.
+func (p *pool) canReach(to split) bool {
 	for _, r := range roles {
-		if p.current.of(r)-to.of(r) > p.movable.of(r) {
+		if p.current.count(r)-to.count(r) > p.movable.count(r) {
 			return false
 		}
 	}
 	return true
 }
 
-// steps picks the engines with the least work and gives them the roles that are short.
-func (p *Planner) steps(s *Snapshot, pool *pool, to split, budget int, gain, cost float64) []Change {
+// selectChanges picks the least loaded engines of the roles with a surplus and assigns them to the
+// roles with a shortage.
+func (p *Planner) selectChanges(s *Snapshot, pool *pool, to split, budget int, gain, cost float64) []Change {
 	var out []Change
 	current := pool.current
 	for len(out) < budget && current != to {
-		from, want := surplus(current, to)
-		i := lightest(s, pool, from)
+		from, want := surplusAndShortage(current, to)
+		i := leastLoaded(s, pool, from)
 		if i < 0 {
 			break
 		}
-		pool.taken[i] = true
+		pool.excluded[i] = true
 		current.add(from, -1)
 		current.add(want, 1)
 		cfg := s.Engines[i].Config
@@ -166,11 +171,12 @@
 	return out
 }
 
-// surplus returns a role with too many engines and the role that is shortest.
-func surplus(current, to split) (from, want external.Role) {
+// surplusAndShortage returns the role with the largest surplus of engines and the one with the
+// largest shortage.
+func surplusAndShortage(current, to split) (from, want external.Role) {
 	most, least := 0, 0
 	for _, r := range roles {
-		diff := current.of(r) - to.of(r)
+		diff := current.count(r) - to.count(r)
 		if diff > most {
 			most, from = diff, r
 		}
@@ -181,18 +187,20 @@
 	return from, want
 }
 
-// sequenceTokens weighs a running sequence against queued prefill tokens when engines are compared.
-const sequenceTokens = 100
+// tokensPerSequence is the weight of a running sequence, in queued prefill tokens, when the loads
+// of engines are compared.
+const tokensPerSequence = 100
 
-func lightest(s *Snapshot, pool *pool, role external.Role) int {
-	best, work := -1, 0.0
+// leastLoaded returns the index of the least loaded engine of a role that may change, or -1.
+func leastLoaded(s *Snapshot, pool *pool, role external.Role) int {
+	best, fewest := -1, 0.0
 	for i := range s.Engines {
 		e := &s.Engines[i]
-		if pool.taken[i] || e.Config.Role != role {
+		if pool.excluded[i] || e.Config.Role != role {
 			continue
 		}
-		if v := e.PrefillTokens + sequenceTokens*float64(e.Sequences); best < 0 || v < work {
-			best, work = i, v
+		if tokens := e.PrefillTokens + tokensPerSequence*float64(e.Sequences); best < 0 || tokens < fewest {
+			best, fewest = i, tokens
 		}
 	}
 	return best
