--- a/planning/planning.go
+++ b/planning/planning.go
@@ -1,9 +1,10 @@
-// Package planning runs the planner duty of an entry: for each pool whose lease it holds, it
-// takes ownership of the engines, brings them to the document's models, reconciles those that
-// came back in an unknown state, and orders the changes that package placement plans.
+// Package planning runs the planner of an entry. For each pool whose lease the entry holds, it
+// takes ownership of the engines, configures them with the models of the service document,
+// reconciles engines whose state differs from their records, and orders the changes that package
+// placement plans.
 //
-// Nothing is ordered while this process's documents are not confirmed with the key-value
-// service. Each order checks the authority again immediately before its effect.
+// It issues no orders while this process's documents are not confirmed with the key-value service.
+// Each order checks the lease authority again immediately before it takes effect.
 package planning
 
 import (
@@ -23,7 +24,7 @@
 	"github.com/quetzallug/quetzallug/placement"
 )
 
-// Documents gives the documents in force.
+// Documents provides the documents in force.
 type Documents interface {
 	Lookup(service string) (*document.Service, uint64)
 }
@@ -37,42 +38,43 @@
 	Documents Documents
 	// Confirmed reports whether the documents are confirmed with the key-value service.
 	Confirmed func() bool
-	// Workers lists the sidecars that are known.
+	// Workers returns the status of the known sidecars.
 	Workers func() []*v1.WorkerStatus
 	// Refused returns the work of a service that this entry has refused since its start, by kind,
-	// and the number of entries. The balancer gives all entries the same mix, so the work refused
-	// by all is taken as that of this one times their number.
+	// and the number of entries. The balancer gives all entries the same mix of requests, so the
+	// work that all entries refused is estimated as this entry's work times their number.
 	Refused func(service string) (map[string]placement.KindWork, int)
-	// Speed returns the mean speed of engines.
+	// Speed returns the mean speed of the given engines.
 	Speed func(engines []string) load.Speed
-	// Dial returns the sidecar of an engine.
+	// Dial returns a client for the sidecar of an engine.
 	Dial func(pool, engine string) (Worker, error)
-	// RoleChange and Decided report what was ordered.
+	// RoleChange is called for each ordered role change, and Decided for each order and for each
+	// new decision of the placement.
 	RoleChange func(pool, from, to string)
 	Decided    func(subject, choice, reason string, candidates []string)
 	Log        logrus.FieldLogger
 }
 
-// Worker is a sidecar as the planner duty calls it.
+// Worker is the client interface of a sidecar.
 type Worker interface {
 	order.Sidecar
 	Probe(ctx context.Context) (*v1.ProbeResponse, error)
 }
 
-// Loop runs rounds for the pools that this process holds.
+// Loop runs the planning rounds of the pools whose leases this process holds.
 type Loop struct {
 	cfg    Config
 	orders *order.Planner
 	pools  map[string]*pool
 }
 
-// New returns a loop.
+// New returns a loop with the given configuration.
 func New(cfg Config) *Loop {
 	dial := func(pool, engine string) (order.Sidecar, error) { return cfg.Dial(pool, engine) }
 	return &Loop{cfg: cfg, orders: order.NewPlanner(cfg.KV, dial, cfg.Log), pools: map[string]*pool{}}
 }
 
-// Run makes rounds until ctx ends.
+// Run runs rounds until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	t := time.NewTicker(l.cfg.Interval)
 	defer t.Stop()
@@ -88,7 +90,7 @@
 		held := map[string]bool{}
 		for _, a := range l.cfg.Leases.Authorities() {
 			held[a.Pool] = true
-			l.round(ctx, a)
+			l.planPool(ctx, a)
 		}
 		for name := range l.pools {
 			if !held[name] {
@@ -98,8 +100,8 @@
 	}
 }
 
-// round plans one pool.
-func (l *Loop) round(ctx context.Context, a lease.Authority) {
+// planPool runs one round for a pool.
+func (l *Loop) planPool(ctx context.Context, a lease.Authority) {
 	service, dataCentre, _ := strings.Cut(a.Pool, ".")
 	doc, _ := l.cfg.Documents.Lookup(service)
 	if doc == nil {
@@ -113,19 +115,21 @@
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	if err := l.observe(ctx, p, l.members(service, dataCentre)); err != nil {
-		l.cfg.Log.WithField("pool", a.Pool).WithError(err).Info("pool not planned: records not read")
+		l.cfg.Log.WithField("pool", a.Pool).WithError(err).Info("pool not planned: order records could not be read")
 		return
 	}
-	l.own(ctx, a, p)
+	l.takeOwnership(ctx, a, p)
 	l.reconcile(ctx, a, p)
-	l.retry(ctx, a, p, doc)
-	l.start(ctx, a, p, doc)
-	l.plan(ctx, a, p, doc)
+	l.retryFailed(ctx, a, p, doc)
+	l.configureNew(ctx, a, p, doc)
+	l.orderChanges(ctx, a, p, doc)
 }
 
-// roundTimeout bounds a round, so that one slow pool does not stop the others.
+// roundTimeout limits the duration of a round, so that one slow pool does not delay the others for
+// long.
 const roundTimeout = 10 * time.Second
 
+// members returns the workers of a service in a data centre.
 func (l *Loop) members(service, dataCentre string) []*v1.WorkerStatus {
 	var members []*v1.WorkerStatus
 	for _, w := range l.cfg.Workers() {
@@ -136,23 +140,23 @@
 	return members
 }
 
-// own seals the engines that are not yet owned under this fence.
-func (l *Loop) own(ctx context.Context, a lease.Authority, p *pool) {
+// takeOwnership seals the engines that are not yet owned under this fence number.
+func (l *Loop) takeOwnership(ctx context.Context, a lease.Authority, p *pool) {
 	for _, e := range p.engines {
 		if e.owned || !e.reachable {
 			continue
 		}
 		if _, err := l.orders.Own(ctx, a, e.id); err != nil {
-			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Info("engine not owned yet")
+			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Info("ownership of engine not acquired; the next round tries again")
 			continue
 		}
 		e.owned = true
-		p.changed(time.Now())
+		p.expectRecordChange(time.Now())
 	}
 }
 
 // reconcile orders the recorded configuration again for engines that came back in another state. It
-// also repeats the notice of an order that has not begun, which may have been lost.
+// also repeats the notice of an order that has not begun, because the notice may have been lost.
 func (l *Loop) reconcile(ctx context.Context, a lease.Authority, p *pool) {
 	for _, e := range p.engines {
 		unknown := e.record.Unknown && e.record.Phase.Settled()
@@ -161,51 +165,52 @@
 		}
 		r, issued, err := l.orders.Reconcile(ctx, a, e.id)
 		if err != nil {
-			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Warn("engine not reconciled")
+			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Warn("engine could not be reconciled")
 			continue
 		}
 		if issued {
-			p.wrote(e, r)
-			l.decided(p, e, "reconciled: the engine's state differed from its record")
+			p.setRecord(e, r)
+			l.reportOrder(p, e, "reconciled: the engine's state differed from its record")
 		}
 	}
 }
 
-// retry orders again what a failed order wanted, with the models that the document wants now. Such
-// an order did not reach the engine: it was withdrawn at a handover, or its drain or its weights
-// took too long. Its record holds the wanted configuration, so the placement sees no change to make.
-func (l *Loop) retry(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
+// retryFailed repeats failed orders that never reached their engine, with the models that the
+// document wants now. Such an order was withdrawn at a handover, or its drain or the load of its
+// weights took too long. Its record holds the wanted configuration, so package placement sees no
+// change to make.
+func (l *Loop) retryFailed(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
 	spec := poolSpec(doc, p.dataCentre)
 	if spec == nil {
 		return
 	}
-	for _, e := range p.retries(time.Now()) {
+	for _, e := range p.dueRetries(time.Now()) {
 		c := e.config()
 		c.Models, c.Adapters = wantedModels(doc, spec)
-		l.issue(ctx, a, p, e, c, "order "+strconv.FormatUint(e.record.Number, 10)+" had failed: "+e.record.Detail)
+		l.issueOrder(ctx, a, p, e, c, "order "+strconv.FormatUint(e.record.Number, 10)+" had failed: "+e.record.Detail)
 	}
 }
 
-// start gives engines without models their first configuration. They serve nothing yet, so the
-// limits on changes do not apply; the weight store limits the loads.
-func (l *Loop) start(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
+// configureNew orders the first configuration of engines without models. They serve nothing yet, so
+// the limits on changes do not apply. The weight store limits the number of loads.
+func (l *Loop) configureNew(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
 	spec := poolSpec(doc, p.dataCentre)
 	if spec == nil {
 		return
 	}
-	roles := rolesOf(spec, len(p.engines))
+	roles := initialRoles(spec, len(p.engines))
 	models, adapters := wantedModels(doc, spec)
 	for i, e := range p.engines {
 		if !e.owned || !e.settled() || len(e.config().Models) > 0 {
 			continue
 		}
 		c := external.EngineConfig{Role: roles[i], Models: models, Adapters: adapters}
-		l.issue(ctx, a, p, e, c, "first configuration")
+		l.issueOrder(ctx, a, p, e, c, "first configuration")
 	}
 }
 
-// plan orders the changes that package placement finds worth their cost.
-func (l *Loop) plan(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
+// orderChanges orders the changes that package placement considers worth their cost.
+func (l *Loop) orderChanges(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
 	spec := poolSpec(doc, p.dataCentre)
 	if spec == nil {
 		return
@@ -215,31 +220,31 @@
 	weights := placement.Weights{Goodput: doc.Weights.Goodput, RoleChanges: doc.Weights.RoleChanges}
 	for _, c := range p.planner.Plan(time.Now(), p.snapshot(doc, spec, l.cfg.Speed), weights) {
 		if e := p.engine(c.Engine); e != nil && e.owned && e.settled() {
-			l.issue(ctx, a, p, e, c.Config, c.Reason)
+			l.issueOrder(ctx, a, p, e, c.Config, c.Reason)
 		}
 	}
-	if d := p.planner.Explain(); d != p.explained {
-		p.explained = d
-		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "decision": d}).Info("placement")
+	if d := p.planner.Explain(); d != p.lastDecision {
+		p.lastDecision = d
+		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "decision": d}).Info("placement decision changed")
 		l.cfg.Decided(p.name, "", d, nil)
 	}
 }
 
-func (l *Loop) issue(ctx context.Context, a lease.Authority, p *pool, e *engine, c external.EngineConfig, reason string) {
+func (l *Loop) issueOrder(ctx context.Context, a lease.Authority, p *pool, e *engine, c external.EngineConfig, reason string) {
 	from := e.config().Role
 	r, err := l.orders.Issue(ctx, a, e.id, c)
 	if err != nil {
-		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "engine": e.id}).WithError(err).Warn("order not issued")
+		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "engine": e.id}).WithError(err).Warn("order could not be issued")
 		return
 	}
-	p.wrote(e, r)
+	p.setRecord(e, r)
 	if from != c.Role && from != "" {
 		l.cfg.RoleChange(p.name, string(from), string(c.Role))
 	}
-	l.decided(p, e, reason)
+	l.reportOrder(p, e, reason)
 }
 
-func (l *Loop) decided(p *pool, e *engine, reason string) {
+func (l *Loop) reportOrder(p *pool, e *engine, reason string) {
 	l.cfg.Log.WithFields(logrus.Fields{
 		"pool": p.name, "engine": e.id, "order": e.record.Number, "fence": e.record.Fence,
 		"role": e.record.Config.Role, "models": len(e.record.Config.Models), "reason": reason,
--- a/planning/planning_test.go
+++ b/planning/planning_test.go
@@ -27,8 +27,8 @@
 
 const pool = "m.d"
 
-// world is a pool of engines with their executors, and entries that plan for it.
-type world struct {
+// harness holds the engines of a pool with their executors, and the entries that plan for it.
+type harness struct {
 	t         *testing.T
 	store     *kv.Store
 	engines   map[string]*engine.Engine
@@ -46,15 +46,15 @@
 func (noDrain) Wait(context.Context) error       { return nil }
 func (noDrain) EndDrain()                        {}
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func newWorld(t *testing.T, engines int) *world {
+func newHarness(t *testing.T, engines int) *harness {
 	ctx, stop := context.WithCancel(t.Context())
-	w := &world{
+	h := &harness{
 		t: t, store: kv.NewStore(kv.Limits{}), engines: map[string]*engine.Engine{},
 		executors: map[string]*order.Executor{}, confirmed: true, ctx: ctx, stop: stop,
 		doc: &document.Service{
@@ -66,46 +66,47 @@
 		id := fmt.Sprintf("w%d", i)
 		e := engine.New(engine.Config{Name: id, Seed: 1, OrderTime: time.Second, CheckFence: i%2 == 0})
 		x := order.NewExecutor(order.ExecutorConfig{
-			Pool: pool, Engine: id, KV: w.store, Backend: e, Weights: weights.New(1 << 40), Drainer: noDrain{}, Log: quiet(),
+			Pool: pool, Engine: id, KV: h.store, Backend: e, Weights: weights.New(1 << 40), Drainer: noDrain{}, Log: discardLogger(),
 		})
-		w.engines[id], w.executors[id] = e, x
-		w.wg.Go(func() { _ = x.Run(ctx) })
+		h.engines[id], h.executors[id] = e, x
+		h.wg.Go(func() { _ = x.Run(ctx) })
 	}
-	return w
+	return h
 }
 
-func (w *world) close() {
-	w.stop()
-	w.wg.Wait()
-	for _, e := range w.engines {
-		require.NoError(w.t, e.Close())
+func (h *harness) close() {
+	h.stop()
+	h.wg.Wait()
+	for _, e := range h.engines {
+		require.NoError(h.t, e.Close())
 	}
 }
 
-// entry starts an entry that competes for the pool, and returns how to stop it.
-func (w *world) entry(name string) context.CancelFunc {
-	ctx, stop := context.WithCancel(w.ctx)
-	m, err := lease.NewManager(w.store, lease.Config{Holder: name, Pools: []string{pool}, Log: quiet()})
-	require.NoError(w.t, err)
+// startEntry starts an entry that competes for the pool's lease, and returns a function that stops
+// it.
+func (h *harness) startEntry(name string) context.CancelFunc {
+	ctx, stop := context.WithCancel(h.ctx)
+	m, err := lease.NewManager(h.store, lease.Config{Holder: name, Pools: []string{pool}, Log: discardLogger()})
+	require.NoError(h.t, err)
 	l := planning.New(planning.Config{
-		Interval: time.Second, Leases: m, KV: w.store, Documents: w, Workers: w.workers, Log: quiet(),
-		Confirmed:  func() bool { return w.confirmed },
+		Interval: time.Second, Leases: m, KV: h.store, Documents: h, Workers: h.workers, Log: discardLogger(),
+		Confirmed:  func() bool { return h.confirmed },
 		Refused:    func(string) (map[string]placement.KindWork, int) { return nil, 1 },
 		Speed:      func([]string) load.Speed { return load.DefaultSpeed() },
-		Dial:       func(_, id string) (planning.Worker, error) { return &worker{w.executors[id], id}, nil },
+		Dial:       func(_, id string) (planning.Worker, error) { return &worker{h.executors[id], id}, nil },
 		RoleChange: func(string, string, string) {},
 		Decided:    func(string, string, string, []string) {},
 	})
-	w.wg.Go(func() { m.Run(ctx) })
-	w.wg.Go(func() { l.Run(ctx) })
+	h.wg.Go(func() { m.Run(ctx) })
+	h.wg.Go(func() { l.Run(ctx) })
 	return stop
 }
 
-func (w *world) Lookup(string) (*document.Service, uint64) { return w.doc, 1 }
+func (h *harness) Lookup(string) (*document.Service, uint64) { return h.doc, 1 }
 
-func (w *world) workers() []*v1.WorkerStatus {
+func (h *harness) workers() []*v1.WorkerStatus {
 	var all []*v1.WorkerStatus
-	for id := range w.engines {
+	for id := range h.engines {
 		all = append(all, &v1.WorkerStatus{Instance: id, Service: "m", DataCentre: "d"})
 	}
 	return all
@@ -120,28 +121,29 @@
 	return &v1.ProbeResponse{Load: &v1.LoadReport{Instance: w.id, Incarnation: "1"}}, nil
 }
 
-// check requires that all engines have the model and none saw a conflicting or stale order.
-func (w *world) check() {
-	w.t.Helper()
-	for id, e := range w.engines {
-		s, err := e.State(w.ctx)
-		require.NoError(w.t, err, id)
-		require.Equal(w.t, []external.ModelVersion{{Name: "v", Version: w.doc.Models[0].Version}}, s.Config.Models, id)
-		require.Empty(w.t, e.Violations(), id)
+// requireConfigured requires that all engines have the model and that none received a conflicting
+// or stale order.
+func (h *harness) requireConfigured() {
+	h.t.Helper()
+	for id, e := range h.engines {
+		s, err := e.State(h.ctx)
+		require.NoError(h.t, err, id)
+		require.Equal(h.t, []external.ModelVersion{{Name: "v", Version: h.doc.Models[0].Version}}, s.Config.Models, id)
+		require.Empty(h.t, e.Violations(), id)
 	}
 }
 
-// Guards against engines that stay without a model, and against roles that do not follow the
+// Guards against engines that never get a model, and against initial roles that differ from the
 // document.
 func TestFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4)
-		defer w.close()
-		w.entry("e1")
+		h := newHarness(t, 4)
+		defer h.close()
+		h.startEntry("e1")
 		time.Sleep(30 * time.Second)
-		w.check()
+		h.requireConfigured()
 		roles := map[external.Role]int{}
-		for _, e := range w.engines {
+		for _, e := range h.engines {
 			s, err := e.State(t.Context())
 			require.NoError(t, err)
 			roles[s.Config.Role]++
@@ -150,70 +152,71 @@
 	})
 }
 
-// Guards against orders from a process whose documents may be old.
+// Guards against orders from a process whose documents may be outdated.
 func TestUnconfirmedProcessGivesNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
-		defer w.close()
-		w.confirmed = false
-		w.entry("e1")
+		h := newHarness(t, 3)
+		defer h.close()
+		h.confirmed = false
+		h.startEntry("e1")
 		time.Sleep(time.Minute)
-		for id, e := range w.engines {
+		for id, e := range h.engines {
 			require.Empty(t, e.Journal(), id)
 		}
 	})
 }
 
-// Guards against an engine that stays without its models after a crash, during an order or not.
+// Guards against an engine that stays without its models after a crash, whether or not an order was
+// executing.
 func TestCrashedEngineIsReconciled(t *testing.T) {
 	for _, after := range []time.Duration{30 * time.Second, 5200 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 3)
-				defer w.close()
-				w.entry("e1")
+				h := newHarness(t, 3)
+				defer h.close()
+				h.startEntry("e1")
 				time.Sleep(after)
-				w.engines["w1"].Crash()
+				h.engines["w1"].Crash()
 				time.Sleep(3 * time.Second)
-				w.engines["w1"].Restart(external.EngineConfig{Role: external.RolePrefill})
+				h.engines["w1"].Restart(external.EngineConfig{Role: external.RolePrefill})
 				time.Sleep(time.Minute)
-				w.check()
+				h.requireConfigured()
 			})
 		})
 	}
 }
 
-// Guards against a pool that is not planned after its planner has stopped, and against two
-// planners that give orders.
+// Guards against a pool that is no longer planned after its planner has stopped, and against two
+// planners that issue orders at the same time.
 func TestAnotherEntryTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
-		defer w.close()
-		stop := w.entry("e1")
-		w.entry("e2")
+		h := newHarness(t, 3)
+		defer h.close()
+		stop := h.startEntry("e1")
+		h.startEntry("e2")
 		time.Sleep(30 * time.Second)
-		w.check()
+		h.requireConfigured()
 		stop()
 		time.Sleep(30 * time.Second)
-		w.doc = &document.Service{
-			Service: "m", Type: document.TypeModel, Models: []document.Model{{Name: "v", Version: "2"}}, Pools: w.doc.Pools,
+		h.doc = &document.Service{
+			Service: "m", Type: document.TypeModel, Models: []document.Model{{Name: "v", Version: "2"}}, Pools: h.doc.Pools,
 		}
 		time.Sleep(2 * time.Minute)
-		w.check()
+		h.requireConfigured()
 	})
 }
 
-// Guards against a round that gives up for good when the key-value service fails.
+// Guards against a planner that never resumes after an outage of the key-value service.
 func TestOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 3)
-		defer w.close()
-		w.entry("e1")
+		h := newHarness(t, 3)
+		defer h.close()
+		h.startEntry("e1")
 		time.Sleep(3 * time.Second)
-		w.store.Faults().Set(kv.FaultState{Down: true})
+		h.store.Faults().Set(kv.FaultState{Down: true})
 		time.Sleep(time.Minute)
-		w.store.Faults().Set(kv.FaultState{LoseAnswers: 5})
+		h.store.Faults().Set(kv.FaultState{LoseAnswers: 5})
 		time.Sleep(2 * time.Minute)
-		w.check()
+		h.requireConfigured()
 	})
 }
--- a/planning/pool.go
+++ b/planning/pool.go
@@ -18,19 +18,20 @@
 	"github.com/quetzallug/quetzallug/placement"
 )
 
-// probeTimeout bounds the question for one sidecar's work.
+// probeTimeout limits the duration of one probe of all sidecars of a pool.
 const probeTimeout = time.Second
 
 const (
-	// recordsEvery is the time between reads of the order records of a pool without changes. A read
-	// at each round takes 2.5 KB/s for 32 engines, more than half of an entry's budget for control.
-	recordsEvery = 30 * time.Second
-	// unsettledFor is the time for which each round reads the records after a change, because a
-	// sidecar writes its record some seconds after a probe shows the cause.
-	unsettledFor = 15 * time.Second
+	// recordReadInterval is the time between reads of the order records of a pool without changes.
+	// Reading them in every round takes 2.5 KB/s for 32 engines, more than half of an entry's
+	// budget for control traffic.
+	recordReadInterval = 30 * time.Second
+	// recordSettleTime is how long every round reads the records after a change. A sidecar writes
+	// its record some seconds after a probe shows the cause.
+	recordSettleTime = 15 * time.Second
 )
 
-// pool is what the planner duty knows of one pool under one fence.
+// pool is the planner's state of one pool under one fence number.
 type pool struct {
 	name       string
 	dataCentre string
@@ -38,64 +39,68 @@
 	planner    *placement.Planner
 	engines    []*engine
 	offered    map[string]placement.KindWork
-	// refused is the work that this entry had refused at the last round.
-	refused   map[string]placement.KindWork
-	interval  time.Duration
-	observed  time.Time
-	explained string
+	// lastRefused is the work that this entry had refused since its start at the last round.
+	lastRefused  map[string]placement.KindWork
+	interval     time.Duration
+	observedAt   time.Time
+	lastDecision string
 
-	// records are the order records at recordsAt. They are read again in each round until unsettled.
-	records   map[string]order.Record
-	recordsAt time.Time
-	unsettled time.Time
+	// records are the order records read at recordsReadAt. Every round reads them again until
+	// readRecordsUntil.
+	records          map[string]order.Record
+	recordsReadAt    time.Time
+	readRecordsUntil time.Time
 }
 
-// engine is one engine of a pool.
+// engine is the planner's state of one engine.
 type engine struct {
 	id        string
 	owned     bool
 	reachable bool
 	record    order.Record
-	recorded  bool
+	hasRecord bool
 	report    *v1.LoadReport
-	since     time.Time
-	// incarnation and work are those of the last probe, from which the next one's work is counted.
-	incarnation string
-	seen        string // what the last probe told about the engine's configuration
-	work        map[string]placement.KindWork
-	// failed counts the orders in succession that have failed. After retryAt another one may follow.
-	failed  int
-	retryAt time.Time
-	// counted is the number of the last failed order in failed.
-	counted uint64
+	roleSince time.Time
+	// incarnation, lastFingerprint and lastWork are those of the last probe. The work since then is
+	// the difference from lastWork.
+	incarnation     string
+	lastFingerprint string
+	lastWork        map[string]placement.KindWork
+	// failures is the number of consecutive failed orders. The next order may be issued after
+	// retryAt.
+	failures int
+	retryAt  time.Time
+	// lastFailure is the number of the last order that was counted in failures.
+	lastFailure uint64
 }
 
-// Waits before a failed order is given again. The first one is immediate, because most failed
-// orders were withdrawn at a handover; each further drain takes the engine out of service again.
+// Waits before a failed order is repeated. The first repetition is immediate, because most failed
+// orders were withdrawn at a handover. Later ones wait, because each further drain takes the engine
+// out of service again.
 const (
 	minRetryWait = 5 * time.Second
 	maxRetryWait = 5 * time.Minute
 )
 
-// retries returns the engines whose last order failed before it reached the engine and may be
-// given again now.
-func (p *pool) retries(now time.Time) []*engine {
+// dueRetries returns the engines whose last order failed before it reached the engine and may be
+// repeated now.
+func (p *pool) dueRetries(now time.Time) []*engine {
 	var due []*engine
 	for _, e := range p.engines {
 		r := &e.record
 		switch {
-		case !e.recorded || r.Number == 0:
+		case !e.hasRecord || r.Number == 0:
 			continue
 		case r.Phase == order.PhaseDone:
-			e.failed = 0
+			e.failures = 0
 			continue
 		case r.Phase != order.PhaseFailed || r.Unknown:
 			continue
 		}
-		if e.counted != r.Number {
-			e.counted = r.Number
-			e.retryAt = now.Add(retryWait(e.failed))
-			e.failed++
+		if e.lastFailure != r.Number {
+			e.lastFailure = r.Number
+			e.retryAt = now.Add(retryWait(e.failures))
+			e.failures++
 		}
 		if e.owned && !now.Before(e.retryAt) {
 			due = append(due, e)
@@ -104,13 +109,14 @@
 	return due
 }
 
-// retryWait returns the wait after the given number of earlier failures in succession.
-func retryWait(earlier int) time.Duration {
-	if earlier == 0 {
+// retryWait returns the wait before the next order after the given number of earlier consecutive
+// failures.
+func retryWait(earlierFailures int) time.Duration {
+	if earlierFailures == 0 {
 		return 0
 	}
 	wait := minRetryWait
-	for range earlier - 1 {
+	for range earlierFailures - 1 {
 		wait = min(2*wait, maxRetryWait)
 	}
 	return wait
@@ -132,24 +138,25 @@
 
 // settled reports whether the engine may get a new order.
 func (e *engine) settled() bool {
-	return e.recorded && (e.record.Number == 0 || e.record.Phase.Settled())
+	return e.hasRecord && (e.record.Number == 0 || e.record.Phase.Settled())
 }
 
-// config is the engine's configuration as recorded, or as reported before its first order.
+// config returns the engine's recorded configuration. Before its first order this is the
+// configuration that the engine reported.
 func (e *engine) config() external.EngineConfig { return e.record.Config }
 
-// observe refreshes the pool's engines: a probe of each sidecar, and one read of all order records
-// if they may have changed.
+// observe refreshes the pool's engines: it probes every sidecar, and reads all order records if
+// they may have changed.
 func (l *Loop) observe(ctx context.Context, p *pool, members []*v1.WorkerStatus) error {
-	p.update(members, p.records)
+	p.updateEngines(members, p.records)
 	now := time.Now()
-	if !p.observed.IsZero() {
-		p.interval = now.Sub(p.observed)
+	if !p.observedAt.IsZero() {
+		p.interval = now.Sub(p.observedAt)
 	}
-	p.observed = now
+	p.observedAt = now
 	p.offered = map[string]placement.KindWork{}
 	for e, resp := range l.probeAll(ctx, p) {
-		p.count(e, resp)
+		p.countOffered(e, resp)
 	}
 	if !p.recordsDue(now) {
 		return nil
@@ -158,64 +165,65 @@
 	if err != nil {
 		return fmt.Errorf("read order records of pool %q: %w", p.name, err)
 	}
-	p.records, p.recordsAt = records, now
-	p.update(members, records)
+	p.records, p.recordsReadAt = records, now
+	p.updateEngines(members, records)
 	return nil
 }
 
-// update brings the list of engines to the present members. An engine that is not listed any
-// more counts as withdrawn and is left out.
-func (p *pool) update(members []*v1.WorkerStatus, records map[string]order.Record) {
+// updateEngines sets the list of engines to the present members. An engine that is no longer listed
+// counts as withdrawn and is left out.
+func (p *pool) updateEngines(members []*v1.WorkerStatus, records map[string]order.Record) {
 	var engines []*engine
 	for _, m := range members {
 		e := p.engine(m.GetInstance())
 		if e == nil {
-			e = &engine{id: m.GetInstance(), since: time.Now(), work: map[string]placement.KindWork{}}
+			e = &engine{id: m.GetInstance(), roleSince: time.Now(), lastWork: map[string]placement.KindWork{}}
 		}
 		r, ok := records[e.id]
 		if r.Config.Role != e.record.Config.Role || r.Incarnation != e.record.Incarnation {
-			e.since = time.Now()
+			e.roleSince = time.Now()
 		}
-		// A new sidecar has not acknowledged this fence.
+		// A new sidecar has not acknowledged this fence number.
 		if r.Incarnation != e.record.Incarnation {
 			e.owned = false
 		}
-		e.record, e.recorded = r, ok
+		e.record, e.hasRecord = r, ok
 		engines = append(engines, e)
 	}
 	slices.SortFunc(engines, func(a, b *engine) int { return cmp.Compare(a.id, b.id) })
 	p.engines = engines
 }
 
-// recordsDue reports whether the order records may differ from those that were read. Records change
-// by this planner's orders, by a sidecar that executes one, and by a sidecar or engine that starts
-// again; all but the last show here or in a probe. An order is never based on these records:
+// recordsDue reports whether the order records may have changed since they were read. They change
+// when this planner issues an order, when a sidecar executes one, and when a sidecar or an engine
+// restarts. All of these but the last show here or in a probe. No order is based on these records:
 // package order reads the record again before each write.
 func (p *pool) recordsDue(now time.Time) bool {
 	for _, e := range p.engines {
-		if seen := e.observation(); seen != e.seen {
-			e.seen = seen
-			p.changed(now)
+		if seen := e.fingerprint(); seen != e.lastFingerprint {
+			e.lastFingerprint = seen
+			p.expectRecordChange(now)
 		}
 		if !e.settled() || e.record.Unknown || !e.owned || len(e.config().Models) == 0 {
-			p.changed(now)
+			p.expectRecordChange(now)
 		}
 	}
-	return p.records == nil || now.Before(p.unsettled) || now.Sub(p.recordsAt) >= recordsEvery
+	return p.records == nil || now.Before(p.readRecordsUntil) || now.Sub(p.recordsReadAt) >= recordReadInterval
 }
 
-// wrote takes over a record that this planner has written.
-func (p *pool) wrote(e *engine, r order.Record) {
+// setRecord stores a record that this planner has written.
+func (p *pool) setRecord(e *engine, r order.Record) {
 	e.record = r
 	p.records[e.id] = r
-	p.changed(time.Now())
+	p.expectRecordChange(time.Now())
 }
 
-// changed makes the next rounds read the records.
-func (p *pool) changed(now time.Time) { p.unsettled = now.Add(unsettledFor) }
+// expectRecordChange makes the following rounds read the records.
+func (p *pool) expectRecordChange(now time.Time) { p.readRecordsUntil = now.Add(recordSettleTime) }
 
-// observation tells whether an engine has changed since its last probe.
-func (e *engine) observation() string {
+// fingerprint returns the state of the engine as the last probe reported it, for comparison with
+// the next probe.
+func (e *engine) fingerprint() string {
 	if !e.reachable {
 		return ""
 	}
@@ -223,7 +231,7 @@
 	return fmt.Sprint(r.GetIncarnation(), r.GetDraining(), r.GetRole(), r.GetModels())
 }
 
-// probeAll asks each sidecar for its load and work at the same time.
+// probeAll asks all sidecars concurrently for their load and work.
 func (l *Loop) probeAll(ctx context.Context, p *pool) map[*engine]*v1.ProbeResponse {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -254,50 +262,51 @@
 	return responses
 }
 
-// count adds the work that an engine was offered since the last probe.
-func (p *pool) count(e *engine, resp *v1.ProbeResponse) {
+// countOffered adds the work that was offered to an engine since the last probe.
+func (p *pool) countOffered(e *engine, resp *v1.ProbeResponse) {
 	e.report = resp.GetLoad()
 	restarted := e.incarnation != e.report.GetIncarnation()
 	e.incarnation = e.report.GetIncarnation()
 	for _, w := range resp.GetWork() {
-		now := placement.KindWork{
+		current := placement.KindWork{
 			Requests: float64(w.GetRequests()), PromptTokens: float64(w.GetPromptTokens()), OutputTokens: float64(w.GetOutputTokens()),
 		}
-		old := e.work[w.GetKind()]
-		e.work[w.GetKind()] = now
+		previous := e.lastWork[w.GetKind()]
+		e.lastWork[w.GetKind()] = current
 		if restarted {
-			// The counts of another incarnation cannot be compared.
+			// The counters of another incarnation can't be compared.
 			continue
 		}
 		sum := p.offered[w.GetKind()]
-		sum.Requests += now.Requests - old.Requests
-		sum.PromptTokens += now.PromptTokens - old.PromptTokens
-		sum.OutputTokens += now.OutputTokens - old.OutputTokens
+		sum.Requests += current.Requests - previous.Requests
+		sum.PromptTokens += current.PromptTokens - previous.PromptTokens
+		sum.OutputTokens += current.OutputTokens - previous.OutputTokens
 		p.offered[w.GetKind()] = sum
 	}
 }
 
-// countRefused adds the work that entries have refused since the last round, which no sidecar has
-// seen. Each of the service's pools takes an equal part.
+// countRefused adds the work that the entries refused since the last round and that no sidecar has
+// seen. It is divided equally among the service's pools.
 func (p *pool) countRefused(refused map[string]placement.KindWork, entries, pools int) {
 	scale := float64(max(1, entries)) / float64(max(1, pools))
-	for kind, now := range refused {
-		old := p.refused[kind]
+	for kind, current := range refused {
+		previous := p.lastRefused[kind]
 		offered := p.offered[kind]
-		output := now.OutputTokens - old.OutputTokens
+		output := current.OutputTokens - previous.OutputTokens
 		if offered.Requests > 0 {
-			// A refused request asked for its limit; served ones show the usual length.
-			output = (now.Requests - old.Requests) * offered.OutputTokens / offered.Requests
+			// The output tokens of a refused request are its limit, so the mean length of the
+			// served answers is used instead.
+			output = (current.Requests - previous.Requests) * offered.OutputTokens / offered.Requests
 		}
-		offered.Requests += scale * (now.Requests - old.Requests)
-		offered.PromptTokens += scale * (now.PromptTokens - old.PromptTokens)
+		offered.Requests += scale * (current.Requests - previous.Requests)
+		offered.PromptTokens += scale * (current.PromptTokens - previous.PromptTokens)
 		offered.OutputTokens += scale * output
 		p.offered[kind] = offered
 	}
-	p.refused = refused
+	p.lastRefused = refused
 }
 
-// snapshot describes the pool to the planner.
+// snapshot describes the pool for the placement planner.
 func (p *pool) snapshot(doc *document.Service, spec *document.Pool, speed func([]string) load.Speed) *placement.Snapshot {
 	models, adapters := wantedModels(doc, spec)
 	s := &placement.Snapshot{
@@ -306,7 +315,7 @@
 	}
 	var ids []string
 	for _, e := range p.engines {
-		s.Engines = append(s.Engines, e.placement())
+		s.Engines = append(s.Engines, e.toPlacement())
 		ids = append(ids, e.id)
 	}
 	s.Speed = speed(ids)
@@ -321,13 +330,13 @@
 	return s
 }
 
-func (e *engine) placement() placement.Engine {
+func (e *engine) toPlacement() placement.Engine {
 	out := placement.Engine{
-		ID: e.id, State: placement.Serving, Config: e.config(), Since: e.since,
+		ID: e.id, State: placement.Serving, Config: e.config(), Since: e.roleSince,
 		Sequences: int(e.report.GetRunning()), PrefillTokens: float64(e.report.GetPrefillTokens()),
 	}
 	switch {
-	case !e.reachable || !e.owned || !e.recorded:
+	case !e.reachable || !e.owned || !e.hasRecord:
 		out.State = placement.Crashed
 	case !e.settled():
 		out.State = placement.Changing
@@ -356,17 +365,17 @@
 	return nil
 }
 
-// rolesOf assigns the document's initial roles to n engines in the order of their IDs. If n
-// differs from the document's count, the shares are kept and the rest is mixed, so that a small
-// pool always has an engine that does both parts.
-func rolesOf(spec *document.Pool, n int) []external.Role {
+// initialRoles assigns the document's initial roles to n engines in the order of their IDs. If n
+// differs from the number of engines in the document, the shares are kept, rounded down, and the
+// remaining engines are mixed. So a small pool can always both prefill and decode.
+func initialRoles(spec *document.Pool, n int) []external.Role {
 	total := max(1, spec.Roles.Prefill+spec.Roles.Decode+spec.Roles.Mixed)
 	roles := slices.Repeat([]external.Role{external.RolePrefill}, spec.Roles.Prefill*n/total)
 	roles = append(roles, slices.Repeat([]external.Role{external.RoleDecode}, spec.Roles.Decode*n/total)...)
 	return append(roles, slices.Repeat([]external.Role{external.RoleMixed}, n-len(roles))...)
 }
 
-// wantedModels returns the models and adapters that each engine of a pool should have.
+// wantedModels returns the models and adapters that every engine of a pool should have.
 func wantedModels(doc *document.Service, spec *document.Pool) (models, adapters []external.ModelVersion) {
 	for _, m := range doc.Models {
 		if len(spec.Models) > 0 && !slices.Contains(spec.Models, m.Name) {
--- a/planning/pool_test.go
+++ b/planning/pool_test.go
@@ -13,8 +13,8 @@
 	"github.com/quetzallug/quetzallug/placement"
 )
 
-// Guards against records that are read in each round of a quiet pool, and against records that are
-// kept although an engine, its sidecar or this planner has changed something.
+// Guards against reading the records of an unchanged pool in every round, and against using old
+// records although an engine, its sidecar or this planner has changed something.
 func TestRecordsAreReadWhenTheyMayHaveChanged(t *testing.T) {
 	for name, change := range map[string]func(p *pool, e *engine){
 		"sidecar started again": func(_ *pool, e *engine) { e.report = &v1.LoadReport{Incarnation: "2", Models: []string{"m"}} },
@@ -23,38 +23,38 @@
 		"engine drains": func(_ *pool, e *engine) {
 			e.report = &v1.LoadReport{Incarnation: "1", Models: []string{"m"}, Draining: true}
 		},
-		"order written": func(p *pool, e *engine) { p.wrote(e, e.record) },
+		"order written": func(p *pool, e *engine) { p.setRecord(e, e.record) },
 		"not owned":     func(_ *pool, e *engine) { e.owned = false },
 		"unknown state": func(_ *pool, e *engine) { e.record.Unknown = true },
 		"engine added":  func(p *pool, _ *engine) { p.engines = append(p.engines, &engine{id: "e1"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p, e := quietPool()
+				p, e := unchangedPool()
 				require.True(t, p.recordsDue(time.Now()), "a change was just seen")
-				time.Sleep(unsettledFor)
-				p.recordsAt = time.Now()
+				time.Sleep(recordSettleTime)
+				p.recordsReadAt = time.Now()
 				require.False(t, p.recordsDue(time.Now()))
 				change(p, e)
 				require.True(t, p.recordsDue(time.Now()))
-				p.recordsAt = time.Now()
-				time.Sleep(unsettledFor - time.Second)
+				p.recordsReadAt = time.Now()
+				time.Sleep(recordSettleTime - time.Second)
 				require.True(t, p.recordsDue(time.Now()), "the sidecar may still write")
 			})
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p, _ := quietPool()
+		p, _ := unchangedPool()
 		p.recordsDue(time.Now())
-		p.recordsAt = time.Now()
-		time.Sleep(recordsEvery)
+		p.recordsReadAt = time.Now()
+		time.Sleep(recordReadInterval)
 		require.True(t, p.recordsDue(time.Now()))
 	})
 }
 
-func quietPool() (*pool, *engine) {
+func unchangedPool() (*pool, *engine) {
 	e := &engine{
-		id: "e0", owned: true, reachable: true, recorded: true,
+		id: "e0", owned: true, reachable: true, hasRecord: true,
 		record: order.Record{Number: 1, Phase: order.PhaseDone, Config: external.EngineConfig{
 			Models: []external.ModelVersion{{Name: "m"}},
 		}},
@@ -63,8 +63,8 @@
 	return &pool{engines: []*engine{e}, records: map[string]order.Record{"e0": e.record}}, e
 }
 
-// Guards against a planner that sees only admitted work, so that a short part of the pool looks
-// sufficient because its requests are refused.
+// Guards against a planner that sees only admitted work: a part of the pool with too few engines
+// would look sufficient, because the requests it cannot serve are refused.
 func TestRefusedWorkIsOffered(t *testing.T) {
 	p := &pool{offered: map[string]placement.KindWork{"chat": {Requests: 10, PromptTokens: 100, OutputTokens: 2000}}}
 	p.countRefused(map[string]placement.KindWork{
@@ -76,7 +76,7 @@
 		"verdict": {Requests: 4, PromptTokens: 16000, OutputTokens: 80},
 	}, p.offered)
 	p.offered = map[string]placement.KindWork{}
-	p.countRefused(p.refused, 4, 2)
+	p.countRefused(p.lastRefused, 4, 2)
 	for kind, w := range p.offered {
 		require.Zero(t, w.Requests, kind)
 	}
--- a/planning/rpc.go
+++ b/planning/rpc.go
@@ -13,7 +13,8 @@
 	"github.com/quetzallug/quetzallug/order"
 )
 
-// DialRPC returns a function that finds the sidecar of an engine in the membership and calls it.
+// DialRPC returns a function that looks up the sidecar of an engine in the membership and returns
+// an RPC client for it.
 func DialRPC(clients *rpc.Clients, cluster string, find func(instance string) (membership.Member, bool)) func(pool, engine string) (Worker, error) {
 	return func(_, engine string) (Worker, error) {
 		m, ok := find(engine)
@@ -52,7 +53,7 @@
 		return err
 	}
 	if !resp.Msg.GetAccepted() {
-		return fmt.Errorf("sidecar refused the notice: %s", resp.Msg.GetReason())
+		return fmt.Errorf("sidecar refused the order notice: %s", resp.Msg.GetReason())
 	}
 	return nil
 }
