--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -14,17 +14,18 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// BenchmarkCommit commits batches of claims, as a shard's owner does at the peak, and reports the
-// writes and bytes per claim. The pause between writes of a shard is taken out, since it is no cost.
+// BenchmarkCommit commits batches of claims to one shard, as its owner does under peak load, and reports
+// the writes and the time per claim. The write rate is unlimited, so that the time does not include
+// waiting for the rate limiter.
 func BenchmarkCommit(b *testing.B) {
 	for _, batch := range []int{1, 16, 128} {
 		b.Run(fmt.Sprint(batch), func(b *testing.B) {
 			log := logrus.New()
 			log.SetOutput(io.Discard)
 			store := kv.NewStore(kv.Limits{})
-			set := once.DefaultSettings()
-			set.Shards, set.Window, set.WritesPerSecond = 1, time.Microsecond, 1e9
-			c, err := once.NewCommitter(store, set, log)
+			settings := once.DefaultSettings()
+			settings.Shards, settings.Window, settings.WritesPerSecond = 1, time.Microsecond, 1e9
+			c, err := once.NewCommitter(store, settings, log)
 			require.NoError(b, err)
 			b.ReportAllocs()
 			claims := 0
--- a/once/codec.go
+++ b/once/codec.go
@@ -9,9 +9,10 @@
 	"github.com/google/uuid"
 )
 
-// Format of a record, version 1. Integers are unsigned varints unless a size is given.
+// Encoding of a record, format version 1. Integers are unsigned varints unless a size is given.
+// Differences marked as signed are zigzag varints.
 //
-//	format 1 byte
+//	format version 1 byte
 //	number of sealed records, then for each: version minus that of the previous one, last creation
 //	  time in seconds minus that of the previous one (signed)
 //	number of claims, then for each: flags 1 byte, key, request ID, fingerprint 8 bytes, creation
@@ -19,35 +20,36 @@
 //	  content type, body
 //	xxhash64 of all the above, 8 bytes
 //
-// Strings are a length and bytes. A key or request ID that is a UUID in canonical form is 16 bytes.
+// Strings are encoded as their length followed by their bytes. A key or request ID that is a UUID in
+// canonical form is encoded as its 16 bytes.
 const formatVersion = 1
 
-// recordOverhead is an upper bound of the size of a record without claims and segments, in bytes. It
-// includes the version and time of the first segment, which are not differences.
+// recordOverhead is an upper bound on the encoded size of a record without claims and segments, in
+// bytes. It includes the version and time of the first segment, which are encoded in full.
 const recordOverhead = 1 + 4*binary.MaxVarintLen64 + 8
 
 const (
 	flagComplete = 1 << iota
 	flagKeyUUID
 	flagRequestUUID
-	flagsKnown = flagComplete | flagKeyUUID | flagRequestUUID
+	knownFlags = flagComplete | flagKeyUUID | flagRequestUUID
 )
 
-// Encode returns the record's stored form.
-func (s *Shard) Encode() []byte {
-	b := make([]byte, 0, s.Size())
+// Encode serialises the record for storage.
+func (rec *Record) Encode() []byte {
+	b := make([]byte, 0, rec.Size())
 	b = append(b, formatVersion)
-	b = binary.AppendUvarint(b, uint64(len(s.Sealed)))
+	b = binary.AppendUvarint(b, uint64(len(rec.Sealed)))
 	var version uint64
 	var last int64
-	for _, g := range s.Sealed {
+	for _, g := range rec.Sealed {
 		b = binary.AppendUvarint(b, g.Version-version)
-		b = binary.AppendVarint(b, g.Last.Unix()-last)
-		version, last = g.Version, g.Last.Unix()
+		b = binary.AppendVarint(b, g.LastCreated.Unix()-last)
+		version, last = g.Version, g.LastCreated.Unix()
 	}
-	b = binary.AppendUvarint(b, uint64(len(s.claims)))
+	b = binary.AppendUvarint(b, uint64(len(rec.claims)))
 	var created int64
-	for _, c := range s.claims {
+	for _, c := range rec.claims {
 		b = c.encode(b, created)
 		created = c.Created.UnixMilli()
 	}
@@ -80,8 +82,8 @@
 	return b
 }
 
-// canonicalUUID reports whether the text is exactly what uuid.UUID.String returns, so that
-// different spellings of one UUID stay different keys.
+// canonicalUUID parses text and reports whether it is exactly what uuid.UUID.String returns. Other
+// spellings of the same UUID are encoded as strings, so that they remain different keys.
 func canonicalUUID(text string) (uuid.UUID, bool) {
 	const canonicalLength = 36
 	if len(text) != canonicalLength {
@@ -102,8 +104,8 @@
 	return append(binary.AppendUvarint(b, uint64(len(v))), v...)
 }
 
-// Decode reads a record from its stored form. Errors wrap ErrRecordInvalid.
-func Decode(data []byte) (*Shard, error) {
+// Decode deserialises a stored record. Errors wrap ErrRecordInvalid.
+func Decode(data []byte) (*Record, error) {
 	const sumBytes = 8
 	if len(data) < 1+sumBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrRecordInvalid, len(data))
@@ -116,45 +118,45 @@
 		return nil, fmt.Errorf("%w: checksum does not match", ErrRecordInvalid)
 	}
 	d := &decoder{b: body[1:]}
-	s := d.shard()
-	if d.bad || len(d.b) != 0 {
+	rec := d.record()
+	if d.malformed || len(d.b) != 0 {
 		return nil, fmt.Errorf("%w: malformed content", ErrRecordInvalid)
 	}
-	return s, nil
+	return rec, nil
 }
 
-// decoder reads from b and sets bad on the first malformed field; later reads return zero values.
+// decoder consumes b and sets malformed at the first malformed field; later reads return zero values.
 type decoder struct {
-	b   []byte
-	bad bool
+	b         []byte
+	malformed bool
 }
 
-func (d *decoder) shard() *Shard {
-	s := newShard()
+func (d *decoder) record() *Record {
+	rec := newRecord()
 	var version uint64
 	var last int64
 	for range d.count() {
 		version += d.uvarint()
 		last += d.varint()
-		s.Sealed = append(s.Sealed, Segment{Version: version, Last: time.Unix(last, 0)})
+		rec.Sealed = append(rec.Sealed, Segment{Version: version, LastCreated: time.Unix(last, 0)})
 	}
 	var created int64
 	for range d.count() {
 		c := d.claim(created)
-		if d.bad || s.index[c.Key] != nil {
-			d.bad = true
+		if d.malformed || rec.index[c.Key] != nil {
+			d.malformed = true
 			break
 		}
 		created = c.Created.UnixMilli()
-		s.add(c)
+		rec.add(c)
 	}
-	return s
+	return rec
 }
 
 func (d *decoder) claim(previous int64) *Claim {
 	flags := d.take(1)
-	if d.bad || flags[0]&^flagsKnown != 0 {
-		d.bad = true
+	if d.malformed || flags[0]&^knownFlags != 0 {
+		d.malformed = true
 		return nil
 	}
 	c := &Claim{
@@ -162,7 +164,7 @@
 		RequestID: d.id(flags[0]&flagRequestUUID != 0),
 		Complete:  flags[0]&flagComplete != 0,
 	}
-	if fp := d.take(8); !d.bad {
+	if fp := d.take(8); !d.malformed {
 		c.Fingerprint = binary.LittleEndian.Uint64(fp)
 	}
 	c.Created = time.UnixMilli(previous + d.varint())
@@ -183,11 +185,12 @@
 	return id.String()
 }
 
-// count reads a number of items. Each item takes at least one byte.
+// count reads a number of items. Since an item takes at least one byte, a number above the remaining
+// input is malformed.
 func (d *decoder) count() int {
 	n := d.uvarint()
 	if n > uint64(len(d.b)) {
-		d.bad = true
+		d.malformed = true
 		return 0
 	}
 	return int(n)
@@ -202,8 +205,8 @@
 }
 
 func (d *decoder) take(n int) []byte {
-	if d.bad || len(d.b) < n {
-		d.bad = true
+	if d.malformed || len(d.b) < n {
+		d.malformed = true
 		return nil
 	}
 	v := d.b[:n:n]
@@ -214,7 +217,7 @@
 func (d *decoder) uvarint() uint64 {
 	v, n := binary.Uvarint(d.b)
 	if n <= 0 {
-		d.bad = true
+		d.malformed = true
 		return 0
 	}
 	d.b = d.b[n:]
@@ -224,7 +227,7 @@
 func (d *decoder) varint() int64 {
 	v, n := binary.Varint(d.b)
 	if n <= 0 {
-		d.bad = true
+		d.malformed = true
 		return 0
 	}
 	d.b = d.b[n:]
--- a/once/commit.go
+++ b/once/commit.go
@@ -8,36 +8,36 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// cachedRecord is the open record as it was last read or written.
+// cachedRecord is the open record as it was last read or written by this process.
 type cachedRecord struct {
 	version uint64
-	shard   *Shard
-	// fresh is true if the record was read in the present step. Without a write, a result may rest
-	// on a fresh record only.
+	record  *Record
+	// fresh means that the record was read from the store in the current call of commitBatch. A
+	// result that needs no write may be returned only from a fresh record, because another process may
+	// have changed a cached one.
 	fresh bool
 }
 
-// advance makes one try to decide the requests and returns those that are to be tried again.
-// Requests that have waited for their time are ended, so that the caller learns the outcome while it
-// can still use it.
-func (w *shardWorker) advance(ops []*op, pause *pauser) []*op {
-	ctx, cancel := context.WithTimeout(context.Background(), w.c.set.CommitTimeout)
+// tryCommit makes one attempt to commit the requests and returns those to retry. Requests past their
+// retry deadline fail, so that the caller learns the outcome while it can still use it.
+func (w *shardWorker) tryCommit(ops []*op, retry *backoff) []*op {
+	ctx, cancel := context.WithTimeout(context.Background(), w.committer.settings.CommitTimeout)
 	defer cancel()
-	pending, err := w.step(ctx, w.dropGone(ops))
+	pending, err := w.commitBatch(ctx, w.dropAbandoned(ops))
 	if err == nil {
-		pause.reset()
+		retry.reset()
 		return pending
 	}
-	w.record = nil
+	w.cached = nil
 	if errors.Is(err, ErrRecordInvalid) || errors.Is(err, ErrRecordMissing) {
 		w.fail(pending, err)
 		return nil
 	}
 	now := time.Now()
-	var left, expired []*op
+	var remaining, expired []*op
 	for _, o := range pending {
-		if now.Before(o.expires) {
-			left = append(left, o)
+		if now.Before(o.retryUntil) {
+			remaining = append(remaining, o)
 		} else {
 			expired = append(expired, o)
 		}
@@ -45,16 +45,17 @@
 	if len(expired) > 0 {
 		w.fail(expired, err)
 	}
-	if len(left) > 0 {
-		pause.sleep(context.Background())
+	if len(remaining) > 0 {
+		retry.sleep(context.Background())
 	}
-	return left
+	return remaining
 }
 
-func (w *shardWorker) dropGone(ops []*op) []*op {
+// dropAbandoned finishes the abandoned claims and returns the other requests.
+func (w *shardWorker) dropAbandoned(ops []*op) []*op {
 	kept := make([]*op, 0, len(ops))
 	for _, o := range ops {
-		if !w.isGone(o) {
+		if !w.isAbandoned(o) {
 			kept = append(kept, o)
 			continue
 		}
@@ -63,64 +64,64 @@
 	return kept
 }
 
-// fail ends requests that could not be decided. A request that was never part of a write is
-// certainly not recorded.
+// fail finishes requests that could not be committed. A request that was never part of a write with an
+// unknown outcome is certainly not recorded.
 func (w *shardWorker) fail(ops []*op, err error) {
 	w.log.WithError(err).WithField("requests", len(ops)).Warn("claims could not be committed")
 	for _, o := range ops {
 		state := StateUnavailable
-		if o.sent {
+		if o.maybeWritten {
 			state = StateUnknown
 		}
 		o.finish(Result{State: state, Err: err})
 	}
 }
 
-// step tries once to decide the requests and returns those that are still undecided.
-func (w *shardWorker) step(ctx context.Context, ops []*op) ([]*op, error) {
+// commitBatch applies the requests to their records once and returns those without a result.
+func (w *shardWorker) commitBatch(ctx context.Context, ops []*op) ([]*op, error) {
 	if len(ops) == 0 {
 		return nil, nil
 	}
 	if err := w.load(ctx); err != nil {
 		return ops, err
 	}
-	if w.record.shard.size >= w.c.set.RotateBytes {
+	if w.cached.record.size >= w.committer.settings.RotateBytes {
 		return ops, w.rotate(ctx)
 	}
-	open, sealed, err := w.locate(ctx, ops)
+	open, sealed, err := w.groupByRecord(ctx, ops)
 	if err != nil {
 		return ops, err
 	}
 	var undecided []*op
 	for _, g := range sealed {
-		left, segErr := w.commitSegment(ctx, g)
-		undecided = append(undecided, left...)
+		remaining, segErr := w.commitSegment(ctx, g)
+		undecided = append(undecided, remaining...)
 		err = errors.Join(err, segErr)
 	}
-	left, openErr := w.commitOpen(ctx, open)
-	w.clean(ctx)
-	return append(undecided, left...), errors.Join(err, openErr)
+	remaining, openErr := w.commitOpen(ctx, open)
+	w.deleteExpiredSegment(ctx)
+	return append(undecided, remaining...), errors.Join(err, openErr)
 }
 
-// load makes sure that the open record is in memory.
+// load reads the open record unless it is cached.
 func (w *shardWorker) load(ctx context.Context) error {
-	if w.record != nil {
-		w.record.fresh = false
+	if w.cached != nil {
+		w.cached.fresh = false
 		return nil
 	}
-	e, err := w.c.get(ctx, w.key)
+	e, err := w.committer.get(ctx, w.recordKey)
 	if errors.Is(err, external.ErrNotFound) {
-		w.record = &cachedRecord{shard: newShard(), fresh: true}
+		w.cached = &cachedRecord{record: newRecord(), fresh: true}
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	s, err := Decode(e.Value)
+	rec, err := Decode(e.Value)
 	if err != nil {
 		return err
 	}
-	w.record = &cachedRecord{version: e.Version, shard: s, fresh: true}
+	w.cached = &cachedRecord{version: e.Version, record: rec, fresh: true}
 	return nil
 }
 
@@ -129,35 +130,37 @@
 	if len(ops) == 0 {
 		return nil, nil
 	}
-	// The time is taken after the sealed records were read: a key that expires between its check
-	// and the removal of its record would otherwise be granted again.
+	// The time is taken after the sealed records were read. With an earlier time, a key could still
+	// count as accepted although its expired sealed record was deleted before the read, and be granted
+	// again.
 	now := time.Now()
-	next := w.record.shard.Clone()
+	next := w.cached.record.Clone()
 	w.dropExpired(next, now)
-	results, written := applyAll(next, ops, now, &w.c.set)
+	results, written := applyAll(next, ops, now, &w.committer.settings)
 	if len(written) == 0 {
-		if !w.record.fresh {
-			w.record = nil
+		if !w.cached.fresh {
+			w.cached = nil
 			return ops, nil
 		}
 		finishAll(ops, results)
 		return nil, nil
 	}
-	version, err := w.c.swap(ctx, w.key, w.record.version, next.Encode())
+	version, err := w.committer.compareAndSwap(ctx, w.recordKey, w.cached.version, next.Encode())
 	if err != nil {
-		markSent(written, err)
+		markMaybeWritten(written, err)
 		return ops, err
 	}
-	w.record = &cachedRecord{version: version, shard: next}
+	w.cached = &cachedRecord{version: version, record: next}
 	finishAll(ops, results)
 	return nil, nil
 }
 
-// applyAll applies the requests in order and returns their results and those that changed the record.
-func applyAll(s *Shard, ops []*op, now time.Time, set *Settings) (results []Result, written []*op) {
+// applyAll applies the requests in order. It returns their results, and the requests that changed the
+// record.
+func applyAll(rec *Record, ops []*op, now time.Time, settings *Settings) (results []Result, written []*op) {
 	results = make([]Result, len(ops))
 	for i, o := range ops {
-		r, changed := s.Apply(&o.req, now, set)
+		r, changed := rec.Apply(&o.req, now, settings)
 		results[i] = r
 		if changed {
 			written = append(written, o)
@@ -172,15 +175,14 @@
 	}
 }
 
-// markSent records that requests were part of a write that may have taken effect. The records are
-// then read again: a request whose write took effect finds its own ID. Otherwise the next write is
-// made at the version that was read, and a delayed write at the old version can no longer take effect
-// after it.
-func markSent(written []*op, err error) {
+// markMaybeWritten marks the requests of a write with an unknown outcome. The retry reads the records
+// again: if the write took effect, each request finds its own ID. Otherwise the next write expects the
+// version that was read, and once it succeeds, a delayed write that expects the old version fails.
+func markMaybeWritten(written []*op, err error) {
 	if !errors.Is(err, external.ErrOutcomeUnknown) {
 		return
 	}
 	for _, o := range written {
-		o.sent = true
+		o.maybeWritten = true
 	}
 }
--- a/once/committer.go
+++ b/once/committer.go
@@ -14,23 +14,23 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Committer commits claims, completions and releases to the key-value service in batches. It is
-// safe for concurrent use and starts goroutines only while requests wait.
+// Committer writes claims, completions and releases to the key-value service in batches. It is safe
+// for concurrent use and runs goroutines only while requests are queued.
 //
 // Lock order: Committer.mu, then shardWorker.mu. No lock is held during I/O.
 type Committer struct {
-	kv  external.KV
-	set Settings
-	log logrus.FieldLogger
+	kv       external.KV
+	settings Settings
+	log      logrus.FieldLogger
 
-	mu      sync.Mutex
-	layouts map[string]int
-	workers map[workerKey]*shardWorker
-	closing bool
+	mu          sync.Mutex
+	shardCounts map[string]int // recorded number of shards by service
+	workers     map[workerKey]*shardWorker
+	closing     bool
 }
 
-// writeBurst is the number of writes of one shard that may follow each other without a pause, so that
-// claims that arrive close together at a low rate are not delayed.
+// writeBurst is the burst size of a shard's write rate limiter. It keeps short bursts of claims at a
+// low average rate from being delayed.
 const writeBurst = 4
 
 type workerKey struct {
@@ -40,44 +40,47 @@
 
 var _ Claimer = (*Committer)(nil)
 
-// NewCommitter returns a committer. The settings must be valid.
-func NewCommitter(kv external.KV, set Settings, log logrus.FieldLogger) (*Committer, error) {
-	if err := set.Validate(); err != nil {
+// NewCommitter returns a Committer, or an error if the settings are invalid.
+func NewCommitter(kv external.KV, settings Settings, log logrus.FieldLogger) (*Committer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	return &Committer{
-		kv:      kv,
-		set:     set,
-		log:     log,
-		layouts: map[string]int{},
-		workers: map[workerKey]*shardWorker{},
+		kv:          kv,
+		settings:    settings,
+		log:         log,
+		shardCounts: map[string]int{},
+		workers:     map[workerKey]*shardWorker{},
 	}, nil
 }
 
-// op is a request on its way to the record.
+// op is a queued request.
 type op struct {
 	req Request
-	// due is the latest time of the first try, expires the time after which no further try is made.
-	due, expires time.Time
-	result       chan Result
-	// taken and gone are guarded by shardWorker.mu.
-	taken, gone bool
-	// sent means that a write with this request may have reached the service. Only the goroutine
-	// that commits the batch uses it.
-	sent bool
+	// due is the time at which the batch of the request is committed at the latest, unless writes are
+	// delayed by the rate limiter. The request is not retried after retryUntil.
+	due, retryUntil time.Time
+	result          chan Result
+	// dequeued means that the request has joined a batch, abandoned that its caller has stopped
+	// waiting. Both are guarded by shardWorker.mu.
+	dequeued, abandoned bool
+	// maybeWritten means that a write with this request may have reached the key-value service. Only
+	// the worker's goroutine uses it.
+	maybeWritten bool
 }
 
-// Do queues the request and waits for its result. When ctx ends first, the result is unavailable
-// if the request was still queued, and unknown otherwise. A completion or release stays queued.
+// Do queues the request and waits for its result. If ctx ends first, a claim that is still queued is
+// removed and its result is StateUnavailable; in all other cases the result is StateUnknown, and a
+// completion or release stays queued.
 //
 // A claim may be recorded after its caller has stopped waiting. The committer must not release
-// such a claim itself: the entry that owns the request ID may have settled it through another
-// process and dispatched the request.
+// such a claim itself: the entry that owns the request ID may have been granted the claim through
+// another process and have dispatched the request.
 func (c *Committer) Do(ctx context.Context, r Request) Result {
 	if err := r.Validate(); err != nil {
 		return Result{State: StateUnavailable, Err: err}
 	}
-	if r.Action == ActionClaim && !KeyAccepted(r.Key, time.Now(), &c.set) {
+	if r.Action == ActionClaim && !KeyAccepted(r.Key, time.Now(), &c.settings) {
 		return Result{State: StateExpired}
 	}
 	shards, err := c.layout(ctx, r.Service)
@@ -85,7 +88,7 @@
 		return Result{State: StateUnavailable, Err: err}
 	}
 	w := c.worker(r.Service, ShardOf(r.Key, shards))
-	o := w.enqueue(r) //nolint:contextcheck // a batch outlives the callers whose requests it carries
+	o := w.enqueue(r) //nolint:contextcheck // a batch outlives the contexts of its requests
 	select {
 	case res := <-o.result:
 		return res
@@ -94,19 +97,19 @@
 	}
 }
 
-// Shards returns the number of shards of a service: the recorded one if it is known, otherwise
-// that of the settings.
+// Shards returns the number of shards of a service: the recorded number if it has been read, otherwise
+// the number in the settings.
 func (c *Committer) Shards(service string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.layouts[service]; n > 0 {
+	if n := c.shardCounts[service]; n > 0 {
 		return n
 	}
-	return c.set.Shards
+	return c.settings.Shards
 }
 
-// Close commits what is queued without further delay and waits until that is done or ctx ends.
-// Requests that arrive later are still served.
+// Close commits the queued requests without further batching delay, and waits until no worker
+// is running or ctx ends. Requests that arrive later are still served.
 func (c *Committer) Close(ctx context.Context) error {
 	c.mu.Lock()
 	c.closing = true
@@ -119,13 +122,13 @@
 		select {
 		case <-time.After(poll):
 		case <-ctx.Done():
-			return fmt.Errorf("claims are still queued: %w", ctx.Err())
+			return fmt.Errorf("claim requests are still queued: %w", ctx.Err())
 		}
 	}
 	return nil
 }
 
-// busy reports whether any worker runs.
+// busy reports whether any worker has queued or unfinished requests.
 func (c *Committer) busy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,65 +146,68 @@
 	return c.closing
 }
 
-// worker returns the worker of a shard.
+// worker returns the worker of a shard, creating it on first use.
 func (c *Committer) worker(service string, shard int) *shardWorker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := workerKey{service, shard}
 	w := c.workers[k]
 	if w == nil {
-		perShard := rate.Limit(c.set.WritesPerSecond / float64(max(1, c.layouts[service])))
+		perShard := rate.Limit(c.settings.WritesPerSecond / float64(max(1, c.shardCounts[service])))
 		w = &shardWorker{
-			c:       c,
-			key:     shardKey(service, shard),
-			wake:    make(chan struct{}, 1),
-			limiter: rate.NewLimiter(perShard, writeBurst),
-			log:     c.log.WithFields(logrus.Fields{"service": service, "shard": shard}),
+			committer: c,
+			recordKey: shardKey(service, shard),
+			wake:      make(chan struct{}, 1),
+			limiter:   rate.NewLimiter(perShard, writeBurst),
+			log:       c.log.WithFields(logrus.Fields{"service": service, "shard": shard}),
 		}
 		c.workers[k] = w
 	}
 	return w
 }
 
-// layout returns the recorded number of shards of a service. Processes whose settings differ would
-// otherwise look for one key in two records and both be granted it.
+// layout returns the recorded number of shards of a service. If each process used its own setting, two
+// processes with different settings could look for the same key in different records, and both be
+// granted it.
 func (c *Committer) layout(ctx context.Context, service string) (int, error) {
 	c.mu.Lock()
-	n := c.layouts[service]
+	n := c.shardCounts[service]
 	c.mu.Unlock()
 	if n > 0 {
 		return n, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.set.CommitTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CommitTimeout)
 	defer cancel()
-	pause := c.newBackoff()
+	retry := c.newBackoff()
 	for {
-		n, err := c.tryLayout(ctx, service)
+		n, err := c.readOrCreateLayout(ctx, service)
 		if err == nil {
 			c.mu.Lock()
-			c.layouts[service] = n
+			c.shardCounts[service] = n
 			c.mu.Unlock()
-			if n != c.set.Shards {
-				c.log.WithFields(logrus.Fields{"service": service, "shards": n, "setting": c.set.Shards}).
-					Warn("the recorded number of claim shards differs from the setting; the recorded number applies")
+			if n != c.settings.Shards {
+				c.log.WithFields(logrus.Fields{"service": service, "shards": n, "setting": c.settings.Shards}).
+					Warn("recorded number of claim shards differs from the setting; using the recorded number")
 			}
 			return n, nil
 		}
-		if errors.Is(err, ErrRecordInvalid) || !pause.sleep(ctx) {
+		if errors.Is(err, ErrRecordInvalid) || !retry.sleep(ctx) {
 			return 0, fmt.Errorf("layout of claims of service %q: %w", service, err)
 		}
 	}
 }
 
-// layoutVersion is the first byte of a layout record; the number of shards follows in two bytes.
+// layoutVersion is the first byte of a layout record. The number of shards follows as a big-endian
+// 16-bit integer.
 const layoutVersion = 1
 
-func (c *Committer) tryLayout(ctx context.Context, service string) (int, error) {
+// readOrCreateLayout reads the layout record, and creates it from the settings if it does not exist.
+func (c *Committer) readOrCreateLayout(ctx context.Context, service string) (int, error) {
 	key := layoutKey(service)
 	e, err := c.get(ctx, key)
 	if errors.Is(err, external.ErrNotFound) {
-		n := c.set.Shards
-		if _, err = c.swap(ctx, key, 0, []byte{layoutVersion, byte(n >> 8), byte(n)}); err == nil {
+		n := c.settings.Shards
+		if _, err = c.compareAndSwap(ctx, key, 0, []byte{layoutVersion, byte(n >> 8), byte(n)}); err == nil {
 			return n, nil
 		}
 		return 0, err
@@ -217,15 +223,15 @@
 }
 
 func (c *Committer) get(ctx context.Context, key string) (external.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.set.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout)
 	defer cancel()
 	return c.kv.Get(ctx, key)
 }
 
-// swap maps the errors of a write to those that are certain (ErrConflict, ErrUnavailable) and
-// ErrOutcomeUnknown for all others.
-func (c *Committer) swap(ctx context.Context, key string, expected uint64, value []byte) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.set.CallTimeout)
+// compareAndSwap writes a value if the stored version is the expected one. ErrConflict and
+// ErrUnavailable mean that the write certainly had no effect; all other errors wrap ErrOutcomeUnknown.
+func (c *Committer) compareAndSwap(ctx context.Context, key string, expected uint64, value []byte) (uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout)
 	defer cancel()
 	version, err := c.kv.CompareAndSwap(ctx, key, expected, value, 0)
 	switch {
@@ -237,21 +243,21 @@
 	return 0, fmt.Errorf("%w: %w", external.ErrOutcomeUnknown, err)
 }
 
-// pauser is a jittered exponential back-off.
-type pauser struct {
-	next, first, limit time.Duration
+// backoff is a jittered exponential back-off.
+type backoff struct {
+	next, initial, limit time.Duration
 }
 
-func (c *Committer) newBackoff() *pauser {
-	return &pauser{next: c.set.RetryMin, first: c.set.RetryMin, limit: c.set.RetryMax}
+func (c *Committer) newBackoff() *backoff {
+	return &backoff{next: c.settings.RetryMin, initial: c.settings.RetryMin, limit: c.settings.RetryMax}
 }
 
-func (p *pauser) reset() { p.next = p.first }
+func (b *backoff) reset() { b.next = b.initial }
 
-// sleep returns false when ctx ends first.
-func (p *pauser) sleep(ctx context.Context) bool {
-	d := p.next/2 + rand.N(p.next)
-	p.next = min(2*p.next, p.limit)
+// sleep waits for the next delay. It returns false if ctx ends first.
+func (b *backoff) sleep(ctx context.Context) bool {
+	d := b.next/2 + rand.N(b.next)
+	b.next = min(2*b.next, b.limit)
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/once/executor.go
+++ b/once/executor.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Decision is what the sidecar does with an attempt.
+// Decision tells a sidecar whether to run an attempt.
 type Decision uint8
 
-// Decisions.
+// Decisions of Executor.Begin.
 const (
-	// Run hands the attempt to the backend server.
+	// Run lets the sidecar send the attempt to the backend server.
 	Run Decision = iota + 1
-	// RefuseDuplicate refuses an attempt that was seen before, or another attempt of a request that
-	// may not be repeated and was handed over already. The request may have run: the outcome is
-	// unknown, never "not run".
+	// RefuseDuplicate refuses an attempt that was delivered before, or another attempt of an
+	// unrepeatable request that was already sent to the backend server. The request may have run: its
+	// outcome is unknown, never "not run".
 	RefuseDuplicate
-	// RefuseIncarnation refuses an attempt that is meant for another incarnation. It did not run.
+	// RefuseIncarnation refuses an attempt addressed to another incarnation. It did not run.
 	RefuseIncarnation
-	// RefuseFull refuses an attempt because the table is full of recent attempts. It did not run.
+	// RefuseFull refuses an attempt because the table is full and no entry may be evicted. It did not
+	// run.
 	RefuseFull
 )
 
 // NotRun reports whether a refused attempt certainly did not run.
 func (d Decision) NotRun() bool { return d == RefuseIncarnation || d == RefuseFull }
 
-// Attempt is one attempt of a request, as it arrives at a sidecar.
+// Attempt identifies one attempt of a request that was delivered to a sidecar.
 type Attempt struct {
 	RequestID   string
 	Number      uint32
@@ -33,33 +34,34 @@
 	Repeatable  bool
 }
 
-// ExecutorSettings bound the executor's table.
+// ExecutorSettings bound the executor's table of attempts.
 type ExecutorSettings struct {
 	// Capacity is the largest number of attempts in the table.
 	Capacity int
-	// KeepFor is the time after its end for which an attempt is remembered. It must exceed the
-	// longest deadline, after which no delivery of the attempt can arrive. When the table is full,
-	// attempts of repeatable requests are forgotten earlier.
+	// KeepFor is the time for which an ended attempt stays in the table. It must exceed the longest
+	// deadline, after which no delivery of the attempt can arrive. When the table is full, attempts of
+	// repeatable requests are evicted earlier.
 	KeepFor time.Duration
 }
 
-// DefaultExecutorSettings returns the defaults. One attempt takes about 150 bytes.
+// DefaultExecutorSettings returns the default settings. An attempt in the table takes about 150 bytes.
 func DefaultExecutorSettings() ExecutorSettings {
 	return ExecutorSettings{Capacity: 1 << 16, KeepFor: 10 * time.Minute}
 }
 
-// Executor remembers the attempts that its sidecar has seen in this incarnation. It is safe for
-// concurrent use.
+// Executor detects duplicate deliveries: it keeps a table of the attempts that it allowed to run in this
+// incarnation of its sidecar. It is safe for concurrent use.
 type Executor struct {
 	incarnation string
-	set         ExecutorSettings
+	settings    ExecutorSettings
 
 	mu       sync.Mutex
 	attempts map[attemptKey]*attemptState
-	// ran counts the attempts of a request that were handed to the backend server.
-	ran map[string]int
-	// ended holds the ended attempts of requests that may not be repeated, endedRepeatable those of
-	// the others, both in the order of their end.
+	// backendAttempts counts the attempts of each request, by request ID, that are running or were sent
+	// to the backend server.
+	backendAttempts map[string]int
+	// ended holds the ended attempts of unrepeatable requests, endedRepeatable those of repeatable
+	// requests, both in the order in which they ended.
 	ended, endedRepeatable []attemptKey
 }
 
@@ -69,22 +71,24 @@
 }
 
 type attemptState struct {
-	endedAt    time.Time
-	handed     bool
-	repeatable bool
+	endedAt time.Time
+	// reachedBackend is assumed to be true until End reports otherwise.
+	reachedBackend bool
+	repeatable     bool
 }
 
-// NewExecutor returns the executor of one incarnation of a sidecar.
-func NewExecutor(incarnation string, set ExecutorSettings) *Executor {
+// NewExecutor returns an Executor for one incarnation of a sidecar.
+func NewExecutor(incarnation string, settings ExecutorSettings) *Executor {
 	return &Executor{
-		incarnation: incarnation,
-		set:         set,
-		attempts:    map[attemptKey]*attemptState{},
-		ran:         map[string]int{},
+		incarnation:     incarnation,
+		settings:        settings,
+		attempts:        map[attemptKey]*attemptState{},
+		backendAttempts: map[string]int{},
 	}
 }
 
-// Begin decides about an attempt. After Run, the caller must call End.
+// Begin decides whether an attempt may run and enters it in the table if so. After Run, the caller
+// must call End.
 func (e *Executor) Begin(now time.Time, a Attempt) Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,22 +96,22 @@
 		return RefuseIncarnation
 	}
 	k := attemptKey{a.RequestID, a.Number}
-	if e.attempts[k] != nil || !a.Repeatable && e.ran[a.RequestID] > 0 {
+	if e.attempts[k] != nil || !a.Repeatable && e.backendAttempts[a.RequestID] > 0 {
 		return RefuseDuplicate
 	}
-	e.forget(now)
-	if len(e.attempts) >= e.set.Capacity {
+	e.evict(now)
+	if len(e.attempts) >= e.settings.Capacity {
 		return RefuseFull
 	}
-	e.attempts[k] = &attemptState{handed: true, repeatable: a.Repeatable}
-	e.ran[a.RequestID]++
+	e.attempts[k] = &attemptState{reachedBackend: true, repeatable: a.Repeatable}
+	e.backendAttempts[a.RequestID]++
 	return Run
 }
 
-// End records the end of an attempt for which Begin returned Run. If it was not handed to the
-// backend server, for example because admission refused it, a further attempt may run. The same
-// attempt is still refused.
-func (e *Executor) End(now time.Time, a Attempt, handed bool) {
+// End records the end of an attempt for which Begin returned Run. If it did not reach the backend
+// server, for example because admission refused it, another attempt of the request may run. A repeated
+// delivery of the same attempt is still refused.
+func (e *Executor) End(now time.Time, a Attempt, reachedBackend bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	k := attemptKey{a.RequestID, a.Number}
@@ -121,9 +125,9 @@
 	} else {
 		e.ended = append(e.ended, k)
 	}
-	if !handed {
-		s.handed = false
-		e.dropRan(a.RequestID)
+	if !reachedBackend {
+		s.reachedBackend = false
+		e.removeBackendAttempt(a.RequestID)
 	}
 }
 
@@ -134,29 +138,29 @@
 	return len(e.attempts)
 }
 
-// forget drops attempts that ended long enough ago, and attempts of repeatable requests while the
-// table is full.
-func (e *Executor) forget(now time.Time) {
-	old := func(k attemptKey) bool { return now.Sub(e.attempts[k].endedAt) > e.set.KeepFor }
-	for len(e.ended) > 0 && old(e.ended[0]) {
-		e.drop(e.ended[0])
+// evict removes attempts that ended more than KeepFor ago, and ended attempts of repeatable requests
+// while the table is full.
+func (e *Executor) evict(now time.Time) {
+	expired := func(k attemptKey) bool { return now.Sub(e.attempts[k].endedAt) > e.settings.KeepFor }
+	for len(e.ended) > 0 && expired(e.ended[0]) {
+		e.remove(e.ended[0])
 		e.ended = e.ended[1:]
 	}
-	for len(e.endedRepeatable) > 0 && (len(e.attempts) >= e.set.Capacity || old(e.endedRepeatable[0])) {
-		e.drop(e.endedRepeatable[0])
+	for len(e.endedRepeatable) > 0 && (len(e.attempts) >= e.settings.Capacity || expired(e.endedRepeatable[0])) {
+		e.remove(e.endedRepeatable[0])
 		e.endedRepeatable = e.endedRepeatable[1:]
 	}
 }
 
-func (e *Executor) drop(k attemptKey) {
-	if e.attempts[k].handed {
-		e.dropRan(k.requestID)
+func (e *Executor) remove(k attemptKey) {
+	if e.attempts[k].reachedBackend {
+		e.removeBackendAttempt(k.requestID)
 	}
 	delete(e.attempts, k)
 }
 
-func (e *Executor) dropRan(requestID string) {
-	if e.ran[requestID]--; e.ran[requestID] <= 0 {
-		delete(e.ran, requestID)
+func (e *Executor) removeBackendAttempt(requestID string) {
+	if e.backendAttempts[requestID]--; e.backendAttempts[requestID] <= 0 {
+		delete(e.backendAttempts, requestID)
 	}
 }
--- a/once/fault_test.go
+++ b/once/fault_test.go
@@ -14,18 +14,18 @@
 	"github.com/quetzallug/quetzallug/once"
 )
 
-// faultCase is one cell of the fault matrix.
+// faultCase is one case of the fault matrix: a protocol step and the faults of the calls at this step.
 type faultCase struct {
 	protocol  string
 	step      string
 	faults    []fault
 	invariant string
-	// fleet replaces all entries and the sidecar after the first calls.
-	fleet bool
+	// replaceFleet restarts all entries and the sidecar after the first calls.
+	replaceFleet bool
 }
 
-// faultCases crosses each step of the claim protocol with each fault, and with the same fault twice
-// in succession.
+// faultCases combines each step of the claim protocol with each fault that applies to it: once, twice in
+// succession, before and after a lost response, and followed by a restart of all processes.
 func faultCases() []faultCase {
 	kvFaults := []fault{killBefore, killAfter, pause, lostResponse, lostRequest, late, duplicate, slowResponse, refused, outage, slow}
 	steps := map[string][]fault{
@@ -47,7 +47,7 @@
 				faultCase{protocol: "once", step: step, faults: []fault{f, f}, invariant: "I5, I6"},
 				faultCase{protocol: "once", step: step, faults: []fault{f, lostResponse}, invariant: "I5, I6"},
 				faultCase{protocol: "once", step: step, faults: []fault{lostResponse, f}, invariant: "I5, I6"},
-				faultCase{protocol: "once", step: step, faults: []fault{f}, invariant: "I5, I6", fleet: true},
+				faultCase{protocol: "once", step: step, faults: []fault{f}, invariant: "I5, I6", replaceFleet: true},
 			)
 		}
 	}
@@ -55,26 +55,28 @@
 }
 
 func testSettings() once.Settings {
-	set := once.DefaultSettings()
-	set.Shards = 1
-	// Seals the open record after three claims, so that each scenario crosses a rotation.
-	set.RotateBytes = 200
-	return set
+	settings := once.DefaultSettings()
+	settings.Shards = 1
+	// The open record is sealed after three claims, so that each scenario includes a rotation.
+	settings.RotateBytes = 200
+	return settings
 }
 
-// cell names a case in the fault matrix. The second fault of a pair meets the next call at the step.
+// cell returns the case's entry in the fault matrix. The second fault of a pair applies to the next call
+// at the step.
 func (fc *faultCase) cell() faultmatrix.Cell {
 	c := faultmatrix.Cell{Protocol: fc.protocol, Step: fc.step, Invariant: fc.invariant}
 	for _, f := range fc.faults {
 		c.Faults = append(c.Faults, string(f))
 	}
-	if fc.fleet {
+	if fc.replaceFleet {
 		c.Faults = append(c.Faults, "fleet replaced")
 	}
 	return c
 }
 
-// Guards against a second run, or a run after "not run", under every fault at every step.
+// Guards against a request that runs twice, or runs although its caller was told "not run", under every
+// fault at every step.
 func TestFaultMatrix(t *testing.T) {
 	r := faultmatrix.NewRegistry()
 	t.Cleanup(func() { r.Report(t) })
@@ -82,7 +84,7 @@
 	for _, fc := range faultCases() {
 		c := fc.cell()
 		if seen[c.Name()] {
-			continue // a lost response twice arises in two ways
+			continue // two lost responses are generated twice
 		}
 		seen[c.Name()] = true
 		r.Declare(c)
@@ -95,29 +97,30 @@
 		"plain key":        func() string { return "pump-7-open" },
 		"time-ordered key": func() string { return uuidAt(time.Now(), 1) },
 	}
-	fired := 0
+	injected := 0
 	for _, entries := range []int{2, 3} {
 		for _, disagree := range []bool{false, true} {
 			for kind, key := range keys {
-				name := fmt.Sprintf("%s/%v/fleet %v/%d entries/disagree %v/%s", fc.step, fc.faults, fc.fleet, entries, disagree, kind)
+				name := fmt.Sprintf("%s/%v/fleet %v/%d entries/disagree %v/%s", fc.step, fc.faults, fc.replaceFleet, entries, disagree, kind)
 				synctest.Test(t, func(t *testing.T) {
 					c := newCluster(entries, testSettings())
 					c.setDisagree(disagree)
 					runScenario(c, fc, key())
 					require.Empty(t, c.check(), "%s: invariant %s", name, fc.invariant)
-					fired += c.fired
+					injected += c.injected
 					requireUsable(t, c, name)
 				})
 			}
 		}
 	}
-	require.Positive(t, fired, "%s/%v: no call met the fault", fc.step, fc.faults)
+	require.Positive(t, injected, "%s/%v: the fault was never injected", fc.step, fc.faults)
 }
 
-// runScenario lets all entries serve one key at once while the first one meets the faults, fills the
-// record so that it rotates, and then repeats the calls as a caller would.
+// runScenario sends one key through all entries concurrently while faults are injected into the first
+// entry (into all entries at the steps forward and dispatch), adds claims until the record rotates, and
+// then repeats the calls as a retrying caller would.
 func runScenario(c *cluster, fc faultCase, key string) {
-	// A layout that exists would hide the faults of the layout steps.
+	// With an existing layout record, the calls of the layout steps would not be made.
 	if fc.step[:2] != "la" {
 		for i, e := range c.entries {
 			e.serve(ctxFor(5*time.Second), fmt.Sprintf("filler-%d", i), 1)
@@ -132,7 +135,7 @@
 	}
 	c.setRefusals(1)
 	c.serveAll(key)
-	if fc.fleet {
+	if fc.replaceFleet {
 		for i := range c.entries {
 			c.replaceEntry(i)
 		}
@@ -148,11 +151,11 @@
 	settle()
 }
 
-// serveAll sends the key through all entries at once. The first one, which meets the faults, is a
-// little ahead, so that its write is under way when the others read the record.
+// serveAll sends the key through all entries concurrently. The first entry, into which faults are
+// injected, starts earlier, so that its write is in progress when the others read the record.
 func (c *cluster) serveAll(key string) {
 	var wg sync.WaitGroup
-	all, _, _ := c.present()
+	all, _, _ := c.snapshot()
 	for _, e := range all {
 		time.Sleep(time.Millisecond)
 		wg.Go(func() { c.observe(key, e.serve(ctxFor(5*time.Second), key, 7)) })
@@ -160,7 +163,7 @@
 	wg.Wait()
 }
 
-// requireUsable guards against a shard that no longer accepts claims after its faults have ended.
+// requireUsable checks that the shard accepts claims and replays answers after the faults have ended.
 func requireUsable(t *testing.T, c *cluster, name string) {
 	t.Helper()
 	c.setRefusals(0)
@@ -179,7 +182,7 @@
 	}
 }
 
-// uuidAt returns a UUIDv7 of the given time.
+// uuidAt returns a UUIDv7 with the given timestamp and last byte.
 func uuidAt(at time.Time, n byte) string {
 	var id uuid.UUID
 	ms := at.UnixMilli()
--- a/once/harness_test.go
+++ b/once/harness_test.go
@@ -19,16 +19,16 @@
 	kvLatency = 2 * time.Millisecond
 )
 
-// fault is what happens to one call at one step.
+// fault is a fault that is injected into one call at a protocol step.
 type fault string
 
 const (
-	killBefore   fault = "kill before"
-	killAfter    fault = "kill after"
-	pause        fault = "pause"         // the process sleeps past every deadline, then the call proceeds
+	killBefore   fault = "kill before"   // the process dies before the call takes effect
+	killAfter    fault = "kill after"    // the process dies after the call took effect
+	pause        fault = "pause"         // the process is suspended past all deadlines, then the call proceeds
 	lostResponse fault = "lost response" // the call takes effect, the response does not arrive
-	lostRequest  fault = "lost request"  // the call has no effect, which the caller cannot know
-	late         fault = "late"          // the caller gives up, the call takes effect afterwards
+	lostRequest  fault = "lost request"  // the call has no effect, but the caller cannot tell
+	late         fault = "late"          // the caller times out, and the call takes effect afterwards
 	duplicate    fault = "duplicate"     // the call takes effect twice, the second time late
 	slowResponse fault = "slow response" // the call takes effect, the response arrives late
 	refused      fault = "refused"       // the call certainly has no effect
@@ -43,31 +43,32 @@
 
 var errLost = errors.New("response lost")
 
-// cluster is a fleet of entries, sidecars and one backend server, with the model that checks them.
+// cluster simulates entries, a sidecar and its backend server, and checks at-most-once execution and the
+// outcomes that callers receive.
 type cluster struct {
-	set   once.Settings
-	store *kv.Store
+	settings once.Settings
+	store    *kv.Store
 
 	mu       sync.Mutex
 	entries  []*entry
 	sidecar  *sidecar
 	disagree bool
-	// refuseAttempts makes the sidecar refuse that many attempts as not run.
-	refuseAttempts int
+	// refusalsLeft is the number of further attempts that the sidecar refuses as not run.
+	refusalsLeft int
 
 	ids        int
 	runsByKey  map[string][]string
 	notRun     map[string]bool
-	fired      int
+	injected   int
 	violations []string
 }
 
-// entry is one entry process. Its faults are taken in order by the calls at their step.
+// entry is one entry process. The calls at a step consume the faults of this step in order.
 type entry struct {
-	c      *cluster
-	id     string
-	router *once.Router
-	commit *once.Committer
+	c         *cluster
+	id        string
+	router    *once.Router
+	committer *once.Committer
 
 	mu     sync.Mutex
 	dead   bool
@@ -79,8 +80,8 @@
 	exec        *once.Executor
 }
 
-func newCluster(entries int, set once.Settings) *cluster {
-	c := &cluster{set: set, store: kv.NewStore(kv.Limits{}), runsByKey: map[string][]string{}, notRun: map[string]bool{}}
+func newCluster(entries int, settings once.Settings) *cluster {
+	c := &cluster{settings: settings, store: kv.NewStore(kv.Limits{}), runsByKey: map[string][]string{}, notRun: map[string]bool{}}
 	c.replaceSidecar()
 	for i := range entries {
 		c.entries = append(c.entries, nil)
@@ -103,31 +104,31 @@
 	c.sidecar = &sidecar{id, once.NewExecutor(id, once.DefaultExecutorSettings())}
 }
 
-// replaceEntry kills an entry and starts another one in its slot.
+// replaceEntry kills the entry at position i, if there is one, and starts another one in its place.
 func (c *cluster) replaceEntry(i int) {
 	if c.entries[i] != nil {
 		c.entries[i].kill()
 	}
 	e := &entry{c: c, id: c.nextID("entry"), faults: map[string][]fault{}}
-	commit, err := once.NewCommitter(entryKV{c.store, e}, c.set, silentLog())
+	committer, err := once.NewCommitter(entryKV{c.store, e}, c.settings, discardLogger())
 	if err != nil {
 		panic(err)
 	}
-	e.commit = commit
-	e.router = once.NewRouter(e.id, e.view, e, commit)
+	e.committer = committer
+	e.router = once.NewRouter(e.id, e.view, e, committer)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.entries[i] = e
 }
 
-// present returns the processes that are in place.
-func (c *cluster) present() (entries []*entry, s *sidecar, disagree bool) {
+// snapshot returns the current processes, and whether their ownership views disagree.
+func (c *cluster) snapshot() (entries []*entry, s *sidecar, disagree bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.entries), c.sidecar, c.disagree
 }
 
-// setDisagree switches between ownership views that agree and views that name only oneself.
+// setDisagree sets whether each entry sees only itself as owner, or all entries share one view.
 func (c *cluster) setDisagree(disagree bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,13 +138,13 @@
 func (c *cluster) setRefusals(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refuseAttempts = n
+	c.refusalsLeft = n
 }
 
-// view is the instance list of an entry. With disagreement each entry sees only itself.
+// view returns the instance list of an entry: all entries, or only itself if the views disagree.
 func (e *entry) view() []external.Instance {
 	var list []external.Instance
-	all, _, disagree := e.c.present()
+	all, _, disagree := e.c.snapshot()
 	for _, o := range all {
 		if !disagree || o == e {
 			list = append(list, external.Instance{ID: o.id, Role: external.RoleEntry, State: external.InstanceLive})
@@ -181,13 +182,13 @@
 	return fs[0]
 }
 
-// call performs an effect under the next fault of its step. errBefore is what the caller gets when
-// the effect certainly did not happen, errUnknown when it cannot know.
+// call runs effect with the next fault of its step. It returns errBefore if the effect certainly did not
+// happen, and errUnknown if the caller cannot tell.
 func (e *entry) call(ctx context.Context, step string, errBefore, errUnknown error, effect func(context.Context) error) error {
 	f := e.nextFault(step)
 	if f != "" {
 		e.c.mu.Lock()
-		e.c.fired++
+		e.c.injected++
 		e.c.mu.Unlock()
 	}
 	switch f {
@@ -231,19 +232,19 @@
 	return err
 }
 
-// degrade puts a fault of the key-value service in force for five seconds.
+// degrade applies a fault to the key-value service for five seconds.
 func (c *cluster) degrade(s kv.FaultState) {
 	c.store.Faults().Set(s)
 	time.AfterFunc(5*time.Second, func() { c.store.Faults().Set(kv.FaultState{}) })
 }
 
-// entryKV is the key-value service as one entry reaches it.
+// entryKV is one entry's client of the key-value service, with fault injection.
 type entryKV struct {
 	*kv.Store
 	e *entry
 }
 
-// stepOf names the protocol step of a key, for example "open.swap".
+// stepOf returns the name of the protocol step for a call with this key, for example "open.swap".
 func stepOf(key, call string) string {
 	switch parts := strings.Split(key, "/"); {
 	case parts[2] == "layout":
@@ -280,14 +281,14 @@
 	})
 }
 
-// Forward implements once.Forwarder over direct calls.
+// Forward implements once.Forwarder by direct calls of the other entry's committer.
 func (e *entry) Forward(ctx context.Context, to external.Instance, r once.Request) (once.Result, error) {
 	done := make(chan once.Result, 2)
 	err := e.call(ctx, "forward", once.ErrNotSent, errLost, func(ctx context.Context) error {
-		all, _, _ := e.c.present()
+		all, _, _ := e.c.snapshot()
 		for _, o := range all {
 			if o.id == to.ID && !o.isDead() {
-				res := o.commit.Do(ctx, r)
+				res := o.committer.Do(ctx, r)
 				if o.isDead() {
 					return errLost
 				}
@@ -303,13 +304,13 @@
 	return <-done, nil
 }
 
-// outcome is what a caller is told.
+// outcome is the outcome that a caller receives.
 type outcome struct {
 	state  string // "answer", "not run", "unknown"
 	answer string
 }
 
-// serve is an entry's handling of a keyed request.
+// serve handles a request with an idempotency key, as an entry does.
 func (e *entry) serve(ctx context.Context, key string, fingerprint uint64) outcome {
 	id := e.c.nextID("request")
 	o := e.claimAndRun(ctx, key, id, fingerprint)
@@ -324,6 +325,7 @@
 	return o
 }
 
+// claimAndRun claims the key, dispatches up to two attempts, and then completes or releases the claim.
 func (e *entry) claimAndRun(ctx context.Context, key, id string, fingerprint uint64) outcome {
 	r := once.Request{Service: service, Key: key, RequestID: id, Action: once.ActionClaim, Fingerprint: fingerprint}
 	res := e.router.Do(ctx, r)
@@ -355,23 +357,23 @@
 
 // dispatch sends one attempt to the sidecar.
 func (e *entry) dispatch(ctx context.Context, key, id string, attempt uint32) outcome {
-	_, meant, _ := e.c.present()
-	a := once.Attempt{RequestID: id, Number: attempt, Incarnation: meant.incarnation}
+	_, target, _ := e.c.snapshot()
+	a := once.Attempt{RequestID: id, Number: attempt, Incarnation: target.incarnation}
 	answer := make(chan string, 2)
 	err := e.call(ctx, "dispatch", errNotRun, errLost, func(context.Context) error {
-		_, s, _ := e.c.present()
+		_, s, _ := e.c.snapshot()
 		if d := s.exec.Begin(time.Now(), a); d != once.Run {
 			if d.NotRun() {
 				return errNotRun
 			}
 			return errLost
 		}
-		if e.c.refuse() {
+		if e.c.takeRefusal() {
 			s.exec.End(time.Now(), a, false)
 			return errNotRun
 		}
 		time.Sleep(5 * time.Millisecond)
-		e.c.ran(key, id)
+		e.c.recordRun(key, id)
 		s.exec.End(time.Now(), a, true)
 		answer <- "answer of " + id
 		return nil
@@ -385,24 +387,25 @@
 	return outcome{"answer", <-answer}
 }
 
-func (c *cluster) refuse() bool {
+func (c *cluster) takeRefusal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refuseAttempts == 0 {
+	if c.refusalsLeft == 0 {
 		return false
 	}
-	c.refuseAttempts--
+	c.refusalsLeft--
 	return true
 }
 
-// ran is called by the backend server.
-func (c *cluster) ran(key, id string) {
+// recordRun records that the backend server ran a request.
+func (c *cluster) recordRun(key, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runsByKey[key] = append(c.runsByKey[key], id)
 }
 
-// check returns the violations of at-most-once and of "not run".
+// check returns the violations found so far: keys that ran more than once, requests that ran although
+// their caller was told "not run", and wrong answers.
 func (c *cluster) check() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -420,7 +423,7 @@
 	return v
 }
 
-// observe checks an answer against what ran for its key.
+// observe checks that an answer comes from the first run of its key.
 func (c *cluster) observe(key string, o outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -432,7 +435,7 @@
 	}
 }
 
-// settle waits until late calls and queued requests have ended.
+// settle waits until delayed calls and queued requests have ended.
 func settle() { time.Sleep(30 * time.Second) }
 
 // ctxFor returns a context that ends after d.
--- a/once/key.go
+++ b/once/key.go
@@ -11,7 +11,7 @@
 // uuidVersionTimeOrdered is the UUID version whose first 48 bits are Unix time in milliseconds.
 const uuidVersionTimeOrdered = 7
 
-// KeyTime returns the time that a time-ordered key (UUIDv7) carries, and false for other keys.
+// KeyTime returns the timestamp in a time-ordered key (UUIDv7), and false for other keys.
 func KeyTime(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != uuidVersionTimeOrdered || id.Variant() != uuid.RFC4122 {
@@ -24,8 +24,8 @@
 	return time.UnixMilli(ms), true
 }
 
-// KeyAccepted reports whether the key's own time lies within the retention period and not further
-// in the future than the skew bound. Keys without a time are always accepted.
+// KeyAccepted reports whether the key's timestamp is at most the retention period in the past and at
+// most the skew bound in the future. Keys without a timestamp are always accepted.
 func KeyAccepted(key string, now time.Time, s *Settings) bool {
 	t, ok := KeyTime(key)
 	if !ok {
@@ -34,7 +34,7 @@
 	return now.Sub(t) <= s.Retention && t.Sub(now) <= s.Skew
 }
 
-// ShardOf returns the shard of a key.
+// ShardOf returns the number of the shard that holds a key.
 func ShardOf(key string, shards int) int {
 	return int(xxhash.Sum64String(key) % uint64(shards))
 }
--- a/once/measure_test.go
+++ b/once/measure_test.go
@@ -19,17 +19,17 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// measureAll runs the whole table of docs/at-most-once.md: go test ./once -run Measure -v -measure
+// measureAll measures all rows of the table in docs/at-most-once.md: go test ./once -run Measure -v -measure
 var measureAll = flag.Bool("measure", false, "run the whole table of docs/at-most-once.md")
 
 const (
 	simEntries   = 40
-	simRTT       = time.Millisecond // between entries of neighbouring data centres
-	simWriteRate = 300
-	simService   = 50 * time.Millisecond // time for which a request runs
+	simRTT       = time.Millisecond      // between entries in neighbouring data centres
+	simWriteRate = 300                   // limit of the key-value service, in writes per second
+	simService   = 50 * time.Millisecond // run time of a request
 )
 
-// meteredKV adds latency and counts bytes.
+// meteredKV adds latency to a store, and counts the bytes of its writes.
 type meteredKV struct {
 	*kv.Store
 	mu      sync.Mutex
@@ -51,26 +51,26 @@
 	return m.Store.CompareAndSwap(ctx, key, expected, value, l)
 }
 
-// simulation is one cell of the table.
+// simulation is the load and settings of one measurement.
 type simulation struct {
-	perSecond float64
-	share     float64
+	perSecond float64 // requests per second
+	share     float64 // fraction of requests that must not be repeated
 	duration  time.Duration
-	set       once.Settings
-	// fault is in force from second 5 to second 10.
+	settings  once.Settings
+	// fault applies to the key-value service from faultFrom to faultUntil.
 	fault kv.FaultState
 }
 
-// Bounds of the fault, and the time after which claims are counted as made after it.
+// Start and end of the fault, and the time from which its effects must have ended.
 const (
 	faultFrom  = 5 * time.Second
 	faultUntil = 10 * time.Second
 	recovered  = 12 * time.Second
 )
 
-type figures struct {
+type measurements struct {
 	claims, refused int
-	// refusedAfter counts the claims that started after recovery and were refused.
+	// refusedAfter counts the refused claims that started after the time recovered.
 	refusedAfter    int
 	rejected, reads uint64
 	writes, bytes   float64 // per second
@@ -79,18 +79,18 @@
 	p50, p99        time.Duration
 }
 
-func (f figures) String() string {
+func (f measurements) String() string {
 	return fmt.Sprintf("claims %d, refused %.1f%%, %.1f writes/s, %.2f MB/s, %.1f ops/write, largest record %d KiB, p50 %.1f ms, p99 %.1f ms",
 		f.claims, 100*float64(f.refused)/float64(max(1, f.claims)), f.writes, f.bytes/1e6, f.opsPerWrite, f.largest>>10,
 		float64(f.p50.Microseconds())/1000, float64(f.p99.Microseconds())/1000)
 }
 
-// run starts claims at random times and records how long each takes.
-func (s simulation) run(kvs *meteredKV, do func(entry int, r once.Request) once.State) figures {
+// run starts claims as a Poisson process and measures their results and latencies.
+func (s simulation) run(kvs *meteredKV, do func(entry int, r once.Request) once.State) measurements {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var mu sync.Mutex
-	var took []time.Duration
-	var f figures
+	var latencies []time.Duration
+	var f measurements
 	var wg sync.WaitGroup
 	start := time.Now()
 	if s.fault != (kv.FaultState{}) {
@@ -111,7 +111,7 @@
 			d := time.Since(begin)
 			mu.Lock()
 			f.claims++
-			took = append(took, d)
+			latencies = append(latencies, d)
 			if state != once.StateGranted {
 				f.refused++
 				if begin.Sub(start) > recovered {
@@ -128,13 +128,13 @@
 	}
 	wg.Wait()
 	seconds := time.Since(start).Seconds()
-	slices.Sort(took)
+	slices.Sort(latencies)
 	f.writes = float64(kvs.Calls().Writes) / seconds
 	f.bytes = float64(kvs.bytes) / seconds
 	f.largest = kvs.largest
 	f.rejected, f.reads = kvs.Calls().Rejected, kvs.Calls().Reads
 	f.opsPerWrite = float64(2*f.claims) / float64(max(1, kvs.Calls().Writes))
-	f.p50, f.p99 = took[len(took)/2], took[len(took)*99/100]
+	f.p50, f.p99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 	return f
 }
 
@@ -147,7 +147,7 @@
 	return len(b), nil
 }
 
-// uuidKey returns a UUIDv7 of the present time.
+// uuidKey returns a random UUIDv7 with the current time as timestamp.
 func uuidKey(rng *rand.Rand) string {
 	id := uuid.MustParse(uuidAt(time.Now(), 0))
 	for i := 9; i < len(id); i++ {
@@ -156,42 +156,42 @@
 	return id.String()
 }
 
-// simFleet is entries that forward with a fixed latency.
-type simFleet struct {
-	commits map[string]*once.Committer
-	routers []*once.Router
+// simCluster forwards requests between entries with a fixed latency.
+type simCluster struct {
+	committers map[string]*once.Committer
+	routers    []*once.Router
 }
 
-func (f *simFleet) Forward(ctx context.Context, to external.Instance, r once.Request) (once.Result, error) {
+func (f *simCluster) Forward(ctx context.Context, to external.Instance, r once.Request) (once.Result, error) {
 	time.Sleep(simRTT / 2)
-	res := f.commits[to.ID].Do(ctx, r)
+	res := f.committers[to.ID].Do(ctx, r)
 	time.Sleep(simRTT / 2)
 	return res, nil
 }
 
-// batched is the chosen alternative.
-func (s simulation) batched(t *testing.T) figures {
+// batched simulates this package: claims are batched by the owners of their shards.
+func (s simulation) batched(t *testing.T) measurements {
 	store := &meteredKV{Store: kv.NewStore(kv.Limits{Writes: simWriteRate})}
-	fleet := &simFleet{commits: map[string]*once.Committer{}}
+	sim := &simCluster{committers: map[string]*once.Committer{}}
 	var list []external.Instance
 	for i := range simEntries {
 		list = append(list, external.Instance{ID: fmt.Sprint("entry-", i), Role: external.RoleEntry, State: external.InstanceLive})
 	}
 	for _, in := range list {
-		c, err := once.NewCommitter(store, s.set, silentLog())
+		c, err := once.NewCommitter(store, s.settings, discardLogger())
 		require.NoError(t, err)
-		fleet.commits[in.ID] = c
-		fleet.routers = append(fleet.routers, once.NewRouter(in.ID, func() []external.Instance { return list }, fleet, c))
-		// The layout is read before the measurement, as in a fleet that is up.
+		sim.committers[in.ID] = c
+		sim.routers = append(sim.routers, once.NewRouter(in.ID, func() []external.Instance { return list }, sim, c))
+		// Reads the layout before the measurement, as in a running cluster.
 		c.Do(t.Context(), once.Request{Service: service, Key: "warm", RequestID: "w", Action: once.ActionRelease})
 	}
 	return s.run(store, func(entry int, r once.Request) once.State {
-		return fleet.routers[entry].Do(ctxFor(2*time.Second), r).State
+		return sim.routers[entry].Do(ctxFor(2*time.Second), r).State
 	})
 }
 
-// oneWritePerClaim is the alternative with one key per claim.
-func (s simulation) oneWritePerClaim() figures {
+// oneWritePerClaim simulates an alternative that stores each claim under its own key.
+func (s simulation) oneWritePerClaim() measurements {
 	store := &meteredKV{Store: kv.NewStore(kv.Limits{Writes: simWriteRate})}
 	return s.run(store, func(_ int, r once.Request) once.State {
 		version := uint64(0)
@@ -212,10 +212,10 @@
 	})
 }
 
-// sidecarMemory is the alternative that keeps claims in the memory of the sidecar that owns the key.
-// It needs no write; the figure is how many repeated requests ran again, because the owner was
-// replaced between the request and its repetition. One request in a hundred is repeated, after half a
-// minute in the mean; 275 of 640 sidecars are replaced each day.
+// sidecarMemory simulates an alternative that keeps claims only in the memory of the sidecar that owns
+// the key. It needs no writes, but a repeated request runs again if the owner was replaced between the
+// request and its repetition. One request in a hundred is repeated, after a mean delay of 30 s; 275
+// replacements are spread over 640 sidecars each day.
 func sidecarMemory(perSecond float64) (repeated, ranAgain int) {
 	const (
 		sidecars     = 640
@@ -240,8 +240,8 @@
 	return repeated, ranAgain
 }
 
-// Guards against claims that exceed the write rate of the key-value service at the target size, and
-// prints the figures of docs/at-most-once.md.
+// Guards against claims that exceed the write rate of the key-value service at the target load, and
+// prints the measurements of docs/at-most-once.md.
 func TestMeasureAlternatives(t *testing.T) {
 	type load struct {
 		perSecond float64
@@ -256,7 +256,7 @@
 		}
 	}
 	for _, l := range loads {
-		s := simulation{perSecond: l.perSecond, share: l.share, duration: l.duration, set: once.DefaultSettings()}
+		s := simulation{perSecond: l.perSecond, share: l.share, duration: l.duration, settings: once.DefaultSettings()}
 		name := fmt.Sprintf("%5.0f requests/s, %4.1f%% unrepeatable", l.perSecond, 100*l.share)
 		synctest.Test(t, func(t *testing.T) {
 			f := s.batched(t)
@@ -275,7 +275,7 @@
 	}
 	for _, fault := range []kv.FaultState{{Down: true}, {SlowMS: 100}, {SlowMS: 300}, {SlowMS: 900}} {
 		for _, share := range []float64{0.01, 0.1} {
-			s := simulation{perSecond: 12000, share: share, duration: 20 * time.Second, set: once.DefaultSettings(), fault: fault}
+			s := simulation{perSecond: 12000, share: share, duration: 20 * time.Second, settings: once.DefaultSettings(), fault: fault}
 			synctest.Test(t, func(t *testing.T) {
 				f := s.batched(t)
 				t.Logf("%.0f%%, key-value service %+v for 5 s: %s; %d reads, %d calls over its limit, %d refused from 2 s after the fault",
@@ -285,13 +285,13 @@
 		}
 	}
 	for _, shards := range []int{1, 2, 4, 8, 16, 32} {
-		s := simulation{perSecond: 12000, share: 0.1, duration: 20 * time.Second, set: once.DefaultSettings()}
-		s.set.Shards = shards
+		s := simulation{perSecond: 12000, share: 0.1, duration: 20 * time.Second, settings: once.DefaultSettings()}
+		s.settings.Shards = shards
 		synctest.Test(t, func(t *testing.T) { t.Logf("10%%, %d shards: %s", shards, s.batched(t)) })
 	}
 	for _, rotate := range []int{32, 64, 128, 256} {
-		s := simulation{perSecond: 12000, share: 0.1, duration: 120 * time.Second, set: once.DefaultSettings()}
-		s.set.RotateBytes = rotate << 10
+		s := simulation{perSecond: 12000, share: 0.1, duration: 120 * time.Second, settings: once.DefaultSettings()}
+		s.settings.RotateBytes = rotate << 10
 		synctest.Test(t, func(t *testing.T) { t.Logf("10%%, sealed at %d KiB: %s", rotate, s.batched(t)) })
 	}
 }
--- a/once/queue.go
+++ b/once/queue.go
@@ -11,33 +11,33 @@
 )
 
 // shardWorker queues the requests of one shard and commits them one batch at a time. Its goroutine
-// runs while the queue is not empty.
+// runs while requests are queued or being retried.
 type shardWorker struct {
-	c       *Committer
-	key     string
-	wake    chan struct{}
-	limiter *rate.Limiter
-	log     logrus.FieldLogger
+	committer *Committer
+	recordKey string // key of the open record
+	wake      chan struct{}
+	limiter   *rate.Limiter
+	log       logrus.FieldLogger
 
 	mu      sync.Mutex
 	queue   []*op
 	running bool
 
-	// The fields below are used by the goroutine only. A new goroutine starts after the last one
-	// has released mu.
-	record   *cachedRecord
-	segments map[uint64]segmentIndex
-	indexed  int // keys in segments
-	removed  map[uint64]bool
+	// The fields below are used only by the goroutine and need no lock: a new goroutine starts only
+	// after the previous one has cleared running under mu.
+	cached      *cachedRecord
+	indexes     map[uint64]segmentIndex
+	indexedKeys int             // number of keys in indexes
+	deleted     map[uint64]bool // sealed records that were deleted but are still listed
 }
 
 func (w *shardWorker) enqueue(r Request) *op {
-	wait := w.c.set.Window
+	wait := w.committer.settings.Window
 	if r.Action != ActionClaim {
-		wait = max(wait, w.c.set.CompletionDelay)
+		wait = max(wait, w.committer.settings.CompletionDelay)
 	}
 	now := time.Now()
-	o := &op{req: r, due: now.Add(wait), expires: now.Add(wait + w.c.set.CommitTimeout), result: make(chan Result, 1)}
+	o := &op{req: r, due: now.Add(wait), retryUntil: now.Add(wait + w.committer.settings.CommitTimeout), result: make(chan Result, 1)}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue = append(w.queue, o)
@@ -57,7 +57,8 @@
 	}
 }
 
-// abandon ends the wait for a request whose caller has gone.
+// abandon returns the result of a request whose caller stops waiting, and removes a claim that is still
+// queued.
 func (w *shardWorker) abandon(o *op) Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,8 +67,8 @@
 		return r
 	default:
 	}
-	o.gone = true
-	if o.taken || o.req.Action != ActionClaim {
+	o.abandoned = true
+	if o.dequeued || o.req.Action != ActionClaim {
 		return Result{State: StateUnknown, Err: errCallerGone}
 	}
 	w.queue = slices.DeleteFunc(w.queue, func(q *op) bool { return q == o })
@@ -81,7 +82,7 @@
 }
 
 func (w *shardWorker) run() {
-	pause := w.c.newBackoff()
+	retry := w.committer.newBackoff()
 	var pending []*op
 	for {
 		if len(pending) == 0 {
@@ -94,24 +95,25 @@
 				continue
 			}
 		}
-		// Waiting for the write budget lets more requests join the batch. Requests that arrive while
-		// others are tried again join them.
+		// Requests that arrive during the wait for the rate limiter join the batch, and so do those
+		// that arrive while others are retried.
 		_ = w.limiter.Wait(context.Background())
-		pending = append(pending, w.take(w.c.set.MaxBatch-len(pending))...)
-		pending = w.advance(pending, pause)
+		pending = append(pending, w.dequeue(w.committer.settings.MaxBatch-len(pending))...)
+		pending = w.tryCommit(pending, retry)
 	}
 }
 
-// nextDue returns the time until the next batch is due, and false if the worker has ended.
+// nextDue returns the time until the next batch is due. If the queue is empty, it marks the worker as
+// stopped and returns false.
 func (w *shardWorker) nextDue() (time.Duration, bool) {
-	closing := w.c.isClosing()
+	closing := w.committer.isClosing()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) == 0 {
 		w.running = false
 		return 0, false
 	}
-	if closing || len(w.queue) >= w.c.set.MaxBatch {
+	if closing || len(w.queue) >= w.committer.settings.MaxBatch {
 		return 0, true
 	}
 	due := w.queue[0].due
@@ -132,24 +134,25 @@
 	}
 }
 
-// take removes up to limit requests from the queue.
-func (w *shardWorker) take(limit int) []*op {
+// dequeue removes up to limit requests from the queue and returns them.
+func (w *shardWorker) dequeue(limit int) []*op {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := min(len(w.queue), limit)
 	batch := w.queue[:n:n]
 	w.queue = slices.Clone(w.queue[n:])
 	for _, o := range batch {
-		o.taken = true
+		o.dequeued = true
 	}
 	return batch
 }
 
-// isGone reports whether nobody waits for a claim that was never sent, so that it can be dropped.
-func (w *shardWorker) isGone(o *op) bool {
+// isAbandoned reports whether a claim can be dropped because its caller has stopped waiting and it was
+// never part of a write that may have taken effect.
+func (w *shardWorker) isAbandoned(o *op) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return o.gone && !o.sent && o.req.Action == ActionClaim
+	return o.abandoned && !o.maybeWritten && o.req.Action == ActionClaim
 }
 
 func (o *op) finish(r Result) { o.result <- r }
--- a/once/rapid_test.go
+++ b/once/rapid_test.go
@@ -11,7 +11,7 @@
 	_ "github.com/quetzallug/quetzallug/internal/rapidseed"
 )
 
-// action is one step of a random history.
+// action is one action of a random history. Each kind uses only some of the fields.
 type action struct {
 	Kind  string
 	Entry int
@@ -40,22 +40,22 @@
 	}
 }
 
-// Guards against a second run, or a run after "not run", in random histories: several entries and
-// keys, faults at any step, replaced entries and sidecars, ownership views that change, and days that
-// pass. Odd keys are time-ordered and must never run twice. Even keys may run again after the
-// retention period, so no days pass while they are checked.
+// Guards against a request that runs twice, or runs although its caller was told "not run", in random
+// histories of several entries and keys, with faults at any step, replaced entries and sidecars, changes
+// of the ownership views, and days that pass. Odd keys are time-ordered and must never run twice. Even
+// keys are plain unless days pass, because plain keys may run again after the retention period.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		days := rapid.Bool().Draw(rt, "days pass")
-		// A bound of 0 makes each search read the sealed records.
+		// With a limit of 0, each lookup reads the sealed records.
 		indexBytes := rapid.SampledFrom([]int{0, 40, 1 << 20}).Draw(rt, "index bytes")
 		actions := rapid.SliceOfN(rapid.Custom(drawAction), 1, 40).Draw(rt, "actions")
 		var violations []string
 		synctest.Test(t, func(*testing.T) {
-			set := testSettings()
-			set.Shards = 2
-			set.IndexBytes = indexBytes
-			c := newCluster(3, set)
+			settings := testSettings()
+			settings.Shards = 2
+			settings.IndexBytes = indexBytes
+			c := newCluster(3, settings)
 			keys := make([]string, 6)
 			for i := range keys {
 				keys[i] = uuidAt(time.Now().Add(time.Duration(i)*time.Second), byte(i))
@@ -102,7 +102,7 @@
 	case "replace sidecar":
 		c.replaceSidecar()
 	case "toggle views":
-		_, _, disagree := c.present()
+		_, _, disagree := c.snapshot()
 		c.setDisagree(!disagree)
 	case "refuse":
 		c.setRefusals(2)
--- a/once/router.go
+++ b/once/router.go
@@ -10,40 +10,42 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Forwarder sends a request to another entry. It returns an error that wraps ErrNotSent if the
-// request certainly did not reach the entry; after any other error it may have been recorded.
+// Forwarder sends a request to another entry. An error that wraps ErrNotSent means that the request
+// certainly did not reach the entry; after any other error it may have been recorded.
 type Forwarder interface {
 	Forward(ctx context.Context, to external.Instance, r Request) (Result, error)
 }
 
-// Router sends each request to the entry that owns its shard, so that claims are batched there. A
-// request that arrives from another entry goes to the Committer directly and is never forwarded
-// again.
+// Router sends each request to the entry that owns its shard, which commits the shard's requests in
+// batches. A request that was forwarded by another entry must be passed to the Committer directly, so
+// that it is not forwarded again.
 type Router struct {
-	self    string
-	entries func() []external.Instance
-	forward Forwarder
-	commit  *Committer
+	self      string
+	entries   func() []external.Instance
+	forwarder Forwarder
+	committer *Committer
 }
 
 var _ Claimer = (*Router)(nil)
 
-// NewRouter returns a router. The function entries returns the entries that are live.
+// NewRouter returns a Router for the entry with the ID self. The function entries returns the known
+// instances; only live entries among them receive requests.
 func NewRouter(self string, entries func() []external.Instance, f Forwarder, c *Committer) *Router {
-	return &Router{self: self, entries: entries, forward: f, commit: c}
+	return &Router{self: self, entries: entries, forwarder: f, committer: c}
 }
 
-// Do sends the request to the shard owner, and settles it elsewhere if the owner does not decide it.
+// Do sends the request to the shard owner. If the owner returns no definite result, it falls back:
 //
-//   - If the owner was certainly not reached, the request is committed here.
-//   - If the outcome is not known, or the owner cannot reach the key-value service, it goes to the
-//     shard's second choice, in another data centre if possible. If that one does not answer either,
-//     it is committed here.
+//   - If the request certainly did not reach the owner, it is committed locally.
+//   - If the outcome is unknown, or the owner cannot reach the key-value service, the request is sent
+//     to the shard's secondary, in another data centre if possible. If the secondary does not answer
+//     either, the request is committed locally.
 //
-// Each of these reads the record first and writes only if the request ID is not there, so that one
-// claim is recorded at most. With the second choice, at most two processes write to a shard's record
-// when the key-value service comes back after an outage; when all entries fell back to their own
-// commits, their conflicts kept the service over its rate after the outage had ended.
+// Each fallback reads the record first and writes only if the request ID is not in it, so that at most
+// one claim is recorded. Since the secondary is tried before a local commit, at most two processes
+// write to a shard's record when the key-value service recovers from an outage. When all entries
+// committed locally instead, their write conflicts kept the service above its rate limit after the
+// outage had ended.
 func (r *Router) Do(ctx context.Context, req Request) Result {
 	if err := req.Validate(); err != nil {
 		return Result{State: StateUnavailable, Err: err}
@@ -51,7 +53,7 @@
 	var last Result
 	maybeRecorded := false
 	for i, to := range r.targets(&req) {
-		res, answered := r.ask(ctx, to, req)
+		res, answered := r.send(ctx, to, req)
 		if res.State != StateUnknown && res.State != StateUnavailable {
 			return res
 		}
@@ -61,7 +63,7 @@
 			break
 		}
 		if errors.Is(res.Err, ErrNotSent) {
-			res = r.commit.Do(ctx, req)
+			res = r.committer.Do(ctx, req)
 			if res.State != StateUnavailable {
 				return res
 			}
@@ -75,11 +77,12 @@
 	return last
 }
 
-// targets returns the IDs of the shard's first and second choice and this entry, without repetition.
+// targets returns the shard's owner, its secondary and this entry, in this order and without
+// duplicates.
 func (r *Router) targets(req *Request) []external.Instance {
 	entries := r.entries()
 	self := external.Instance{ID: r.self}
-	first, second := rendezvous(shardKey(req.Service, ShardOf(req.Key, r.commit.Shards(req.Service))), entries)
+	first, second := rendezvous(shardKey(req.Service, ShardOf(req.Key, r.committer.Shards(req.Service))), entries)
 	targets := make([]external.Instance, 0, 3)
 	for _, in := range []external.Instance{first, second, self} {
 		if in.ID != "" && !slices.ContainsFunc(targets, func(o external.Instance) bool { return o.ID == in.ID }) {
@@ -89,14 +92,15 @@
 	return targets
 }
 
-// ask sends the request to an entry and reports whether that entry answered.
-func (r *Router) ask(ctx context.Context, to external.Instance, req Request) (Result, bool) {
+// send passes the request to an entry, or to the local committer if that is this entry, and reports
+// whether the entry answered.
+func (r *Router) send(ctx context.Context, to external.Instance, req Request) (Result, bool) {
 	if to.ID == r.self {
-		return r.commit.Do(ctx, req), true
+		return r.committer.Do(ctx, req), true
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.commit.set.ForwardTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.committer.settings.ForwardTimeout)
 	defer cancel()
-	res, err := r.forward.Forward(ctx, to, req)
+	res, err := r.forwarder.Forward(ctx, to, req)
 	switch {
 	case errors.Is(err, ErrNotSent):
 		return Result{State: StateUnavailable, Err: err}, false
@@ -106,24 +110,27 @@
 	return res, true
 }
 
-// Owner returns the entry that owns the key's shard by rendezvous hashing, and false without entries.
+// Owner returns the entry that owns the key's shard by rendezvous hashing, and false if there is no
+// live entry.
 func (r *Router) Owner(service, key string) (external.Instance, bool) {
-	first, _ := rendezvous(shardKey(service, ShardOf(key, r.commit.Shards(service))), r.entries())
+	first, _ := rendezvous(shardKey(service, ShardOf(key, r.committer.Shards(service))), r.entries())
 	return first, first.ID != ""
 }
 
-// rendezvous returns the live entry with the highest hash of subject and instance ID, and the highest
-// of the others, preferably in another data centre.
+// rendezvous returns the live entry with the highest hash of subject and instance ID, and the live
+// entry with the highest hash in another data centre. If no other data centre has a live entry, second
+// is the entry with the next highest hash.
 func rendezvous(subject string, instances []external.Instance) (first, second external.Instance) {
-	first = highest(subject, instances, func(external.Instance) bool { return true })
-	second = highest(subject, instances, func(in external.Instance) bool { return in.DataCentre != first.DataCentre })
+	first = highestHash(subject, instances, func(external.Instance) bool { return true })
+	second = highestHash(subject, instances, func(in external.Instance) bool { return in.DataCentre != first.DataCentre })
 	if second.ID == "" {
-		second = highest(subject, instances, func(in external.Instance) bool { return in.ID != first.ID })
+		second = highestHash(subject, instances, func(in external.Instance) bool { return in.ID != first.ID })
 	}
 	return first, second
 }
 
-func highest(subject string, instances []external.Instance, allowed func(external.Instance) bool) external.Instance {
+// highestHash returns the allowed live entry with the highest hash. Equal hashes are ordered by ID.
+func highestHash(subject string, instances []external.Instance, allowed func(external.Instance) bool) external.Instance {
 	var best external.Instance
 	var bestHash uint64
 	for _, in := range instances {
--- a/once/settings.go
+++ b/once/settings.go
@@ -5,56 +5,61 @@
 	"time"
 )
 
-// Settings are the settings of claims. All entries of a cluster use the same values; Shards is
-// taken from the layout record once that exists.
+// Settings configure the claims of a cluster. All entries must use the same values, except that the
+// number of shards in a service's layout record overrides Shards.
 type Settings struct {
-	// Shards is the number of shards of a service at its first claim. It cannot be changed later.
+	// Shards is the number of shards of a service, recorded at the service's first request. It cannot
+	// be changed later.
 	Shards int
-	// Window is the time for which claims are collected before a write.
+	// Window is the time for which claims are collected into a batch before a write.
 	Window time.Duration
-	// CompletionDelay is the longest wait of completions and releases for a claim to ride with.
+	// CompletionDelay is the longest time for which completions and releases wait to be batched with a
+	// claim.
 	CompletionDelay time.Duration
-	// WritesPerSecond bounds the writes per second for one service, over all shards.
+	// WritesPerSecond limits the writes per second for one service, summed over its shards.
 	WritesPerSecond float64
 	// MaxBatch is the largest number of requests in one write.
 	MaxBatch int
-	// MaxBodyBytes is the largest answer that is kept.
+	// MaxBodyBytes is the size of the largest answer body that is recorded.
 	MaxBodyBytes int
 	// RotateBytes is the size at which the open record is sealed.
 	RotateBytes int
-	// IndexBytes bounds the memory for the index of one shard's sealed records, at 8 bytes per claim.
+	// IndexBytes bounds the memory for the indexes of one shard's sealed records, at 8 bytes per claim.
 	IndexBytes int
-	// Retention is the time for which a claim is kept, and the greatest age of a time-ordered key.
+	// Retention is the minimum time for which a claim is kept, and the maximum age of a time-ordered
+	// key.
 	Retention time.Duration
-	// Skew bounds the difference between the clocks of any two of caller and entries.
+	// Skew bounds the clock difference between any two entries, and between a caller and an entry.
 	Skew time.Duration
-	// CallTimeout bounds one call of the key-value service.
+	// CallTimeout bounds one call to the key-value service.
 	CallTimeout time.Duration
-	// CommitTimeout is the time after which a request is no longer tried again.
+	// CommitTimeout bounds one attempt to commit a batch, and the time for which a request is retried
+	// after its first attempt is due.
 	CommitTimeout time.Duration
-	// ForwardTimeout bounds a forwarded request. It must leave the owner the time to answer that the
-	// key-value service is unavailable; otherwise an outage looks like the loss of the owner.
+	// ForwardTimeout bounds a forwarded request. It must leave the owner enough time to report that
+	// the key-value service is unavailable; otherwise an outage of the service is taken for a failure
+	// of the owner.
 	ForwardTimeout time.Duration
-	// RetryMin and RetryMax bound the jittered back-off between repetitions.
+	// RetryMin and RetryMax bound the jittered back-off between retries.
 	RetryMin, RetryMax time.Duration
 }
 
-// MaxRecordBytes is the largest value of the key-value service.
+// MaxRecordBytes is the size of the largest value that the key-value service accepts.
 const MaxRecordBytes = 1 << 20
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		// Batches grow with the load of a shard: with 8 shards the 99th percentile of the added
-		// latency at 1,200 claims/s was 43 ms, with 4 it was 23 ms.
+		// Fewer shards give larger batches: at 1,200 claims/s, the 99th percentile of the added latency
+		// is 43 ms with 8 shards and 23 ms with 4.
 		Shards:          4,
 		Window:          3 * time.Millisecond,
 		CompletionDelay: 200 * time.Millisecond,
 		WritesPerSecond: 200,
 		MaxBatch:        512,
 		MaxBodyBytes:    1 << 10,
-		// Each write carries the whole open record. A small record costs little bandwidth, a large
-		// one a short list of sealed records; docs/at-most-once.md gives the arithmetic.
+		// Each write contains the whole open record: a smaller record needs less bandwidth, a larger one
+		// gives a shorter list of sealed records. See docs/at-most-once.md for the calculation.
 		RotateBytes:    128 << 10,
 		IndexBytes:     16 << 20,
 		Retention:      24 * time.Hour,
@@ -69,12 +74,12 @@
 
 // Validate reports the first setting that is out of range.
 func (s *Settings) Validate() error {
-	worstBatch := s.MaxBatch * (claimOverhead + MaxKeyBytes + MaxRequestIDBytes + maxContentType + s.MaxBodyBytes)
+	worstBatch := s.MaxBatch * (claimOverhead + MaxKeyBytes + MaxRequestIDBytes + maxContentTypeBytes + s.MaxBodyBytes)
 	switch {
 	case s.Shards < 1 || s.Shards > 4096:
 		return fmt.Errorf("once: shards is %d, want 1 to 4096", s.Shards)
 	case s.MaxBatch < 1 || s.MaxBodyBytes < 0 || s.RotateBytes < 1 || s.IndexBytes < 0:
-		return fmt.Errorf("once: max batch, max body bytes, rotate bytes and index bytes must be positive")
+		return fmt.Errorf("once: max batch and rotate bytes must be positive, max body bytes and index bytes must not be negative")
 	case s.RotateBytes+worstBatch > MaxRecordBytes:
 		return fmt.Errorf("once: rotate bytes %d and a batch of %d bytes exceed a record of %d bytes",
 			s.RotateBytes, worstBatch, MaxRecordBytes)
@@ -92,6 +97,7 @@
 	return nil
 }
 
-// keep is the age at which a claim is dropped. A time-ordered key may be a skew bound ahead of its
-// claim and is then accepted for the retention period by a clock that is another skew bound behind.
-func (s *Settings) keep() time.Duration { return s.Retention + 2*s.Skew }
+// maxClaimAge is the age above which a claim is removed. The timestamp of a time-ordered key may be
+// ahead of its claim by the skew bound, and a clock that is behind by another skew bound accepts the
+// key for the retention period after this timestamp.
+func (s *Settings) maxClaimAge() time.Duration { return s.Retention + 2*s.Skew }
--- a/once/shard.go
+++ b/once/shard.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Claim is one recorded claim. Claims are not changed after creation; a change replaces the claim.
+// Claim is a recorded claim of a key. Claims are immutable; a change replaces the claim, so that clones
+// of a record can share it.
 type Claim struct {
 	Key         string
 	RequestID   string
@@ -18,16 +19,16 @@
 
 // Segment describes a sealed record.
 type Segment struct {
-	// Version is the version of the open record that was sealed. It names the sealed record.
+	// Version is the version of the open record that was sealed. It is part of the sealed record's key.
 	Version uint64
-	// Last is the latest creation time of its claims, rounded up to a second, and not below that of
-	// the record before it.
-	Last time.Time
+	// LastCreated is the latest creation time of its claims, rounded up to a second, and at least
+	// that of the previous segment.
+	LastCreated time.Time
 }
 
-// Shard is one record: the open record of a shard with the list of sealed records, or a sealed
-// record, whose list is empty. It does no I/O.
-type Shard struct {
+// Record holds claims: it is either the open record of a shard, with the list of sealed records, or a
+// sealed record, whose list is empty. It does no I/O.
+type Record struct {
 	Sealed []Segment
 
 	claims []*Claim
@@ -35,108 +36,108 @@
 	size   int
 }
 
-// claimOverhead is an upper bound of the encoded size of a claim without its strings, in bytes:
+// claimOverhead is an upper bound on the encoded size of a claim without its strings, in bytes:
 // flags 1, lengths 2+1+1+3, fingerprint 8, creation time 10, status 5.
 const claimOverhead = 32
 
-// segmentOverhead is an upper bound of the encoded size of a listed segment, in bytes: the differences
-// to the previous one stay below 2^28 writes and 2^27 seconds.
+// segmentOverhead is an upper bound on the encoded size of a listed segment, in bytes: its differences
+// from the previous segment stay below 2^28 versions and 2^27 seconds.
 const segmentOverhead = 8
 
-func newShard() *Shard { return &Shard{index: map[string]*Claim{}} }
+func newRecord() *Record { return &Record{index: map[string]*Claim{}} }
 
 // Len returns the number of claims.
-func (s *Shard) Len() int { return len(s.claims) }
+func (rec *Record) Len() int { return len(rec.claims) }
 
 // Get returns the claim of a key, or nil.
-func (s *Shard) Get(key string) *Claim { return s.index[key] }
+func (rec *Record) Get(key string) *Claim { return rec.index[key] }
 
-// Size returns an upper bound of the encoded size, in bytes.
-func (s *Shard) Size() int { return s.size + len(s.Sealed)*segmentOverhead + recordOverhead }
+// Size returns an upper bound on the encoded size, in bytes.
+func (rec *Record) Size() int { return rec.size + len(rec.Sealed)*segmentOverhead + recordOverhead }
 
 func (c *Claim) size() int {
 	return claimOverhead + len(c.Key) + len(c.RequestID) + len(c.Answer.ContentType) + len(c.Answer.Body)
 }
 
-// Clone returns a copy that can be changed independently.
-func (s *Shard) Clone() *Shard {
-	n := &Shard{
-		Sealed: slices.Clone(s.Sealed),
-		claims: slices.Clone(s.claims),
-		index:  make(map[string]*Claim, len(s.claims)),
-		size:   s.size,
+// Clone returns a copy that can be modified independently.
+func (rec *Record) Clone() *Record {
+	n := &Record{
+		Sealed: slices.Clone(rec.Sealed),
+		claims: slices.Clone(rec.claims),
+		index:  make(map[string]*Claim, len(rec.claims)),
+		size:   rec.size,
 	}
-	for _, c := range s.claims {
+	for _, c := range rec.claims {
 		n.index[c.Key] = c
 	}
 	return n
 }
 
-func (s *Shard) add(c *Claim) {
-	s.claims = append(s.claims, c)
-	s.index[c.Key] = c
-	s.size += c.size()
+func (rec *Record) add(c *Claim) {
+	rec.claims = append(rec.claims, c)
+	rec.index[c.Key] = c
+	rec.size += c.size()
 }
 
-func (s *Shard) replace(old, c *Claim) {
-	s.claims[slices.Index(s.claims, old)] = c
-	s.index[c.Key] = c
-	s.size += c.size() - old.size()
+func (rec *Record) replace(old, c *Claim) {
+	rec.claims[slices.Index(rec.claims, old)] = c
+	rec.index[c.Key] = c
+	rec.size += c.size() - old.size()
 }
 
-func (s *Shard) remove(c *Claim) {
-	i := slices.Index(s.claims, c)
-	s.claims = slices.Delete(s.claims, i, i+1)
-	delete(s.index, c.Key)
-	s.size -= c.size()
+func (rec *Record) remove(c *Claim) {
+	i := slices.Index(rec.claims, c)
+	rec.claims = slices.Delete(rec.claims, i, i+1)
+	delete(rec.index, c.Key)
+	rec.size -= c.size()
 }
 
-// Expire drops the claims that are older than keep and returns their number.
-func (s *Shard) Expire(now time.Time, keep time.Duration) int {
+// Expire removes the claims that are older than maxAge and returns their number.
+func (rec *Record) Expire(now time.Time, maxAge time.Duration) int {
 	dropped := 0
-	s.claims = slices.DeleteFunc(s.claims, func(c *Claim) bool {
-		if now.Sub(c.Created) <= keep {
+	rec.claims = slices.DeleteFunc(rec.claims, func(c *Claim) bool {
+		if now.Sub(c.Created) <= maxAge {
 			return false
 		}
 		dropped++
-		delete(s.index, c.Key)
-		s.size -= c.size()
+		delete(rec.index, c.Key)
+		rec.size -= c.size()
 		return true
 	})
 	return dropped
 }
 
-// Apply performs one request on the record. It returns the result and whether the record changed.
-// The caller has made sure that the key is in no other record of the shard.
-func (s *Shard) Apply(r *Request, now time.Time, set *Settings) (Result, bool) {
-	c := s.index[r.Key]
+// Apply applies one request to the record. It returns the result and whether the record changed. The
+// caller must ensure that no other record of the shard contains the key.
+func (rec *Record) Apply(r *Request, now time.Time, settings *Settings) (Result, bool) {
+	c := rec.index[r.Key]
 	switch r.Action {
 	case ActionClaim:
-		return s.claim(c, r, now, set)
+		return rec.claim(c, r, now, settings)
 	case ActionComplete:
-		return s.complete(c, r, set)
+		return rec.complete(c, r, settings)
 	case ActionRelease:
-		return s.release(c, r)
+		return rec.release(c, r)
 	}
 	return Result{State: StateUnavailable, Err: ErrInvalid}, false
 }
 
-func (s *Shard) claim(c *Claim, r *Request, now time.Time, set *Settings) (Result, bool) {
+func (rec *Record) claim(c *Claim, r *Request, now time.Time, settings *Settings) (Result, bool) {
 	switch {
-	case !KeyAccepted(r.Key, now, set):
+	case !KeyAccepted(r.Key, now, settings):
 		return Result{State: StateExpired}, false
 	case c != nil:
 		return c.result(r), false
 	}
 	n := &Claim{Key: r.Key, RequestID: r.RequestID, Fingerprint: r.Fingerprint, Created: now}
-	if s.Size()+n.size() > MaxRecordBytes {
+	if rec.Size()+n.size() > MaxRecordBytes {
 		return Result{State: StateUnavailable, Err: ErrRecordFull}, false
 	}
-	s.add(n)
+	rec.add(n)
 	return Result{State: StateGranted}, true
 }
 
-// result is what a request is told that meets an existing claim.
+// result returns the result of a request for a key that already has a claim.
 func (c *Claim) result(r *Request) Result {
 	switch {
 	case c.Fingerprint != r.Fingerprint:
@@ -149,7 +150,7 @@
 	return Result{State: StateHeld}
 }
 
-func (s *Shard) complete(c *Claim, r *Request, set *Settings) (Result, bool) {
+func (rec *Record) complete(c *Claim, r *Request, settings *Settings) (Result, bool) {
 	if c == nil {
 		return Result{State: StateNone}, false
 	}
@@ -158,46 +159,47 @@
 	}
 	n := *c
 	n.Complete, n.Answer = true, r.Answer
-	if len(r.Answer.Body) > set.MaxBodyBytes || len(r.Answer.ContentType) > maxContentType ||
-		s.Size()+n.size()-c.size() > MaxRecordBytes {
+	if len(r.Answer.Body) > settings.MaxBodyBytes || len(r.Answer.ContentType) > maxContentTypeBytes ||
+		rec.Size()+n.size()-c.size() > MaxRecordBytes {
 		n.Answer = Answer{}
 	}
-	s.replace(c, &n)
+	rec.replace(c, &n)
 	return Result{State: StateComplete, Answer: n.Answer}, true
 }
 
-func (s *Shard) release(c *Claim, r *Request) (Result, bool) {
+func (rec *Record) release(c *Claim, r *Request) (Result, bool) {
 	switch {
 	case c == nil:
 		return Result{State: StateNone}, false
 	case c.RequestID != r.RequestID || c.Complete:
 		return c.result(r), false
 	}
-	s.remove(c)
+	rec.remove(c)
 	return Result{State: StateNone}, true
 }
 
-// last returns the latest creation time, rounded up to a second, of the claims and sealed records.
-func (s *Shard) last() time.Time {
+// lastCreated returns the latest creation time of the claims and of the last sealed record, rounded up
+// to a second.
+func (rec *Record) lastCreated() time.Time {
 	var last time.Time
-	for _, c := range s.claims {
+	for _, c := range rec.claims {
 		if c.Created.After(last) {
 			last = c.Created
 		}
 	}
 	last = last.Truncate(time.Second).Add(time.Second)
-	if n := len(s.Sealed); n > 0 && s.Sealed[n-1].Last.After(last) {
-		return s.Sealed[n-1].Last
+	if n := len(rec.Sealed); n > 0 && rec.Sealed[n-1].LastCreated.After(last) {
+		return rec.Sealed[n-1].LastCreated
 	}
 	return last
 }
 
-// seal returns the content of the sealed record and the open record that replaces this one. Both
-// depend on this record only, so that several processes that seal one version write the same.
-func (s *Shard) seal(version uint64) (sealed, open *Shard) {
-	sealed = s.Clone()
+// seal returns the sealed record and the open record that replaces this one. Both depend only on this
+// record and its version, so that processes that seal the same version write identical data.
+func (rec *Record) seal(version uint64) (sealed, open *Record) {
+	sealed = rec.Clone()
 	sealed.Sealed = nil
-	open = newShard()
-	open.Sealed = append(slices.Clone(s.Sealed), Segment{Version: version, Last: s.last()})
+	open = newRecord()
+	open.Sealed = append(slices.Clone(rec.Sealed), Segment{Version: version, LastCreated: rec.lastCreated()})
 	return sealed, open
 }
--- a/once/shard_test.go
+++ b/once/shard_test.go
@@ -31,19 +31,19 @@
 	}
 }
 
-// Guards against records that read back differently from what was written, exceed their stated size,
-// or are accepted when a byte has changed.
+// Guards against records that decode to other content than was encoded, are larger than their computed
+// size, or are accepted although they are corrupt or truncated.
 func TestRecordRoundTrip(t *testing.T) {
-	set := once.DefaultSettings()
+	settings := once.DefaultSettings()
 	rapid.Check(t, func(t *rapid.T) {
 		s, err := once.Decode(mustEncodeEmpty())
 		require.NoError(t, err)
 		now := time.UnixMilli(1e12)
 		for _, r := range rapid.SliceOfN(rapid.Custom(drawRequest), 0, 30).Draw(t, "requests") {
-			s.Apply(&r, now, &set)
+			s.Apply(&r, now, &settings)
 			now = now.Add(time.Duration(rapid.IntRange(-50, 500).Draw(t, "ms")) * time.Millisecond)
 		}
-		s.Sealed = []once.Segment{{Version: 3, Last: now.Truncate(time.Second)}, {Version: 900, Last: now.Truncate(time.Second).Add(time.Hour)}}
+		s.Sealed = []once.Segment{{Version: 3, LastCreated: now.Truncate(time.Second)}, {Version: 900, LastCreated: now.Truncate(time.Second).Add(time.Hour)}}
 		data := s.Encode()
 		require.LessOrEqual(t, len(data), s.Size())
 		back, err := once.Decode(data)
@@ -64,23 +64,23 @@
 }
 
 func mustEncodeEmpty() []byte {
-	// Format 1, no sealed records, no claims, xxhash64.
-	s := &once.Shard{}
+	// Format version 1, no sealed records, no claims, checksum.
+	s := &once.Record{}
 	return s.Encode()
 }
 
-// Guards against a record that exceeds the largest value of the key-value service, and against an
-// answer above the bound that is presented as kept.
+// Guards against a record that is larger than a value of the key-value service may be, and against an
+// answer above the size limit that is returned as recorded.
 func TestRecordBounds(t *testing.T) {
-	set := once.DefaultSettings()
+	settings := once.DefaultSettings()
 	s, err := once.Decode(mustEncodeEmpty())
 	require.NoError(t, err)
 	now := time.UnixMilli(1e12)
-	large := once.Answer{Status: 200, Body: make([]byte, set.MaxBodyBytes+1)}
-	fits := once.Answer{Status: 200, Body: make([]byte, set.MaxBodyBytes)}
+	large := once.Answer{Status: 200, Body: make([]byte, settings.MaxBodyBytes+1)}
+	fits := once.Answer{Status: 200, Body: make([]byte, settings.MaxBodyBytes)}
 	for i := 0; ; i++ {
 		r := once.Request{Key: strings.Repeat("k", 200) + time.Duration(i).String(), RequestID: "r", Action: once.ActionClaim}
-		res, _ := s.Apply(&r, now, &set)
+		res, _ := s.Apply(&r, now, &settings)
 		if res.State == once.StateUnavailable {
 			require.ErrorIs(t, res.Err, once.ErrRecordFull)
 			break
@@ -88,37 +88,37 @@
 		r.Action = once.ActionComplete
 		if i == 0 {
 			r.Answer = large
-			res, _ = s.Apply(&r, now, &set)
+			res, _ = s.Apply(&r, now, &settings)
 			require.True(t, res.Answer.Omitted())
 			continue
 		}
 		if i == 1 {
 			r.Answer = fits
-			res, _ = s.Apply(&r, now, &set)
+			res, _ = s.Apply(&r, now, &settings)
 			require.False(t, res.Answer.Omitted())
 		}
 	}
 	require.LessOrEqual(t, len(s.Encode()), once.MaxRecordBytes)
 }
 
-// Guards against a list of sealed records that takes the place of claims: at 1,200 claims/s over four
-// shards, a shard seals a record every 3.3 s and lists 26,000 of them in a day.
+// Guards against a list of sealed records that leaves no space for claims in the open record: at 1,200
+// claims/s over four shards, a shard seals a record every 3.3 s, which adds 26,000 list entries a day.
 func TestListOfSealedRecordsIsShort(t *testing.T) {
-	s := &once.Shard{}
+	s := &once.Record{}
 	for i := range 26000 {
-		s.Sealed = append(s.Sealed, once.Segment{Version: uint64(200 * i), Last: time.Unix(1e9+3*int64(i), 0)})
+		s.Sealed = append(s.Sealed, once.Segment{Version: uint64(200 * i), LastCreated: time.Unix(1e9+3*int64(i), 0)})
 	}
 	data := s.Encode()
 	require.LessOrEqual(t, len(data), s.Size())
 	require.Less(t, len(data), 80<<10)
 }
 
-// Guards against a duplicate or late delivery that runs again, a refusal of a duplicate that is
-// reported as not run, and a table without bound.
+// Guards against a duplicate or delayed delivery that runs again, a refused duplicate that is reported as
+// not run, and a table that grows without bound.
 func TestExecutor(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	set := once.ExecutorSettings{Capacity: 4, KeepFor: time.Minute}
-	e := once.NewExecutor("2", set)
+	settings := once.ExecutorSettings{Capacity: 4, KeepFor: time.Minute}
+	e := once.NewExecutor("2", settings)
 	a := once.Attempt{RequestID: "a", Number: 1, Incarnation: "2"}
 	stale, second := a, a
 	stale.Incarnation, second.Number = "1", 2
@@ -128,9 +128,9 @@
 	require.False(t, once.RefuseDuplicate.NotRun())
 	require.Equal(t, once.Run, e.Begin(now, a))
 	require.Equal(t, once.RefuseDuplicate, e.Begin(now, a))
-	require.Equal(t, once.RefuseDuplicate, e.Begin(now, second), "another attempt while the first runs")
+	require.Equal(t, once.RefuseDuplicate, e.Begin(now, second), "another attempt while the first one runs")
 	e.End(now, a, false)
-	require.Equal(t, once.RefuseDuplicate, e.Begin(now, a), "the refused attempt delivered late")
+	require.Equal(t, once.RefuseDuplicate, e.Begin(now, a), "a delayed delivery of the refused attempt")
 	require.Equal(t, once.Run, e.Begin(now, second))
 	e.End(now, second, true)
 	third := second
@@ -139,9 +139,9 @@
 
 	for i := range 10 {
 		r := once.Attempt{RequestID: time.Duration(i).String(), Number: 1, Incarnation: "2", Repeatable: true}
-		require.Equal(t, once.Run, e.Begin(now, r), "ended repeatable attempts make room")
+		require.Equal(t, once.Run, e.Begin(now, r), "ended attempts of repeatable requests are evicted")
 		e.End(now, r, true)
-		require.LessOrEqual(t, e.Len(), set.Capacity)
+		require.LessOrEqual(t, e.Len(), settings.Capacity)
 	}
 	for _, id := range []string{"x", "y"} {
 		r := once.Attempt{RequestID: id, Number: 1, Incarnation: "2"}
@@ -150,6 +150,6 @@
 	}
 	full := once.Attempt{RequestID: "z", Number: 1, Incarnation: "2"}
 	require.Equal(t, once.RefuseFull, e.Begin(now, full))
-	require.Equal(t, once.RefuseDuplicate, e.Begin(now.Add(set.KeepFor), a))
-	require.Equal(t, once.Run, e.Begin(now.Add(set.KeepFor+time.Second), full))
+	require.Equal(t, once.RefuseDuplicate, e.Begin(now.Add(settings.KeepFor), a))
+	require.Equal(t, once.Run, e.Begin(now.Add(settings.KeepFor+time.Second), full))
 }
--- a/once/types.go
+++ b/once/types.go
@@ -6,26 +6,27 @@
 	"fmt"
 )
 
-// State is the state of a key after a request. The values equal those of the protocol's ClaimState.
+// State is the state of a key after a request. The values equal those of ClaimState in the wire
+// protocol.
 type State uint8
 
 // States of a key.
 const (
-	// StateNone means that no claim is recorded for the key. Only completions and releases see it.
+	// StateNone means that no claim is recorded for the key. Only completions and releases return it.
 	StateNone State = iota
-	// StateGranted means that the claim holds the ID of the asking request, which may be dispatched.
+	// StateGranted means that the claim holds the ID of this request, which may be dispatched.
 	StateGranted
-	// StateHeld means that another request holds the claim and no answer is recorded.
+	// StateHeld means that another request holds the claim and its answer is not recorded yet.
 	StateHeld
-	// StateComplete means that the answer is recorded.
+	// StateComplete means that the answer of the request that holds the claim is recorded.
 	StateComplete
-	// StateMismatch means that the key was used for a different request.
+	// StateMismatch means that the key was used for a request with another fingerprint.
 	StateMismatch
 	// StateUnavailable means that the request is certainly not recorded.
 	StateUnavailable
-	// StateUnknown means that a write was sent and its outcome could not be read back.
+	// StateUnknown means that the request may or may not be recorded.
 	StateUnknown
-	// StateExpired means that the key's own time is outside the accepted period.
+	// StateExpired means that the key's timestamp is outside the accepted period.
 	StateExpired
 )
 
@@ -39,81 +40,82 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// Action is what a request asks for. The values equal those of the protocol's ClaimAction.
+// Action is the operation that a request performs on a key. The values equal those of ClaimAction in
+// the wire protocol.
 type Action uint8
 
-// Actions.
+// Actions of a Request.
 const (
 	// ActionClaim claims the key for the request ID.
 	ActionClaim Action = iota + 1
 	// ActionComplete records the answer of the request that holds the claim.
 	ActionComplete
 	// ActionRelease removes the claim of a request that certainly did not run. The request ID must
-	// not be used for a claim again.
+	// not be used for another claim.
 	ActionRelease
 )
 
-// Answer is a recorded answer. A status of 0 means that the answer was not kept, because it was
-// larger than the bound.
+// Answer is the recorded response to a request. A status of 0 means that the response was too large to
+// be recorded.
 type Answer struct {
 	Status      uint32
 	ContentType string
 	Body        []byte
 }
 
-// Omitted reports whether the answer was too large to be kept.
+// Omitted reports whether the answer was too large to be recorded.
 func (a Answer) Omitted() bool { return a.Status == 0 }
 
-// Request asks for a change of one key.
+// Request is a claim, completion or release of one key.
 type Request struct {
 	Service   string
 	Key       string
 	RequestID string
 	Action    Action
-	// Fingerprint is a hash of the caller's request, so that a key serves one request only.
+	// Fingerprint is a hash of the caller's request. It detects the reuse of a key for another request.
 	Fingerprint uint64
-	// Answer is recorded by ActionComplete.
+	// Answer is the answer to record with ActionComplete.
 	Answer Answer
 }
 
-// Result is the outcome of a request.
+// Result is the result of a request.
 type Result struct {
 	State State
 	// Answer is set with StateComplete.
 	Answer Answer
-	// Err gives the cause of StateUnavailable and StateUnknown, for the log.
+	// Err is the cause of StateUnavailable and StateUnknown.
 	Err error
 }
 
-// Bounds of a request's fields, in bytes.
+// Maximum sizes of a request's fields, in bytes.
 const (
-	MaxKeyBytes       = 255
-	MaxRequestIDBytes = 64
-	maxContentType    = 128
+	MaxKeyBytes         = 255
+	MaxRequestIDBytes   = 64
+	maxContentTypeBytes = 128
 )
 
 // Errors of this package.
 var (
-	// ErrInvalid means that a request can never be accepted.
+	// ErrInvalid means that a request is malformed.
 	ErrInvalid = errors.New("invalid claim request")
 	// ErrRecordInvalid means that a stored record cannot be decoded.
 	ErrRecordInvalid = errors.New("invalid claim record")
-	// ErrRecordMissing means that a sealed record is listed but absent before its expiry.
+	// ErrRecordMissing means that a listed sealed record does not exist although it has not expired.
 	ErrRecordMissing = errors.New("sealed claim record is missing")
-	// ErrRecordFull means that the record would exceed the largest value of the key-value service.
+	// ErrRecordFull means that the record would exceed MaxRecordBytes.
 	ErrRecordFull = errors.New("claim record is full")
-	// ErrNotSent means that a forwarded request certainly did not reach the shard owner.
+	// ErrNotSent means that a forwarded request certainly did not reach the other entry.
 	ErrNotSent = errors.New("claim was not sent to the shard owner")
 	// errCallerGone means that the caller stopped waiting.
 	errCallerGone = errors.New("caller stopped waiting for the claim")
 )
 
-// Claimer claims, completes and releases keys.
+// Claimer performs claims, completions and releases of keys.
 type Claimer interface {
 	Do(ctx context.Context, r Request) Result
 }
 
-// Validate returns an error that wraps ErrInvalid if the request can never be accepted.
+// Validate returns an error that wraps ErrInvalid if the request is malformed.
 func (r *Request) Validate() error {
 	switch {
 	case r.Service == "":
