--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -8,18 +8,18 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-type callerKey struct{}
+type callerConnKey struct{}
 
-// WithCaller returns a context that knows the connection of the caller.
+// WithCaller returns a context that carries the connection of the caller.
 func WithCaller(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerLeft tells whether the caller has closed its connection. A process that is behind reads requests
-// whose callers have given up; net/http notices the end of a connection only some time after the request
-// was handed over.
-func callerLeft(r *http.Request) bool {
+// callerDisconnected reports whether the caller has closed its connection. An overloaded process
+// reads requests whose callers have already gone, and net/http detects a closed connection only
+// some time after it has called the handler.
+func callerDisconnected(r *http.Request) bool {
 	ctx := r.Context()
-	c, ok := ctx.Value(callerKey{}).(net.Conn)
+	c, ok := ctx.Value(callerConnKey{}).(net.Conn)
 	return ctx.Err() != nil || ok && upstream.Ended(c)
 }
--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -16,7 +16,7 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// plainCodec passes headers on as they are.
+// plainCodec forwards headers unchanged.
 type plainCodec struct{ Codec }
 
 func (plainCodec) Call(r *http.Request) Call {
@@ -35,9 +35,9 @@
 func (noMetrics) FirstEvent(string, string, time.Duration)      {}
 func (noMetrics) Attempt(string, string)                        {}
 
-// Guards against requests that are sent on although their callers have left: in a hunt
-// (mix-turns-in-flood, seed 572537457078) a process without free descriptors read requests a second after
-// they had arrived, and sent four of them on after their callers' time had passed.
+// Guards against forwarding requests whose callers have disconnected. A process without free file
+// descriptors read requests a second after their arrival and forwarded four of them after their
+// callers' deadlines (randomised run mix-turns-in-flood, seed 572537457078).
 func TestRequestsOfCallersThatLeftAreNotSent(t *testing.T) {
 	var arrivals atomic.Int64
 	listen := func() net.Listener {
@@ -75,7 +75,7 @@
 		require.NoError(t, err)
 		require.NoError(t, c.Close())
 	}
-	// The process reads the requests only now.
+	// The server reads the requests only after the callers have disconnected.
 	handled := make(chan struct{}, callers+1)
 	serve(l, &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -11,145 +11,151 @@
 )
 
 const (
-	// readWeight weighs the time that a backend server spends on reading against the time that this
-	// request waits. Above 1, a request rather waits a little than makes another backend server read
-	// what one has read already.
-	readWeight = 2
-	// decodeReadWeight is the weight on an engine that generates answers, whose steps get longer for
-	// all of them while it reads.
-	decodeReadWeight = 5
-	// handover is the expected time to move a prompt that was read and to start the answer.
-	handover = 4 * time.Millisecond
-	// perRequest is the expected delay by one more request that generates on the same backend server.
-	perRequest = 300 * time.Microsecond
-	// fullShare is the share of an engine's places from which requests are expected to wait, and
-	// perPlace the expected wait for each request beyond.
-	fullShare = 0.85
-	perPlace  = 30 * time.Millisecond
-	// maxPlaceWait bounds that wait: requests with long prompts are the urgent ones, which engines
-	// admit first.
-	maxPlaceWait = 100 * time.Millisecond
-	// crossing is added for another data centre: the bytes between data centres are scarce.
-	crossing = 3 * time.Millisecond
-	// failurePenalty is added for a backend server that fails all requests, and its share for one
-	// that fails some.
+	// prefillWeight is the weight of the time that a backend server spends on prefilling, relative
+	// to the time that this request waits. Above 1, a request waits a little longer rather than
+	// make another backend server prefill what one has cached already.
+	prefillWeight = 2
+	// decodePrefillWeight replaces prefillWeight on decode engines, where a prefill slows down
+	// every step of the answers being generated.
+	decodePrefillWeight = 5
+	// transferTime is the expected time to transfer a prefilled prompt to another engine and to
+	// start the answer there.
+	transferTime = 4 * time.Millisecond
+	// delayPerRequest is the expected delay from each other request that generates on the same
+	// backend server.
+	delayPerRequest = 300 * time.Microsecond
+	// queueingUtilisation is the fraction of an engine's slots in use above which requests are
+	// expected to queue, and queueDelayPerRequest the expected delay from each request above it.
+	queueingUtilisation  = 0.85
+	queueDelayPerRequest = 30 * time.Millisecond
+	// maxQueueDelay limits the expected queueing delay: engines admit urgent requests first, and
+	// requests with long prompts are the urgent ones.
+	maxQueueDelay = 100 * time.Millisecond
+	// crossDataCentreDelay is the cost of using another data centre, where bandwidth is scarce.
+	crossDataCentreDelay = 3 * time.Millisecond
+	// failurePenalty is the cost of a backend server on which all requests fail; it is scaled by
+	// the failure rate.
 	failurePenalty = 2 * time.Second
-	// shortPrompt is the most unread prompt tokens for which a second backend server is not worth
-	// its handover.
-	shortPrompt = 512
+	// shortPromptTokens is the number of uncached tokens below which prefilling on a second backend
+	// server does not pay for the transfer.
+	shortPromptTokens = 512
 )
 
-// Reasons of choices.
+// Reasons for a choice, as logged.
 const (
-	reasonNone   = "no_server"
-	reasonLoad   = "least_load"
-	reasonPair   = "read_elsewhere"
-	reasonSingle = "one_server"
-	reasonRead   = "read_before"
+	reasonNoServer      = "no_server"
+	reasonLeastLoad     = "least_load"
+	reasonReadElsewhere = "read_elsewhere"
+	reasonOneServer     = "one_server"
+	reasonReadBefore    = "read_before"
 )
 
-// choice is where one request goes.
+// choice holds the backend servers selected for a request.
 type choice struct {
-	// reader reads the prompt for server; nil if server does both.
-	reader *Server
-	server *Server
-	// unread are the prompt tokens that reader, or server without one, has to read.
-	unread float64
-	// first is the expected time to the first event.
-	first time.Duration
-	// crowding is the share of the server's places that are taken.
-	crowding float64
-	// excess is the part of first by which reading takes longer than it does for the mean request.
-	excess time.Duration
-	reason string
+	// prefillServer prefills the prompt for server; nil if server does both.
+	prefillServer *Server
+	server        *Server
+	// uncachedTokens is the number of prompt tokens to be prefilled by prefillServer, or by server
+	// if there is no prefillServer.
+	uncachedTokens float64
+	// timeToFirst is the expected time to the first event.
+	timeToFirst time.Duration
+	// utilisation is the fraction of the server's slots in use.
+	utilisation float64
+	// excessPrefill is the part of timeToFirst by which the prefill takes longer than that of a
+	// mean request.
+	excessPrefill time.Duration
+	reason        string
 	// considered is the number of backend servers that were compared.
 	considered int
 }
 
-// pace is what has been learned of the speed of a service's engines.
-type pace struct {
+// prefillSpeed estimates the prefill speed of a service's engines from observed requests.
+type prefillSpeed struct {
 	mu sync.Mutex
-	// perToken is the time to read one prompt token by role.
-	perToken map[external.Role]float64
-	// unread is the mean of unread tokens per request.
-	unread float64
+	// secondsPerToken is the time to prefill one prompt token, by role.
+	secondsPerToken map[external.Role]float64
+	// meanUncached is the mean number of uncached prompt tokens per request.
+	meanUncached float64
 }
 
 const (
-	// initialPerToken is the time per prompt token before anything was observed: 100 tokens a
-	// millisecond, of the order of an eight-accelerator engine.
-	initialPerToken = 1e-5
-	initialUnread   = 1000
-	learnRate       = 0.05
-	// minLearnTokens is the least work from which a speed is learned; fixed costs dominate below.
-	minLearnTokens = 512
-	// maxPace bounds what a single observation can teach, as a factor.
-	maxPace = 4
+	// initialSecondsPerToken is the estimate before the first observation: 100 tokens per
+	// millisecond, typical of an engine with eight accelerators.
+	initialSecondsPerToken = 1e-5
+	initialMeanUncached    = 1000
+	speedWeight            = 0.05
+	// minObservedTokens is the size of the smallest prefill that updates the speed; fixed costs
+	// dominate below it.
+	minObservedTokens = 512
+	// maxSpeedRatio limits the ratio between one observation and the current estimate.
+	maxSpeedRatio = 4
 )
 
-func newPace() *pace {
-	return &pace{perToken: map[external.Role]float64{}, unread: initialUnread}
+func newPrefillSpeed() *prefillSpeed {
+	return &prefillSpeed{secondsPerToken: map[external.Role]float64{}, meanUncached: initialMeanUncached}
 }
 
-func (p *pace) values() (perToken func(external.Role) float64, unread float64) {
+func (p *prefillSpeed) values() (secondsPerToken func(external.Role) float64, meanUncached float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	prefill, decode := p.role(external.RolePrefill), p.role(external.RoleDecode)
+	prefill, decode := p.estimate(external.RolePrefill), p.estimate(external.RoleDecode)
 	return func(r external.Role) float64 {
 		if r == external.RolePrefill {
 			return prefill
 		}
 		return decode
-	}, p.unread
+	}, p.meanUncached
 }
 
-func (p *pace) role(r external.Role) float64 {
-	if v, ok := p.perToken[r]; ok {
+func (p *prefillSpeed) estimate(r external.Role) float64 {
+	if v, ok := p.secondsPerToken[r]; ok {
 		return v
 	}
-	return initialPerToken
+	return initialSecondsPerToken
 }
 
-// observe learns from a prompt that was read behind a queue.
-func (p *pace) observe(r external.Role, tokens, ahead float64, elapsed time.Duration) {
+// observe updates the estimates with a prompt that was prefilled after tokensAhead queued tokens.
+func (p *prefillSpeed) observe(r external.Role, tokens, tokensAhead float64, elapsed time.Duration) {
 	if r != external.RolePrefill {
 		r = external.RoleDecode
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unread += learnRate * (tokens - p.unread)
-	if tokens < minLearnTokens {
+	p.meanUncached += speedWeight * (tokens - p.meanUncached)
+	if tokens < minObservedTokens {
 		return
 	}
-	old := p.role(r)
-	seen := elapsed.Seconds() / (tokens + ahead)
-	p.perToken[r] = old + learnRate*(min(max(seen, old/maxPace), old*maxPace)-old)
+	old := p.estimate(r)
+	measured := elapsed.Seconds() / (tokens + tokensAhead)
+	p.secondsPerToken[r] = old + speedWeight*(min(max(measured, old/maxSpeedRatio), old*maxSpeedRatio)-old)
 }
 
-// candidates returns the servers that were not tried: those that are usable, or also the avoided ones.
-func candidates(servers []*Server, tried []*live, now time.Time, avoided bool) ([]*Server, []view) {
+// candidates returns the servers that were not tried yet: the usable ones, or all of them if
+// includeUnusable is set.
+func candidates(servers []*Server, tried []*serverState, now time.Time, includeUnusable bool) ([]*Server, []view) {
 	out := make([]*Server, 0, len(servers))
 	views := make([]view, 0, len(servers))
 	for _, s := range servers {
-		if slices.Contains(tried, s.live) {
+		if slices.Contains(tried, s.state) {
 			continue
 		}
-		if v := s.view(now); v.usable || avoided {
+		if v := s.view(now); v.usable || includeUnusable {
 			out, views = append(out, s), append(views, v)
 		}
 	}
 	return out, views
 }
 
-// choosePlain returns the server with the least load for its size.
-func choosePlain(servers []*Server, views []view, dataCentre string, random Random) choice {
+// chooseLeastLoaded returns the server with the lowest load relative to its size.
+func chooseLeastLoaded(servers []*Server, views []view, dataCentre string, random Random) choice {
 	best, cost := -1, math.Inf(1)
 	for i, s := range servers {
 		if s.Role == external.RolePrefill {
-			continue // answers nothing by itself
+			continue // cannot generate answers
 		}
-		c := (float64(views[i].inFlight+views[i].others) + 0.5) / float64(max(s.Slots, 1))
-		c += views[i].failing * failurePenalty.Seconds()
+		c := (float64(views[i].inFlight+views[i].otherRequests) + 0.5) / float64(max(s.Slots, 1))
+		c += views[i].failureRate * failurePenalty.Seconds()
 		if s.DataCentre != dataCentre {
 			c += 0.05
 		}
@@ -159,119 +165,123 @@
 		}
 	}
 	if best < 0 {
-		return choice{reason: reasonNone}
+		return choice{reason: reasonNoServer}
 	}
-	return choice{server: servers[best], reason: reasonLoad, considered: len(servers)}
+	return choice{server: servers[best], reason: reasonLeastLoad, considered: len(servers)}
 }
 
-// prompt is what a choice needs to know of a request with a prompt.
+// prompt holds what is needed to choose servers for a request with a prompt.
 type prompt struct {
 	call       *Call
-	keys       []uint64
+	prefixKeys []uint64
 	dataCentre string
 	random     Random
 }
 
-// Random returns numbers from 0 to 1. Entries that know the same do not all choose the same server.
+// Random returns numbers from 0 to 1. It keeps gateway instances with the same information from all
+// choosing the same server.
 type Random func() float64
 
-// home is the key under which prompts that share parts find the same backend server: the prompt up
-// to the part before its own.
-func (p *prompt) home() uint64 {
-	if n := len(p.keys); n > 1 {
-		return p.keys[n-2]
+// affinityKey returns the key that sends prompts with a common prefix to the same backend servers:
+// the key of the prompt without its last part.
+func (p *prompt) affinityKey() uint64 {
+	if n := len(p.prefixKeys); n > 1 {
+		return p.prefixKeys[n-2]
 	} else if n == 1 {
-		return p.keys[0]
+		return p.prefixKeys[0]
 	}
 	return math.Float64bits(p.random())
 }
 
-// choosePrompt compares reading on each server that can read with the time until the first event.
-func choosePrompt(servers []*Server, views []view, cached []float64, p *prompt, perToken func(external.Role) float64, meanUnread float64, decoders *decoders) choice {
-	if decoders.best(p.dataCentre) < 0 {
-		return choice{reason: reasonNone}
+// choosePrompt returns the servers with the lowest cost: the expected time to the first event, plus
+// a weight for prefill work and penalties for failures and other data centres.
+func choosePrompt(servers []*Server, views []view, cachedTokens []float64, p *prompt, secondsPerToken func(external.Role) float64, meanUncached float64, selector *decodeSelector) choice {
+	if selector.best(p.dataCentre) < 0 {
+		return choice{reason: reasonNoServer}
 	}
-	creditHomes(servers, cached, p)
-	best, cost := choice{reason: reasonNone}, math.Inf(1)
+	creditAffinity(servers, cachedTokens, p)
+	best, cost := choice{reason: reasonNoServer}, math.Inf(1)
 	for i, s := range servers {
 		v := views[i]
-		speed := perToken(s.Role)
-		unread := max(1, float64(p.call.PromptTokens)-cached[i])
-		wait := (v.pending + float64(v.others)*meanUnread) * speed
-		read := unread * speed
-		c := choice{server: s, unread: unread, reason: reasonSingle}
-		first := wait + read
-		extra := v.failing * failurePenalty.Seconds()
+		tokenSeconds := secondsPerToken(s.Role)
+		uncachedTokens := max(1, float64(p.call.PromptTokens)-cachedTokens[i])
+		wait := (v.pendingTokens + float64(v.otherRequests)*meanUncached) * tokenSeconds
+		prefillTime := uncachedTokens * tokenSeconds
+		c := choice{server: s, uncachedTokens: uncachedTokens, reason: reasonOneServer}
+		timeToFirst := wait + prefillTime
+		penalty := v.failureRate * failurePenalty.Seconds()
 		if s.Role == external.RolePrefill {
-			if unread < shortPrompt && float64(p.call.PromptTokens) < 2*shortPrompt {
+			if uncachedTokens < shortPromptTokens && float64(p.call.PromptTokens) < 2*shortPromptTokens {
 				continue
 			}
-			d := decoders.best(s.DataCentre)
-			c.reader, c.server, c.reason = s, servers[d], reasonPair
-			first += handover.Seconds() + max(v.move, views[d].move) + decodeDelay(servers[d], views[d])
-			extra += views[d].failing * failurePenalty.Seconds()
+			d := selector.best(s.DataCentre)
+			c.prefillServer, c.server, c.reason = s, servers[d], reasonReadElsewhere
+			timeToFirst += transferTime.Seconds() + max(v.transferExcess, views[d].transferExcess) + decodeDelay(servers[d], views[d])
+			penalty += views[d].failureRate * failurePenalty.Seconds()
 		} else {
-			first += decodeDelay(s, v)
-			// Engines that are equally good take turns.
-			extra += p.random() * perRequest.Seconds()
+			timeToFirst += decodeDelay(s, v)
+			// Spreads requests over equally good engines.
+			penalty += p.random() * delayPerRequest.Seconds()
 		}
 		if s.DataCentre != p.dataCentre {
-			extra += crossing.Seconds() / 3
+			penalty += crossDataCentreDelay.Seconds() / 3
 		}
 		if s.Role == external.RoleDecode {
-			extra += (decodeReadWeight - readWeight) * read
+			penalty += (decodePrefillWeight - prefillWeight) * prefillTime
 		}
-		if total := first + (readWeight-1)*read + extra; total < cost {
-			c.first = time.Duration(first * float64(time.Second))
-			c.excess = time.Duration(max(0, unread-meanUnread) * speed * float64(time.Second))
+		if total := timeToFirst + (prefillWeight-1)*prefillTime + penalty; total < cost {
+			c.timeToFirst = time.Duration(timeToFirst * float64(time.Second))
+			c.excessPrefill = time.Duration(max(0, uncachedTokens-meanUncached) * tokenSeconds * float64(time.Second))
 			best, cost = c, total
 		}
 	}
 	best.considered = len(servers)
 	if i := slices.Index(servers, best.server); i >= 0 {
-		best.crowding = float64(views[i].inFlight+views[i].others) / float64(max(servers[i].Slots, 1))
+		best.utilisation = float64(views[i].inFlight+views[i].otherRequests) / float64(max(servers[i].Slots, 1))
 	}
 	return best
 }
 
-// chooseDecoder picks the server that goes on with a prompt which the reader has read.
-func chooseDecoder(servers []*Server, reader *Server, decoders *decoders) choice {
-	best := decoders.best(reader.DataCentre)
+// chooseDecoder returns the server that generates the answer to a prompt prefilled by
+// prefillServer.
+func chooseDecoder(servers []*Server, prefillServer *Server, selector *decodeSelector) choice {
+	best := selector.best(prefillServer.DataCentre)
 	if best < 0 {
-		return choice{reason: reasonNone}
+		return choice{reason: reasonNoServer}
 	}
-	return choice{server: servers[best], reason: reasonRead, considered: len(servers)}
+	return choice{server: servers[best], reason: reasonReadBefore, considered: len(servers)}
 }
 
-// decodeDelay is how much later the first event comes because of others that generate. Beyond most
-// of the places, requests wait for others to end.
+// decodeDelay returns the expected delay of the first event, in seconds, from other requests that
+// generate on the server. When most slots are in use, requests also queue for a free one.
 func decodeDelay(s *Server, v view) float64 {
-	n := float64(v.inFlight + v.others)
-	wait := max(0, n-fullShare*float64(s.Slots)) * perPlace.Seconds()
-	return n*perRequest.Seconds() + min(wait, maxPlaceWait.Seconds())
+	n := float64(v.inFlight + v.otherRequests)
+	wait := max(0, n-queueingUtilisation*float64(s.Slots)) * queueDelayPerRequest.Seconds()
+	return n*delayPerRequest.Seconds() + min(wait, maxQueueDelay.Seconds())
 }
 
-// decoders finds the server on which an answer is generated fastest. All servers are looked at once for
-// each data centre in which a prompt may be.
-type decoders struct {
+// decodeSelector finds the server with the lowest cost for generating an answer. It scans the
+// servers once for each data centre in which a prompt may be prefilled.
+type decodeSelector struct {
 	servers []*Server
 	views   []view
-	// dataCentre is that of this process.
-	dataCentre string
-	random     Random
-	found      map[string]int
-	// scans counts the looks at all servers.
+	// dataCentre is the data centre of this process.
+	dataCentre       string
+	random           Random
+	bestByDataCentre map[string]int
+	// scans counts the scans over all servers.
 	scans int
 }
 
-func newDecoders(servers []*Server, views []view, dataCentre string, random Random) *decoders {
-	return &decoders{servers: servers, views: views, dataCentre: dataCentre, random: random, found: make(map[string]int, 4)}
+func newDecodeSelector(servers []*Server, views []view, dataCentre string, random Random) *decodeSelector {
+	return &decodeSelector{servers: servers, views: views, dataCentre: dataCentre, random: random, bestByDataCentre: make(map[string]int, 4)}
 }
 
-// best returns the index of the best server for a prompt in a data centre, or -1. It prefers that data
-// centre, because a prompt moves between data centres at twice the cost, and then that of this process.
-func (d *decoders) best(promptAt string) int {
-	if i, ok := d.found[promptAt]; ok {
+// best returns the index of the best server for a prompt in a data centre, or -1 if there is none.
+// It prefers that data centre, because transferring a prompt between data centres costs twice as
+// much, and then the data centre of this process.
+func (d *decodeSelector) best(promptDataCentre string) int {
+	if i, ok := d.bestByDataCentre[promptDataCentre]; ok {
 		return i
 	}
 	d.scans++
@@ -280,46 +290,49 @@
 		if s.Role == external.RolePrefill {
 			continue
 		}
-		c := decoderCost(s, d.views[i], promptAt) + d.views[i].move + d.random()*perRequest.Seconds()
+		c := decodeCost(s, d.views[i], promptDataCentre) + d.views[i].transferExcess + d.random()*delayPerRequest.Seconds()
 		if s.DataCentre != d.dataCentre {
-			c += crossing.Seconds() / 3
+			c += crossDataCentreDelay.Seconds() / 3
 		}
 		if c < cost {
 			best, cost = i, c
 		}
 	}
-	d.found[promptAt] = best
+	d.bestByDataCentre[promptDataCentre] = best
 	return best
 }
 
-func decoderCost(s *Server, v view, dataCentre string) float64 {
-	c := decodeDelay(s, v) + v.pending*initialPerToken/10 + v.failing*failurePenalty.Seconds()
+func decodeCost(s *Server, v view, dataCentre string) float64 {
+	c := decodeDelay(s, v) + v.pendingTokens*initialSecondsPerToken/10 + v.failureRate*failurePenalty.Seconds()
 	if s.DataCentre != dataCentre {
-		c += crossing.Seconds()
+		c += crossDataCentreDelay.Seconds()
 	}
 	return c
 }
 
-// creditHomes raises what is expected to be kept on the homes of the prompt's shared parts. Each entry
-// knows only the prompts that it sent itself; the homes are the same for all of them.
-func creditHomes(servers []*Server, cached []float64, p *prompt) {
+// creditAffinity raises the expected number of cached tokens on the affinity servers of the
+// prompt's shared parts. An instance knows only the prompts that it has sent itself, but all
+// instances compute the same affinity servers.
+func creditAffinity(servers []*Server, cachedTokens []float64, p *prompt) {
 	shared := 0
 	for _, part := range p.call.Parts[:max(0, len(p.call.Parts)-1)] {
 		shared += part.Tokens
 	}
-	for rank, i := range homes(servers, p.home()) {
+	for rank, i := range affinityServers(servers, p.affinityKey()) {
 		if i >= 0 {
-			cached[i] = max(cached[i], homeCredit[rank]*float64(shared))
+			cachedTokens[i] = max(cachedTokens[i], affinityCredit[rank]*float64(shared))
 		}
 	}
 }
 
-// homeCredit is the part of the shared tokens that is expected on the first and the second home.
-var homeCredit = [...]float64{0.75, 0.35}
+// affinityCredit is the fraction of the shared tokens that is expected to be cached on the first
+// and the second affinity server.
+var affinityCredit = [...]float64{0.75, 0.35}
 
-// homes is rendezvous hashing over the servers that read prompts best: the prefill engines, or all if
-// there are none. Entries agree on it because it depends on nothing that one of them learned.
-func homes(servers []*Server, key uint64) [len(homeCredit)]int {
+// affinityServers selects two servers by rendezvous hashing, from the prefill engines or, if there
+// are none, from all servers. The result depends on no locally learned state, so that all gateway
+// instances agree on it.
+func affinityServers(servers []*Server, key uint64) [len(affinityCredit)]int {
 	first, second := -1, -1
 	var top, next uint64
 	prefill := slices.ContainsFunc(servers, func(s *Server) bool { return s.Role == external.RolePrefill })
--- a/gateway/decider.go
+++ b/gateway/decider.go
@@ -8,125 +8,129 @@
 	"github.com/quetzallug/quetzallug/route"
 )
 
-// Decider places requests on backend servers and says which of them are refused. It answers to the load
-// that it was told and needs no network, so that loads can be played against it in simulated time. It is
-// safe for concurrent use.
+// Decider selects backend servers for requests and decides which requests to refuse. It does no I/O
+// and takes the current time as an argument, so that it also runs in simulations. It is safe for
+// concurrent use.
 type Decider struct {
 	dataCentre string
 	roster     *Roster
-	prefixes   *prefixes
+	prefixes   *prefixTable
 	random     Random
 
-	mu       sync.Mutex
-	paces    map[string]*pace
-	refusals map[string]*refusals
+	mu            sync.Mutex
+	prefillSpeeds map[string]*prefillSpeed
+	refusalRates  map[string]*refusalRate
 }
 
-// NewDecider returns a decider of a process in a data centre.
+// NewDecider returns a Decider for a process in a data centre.
 func NewDecider(dataCentre string, r *Roster, random Random) *Decider {
-	return &Decider{dataCentre: dataCentre, roster: r, prefixes: newPrefixes(), random: random, paces: make(map[string]*pace), refusals: make(map[string]*refusals)}
+	return &Decider{dataCentre: dataCentre, roster: r, prefixes: newPrefixTable(), random: random, prefillSpeeds: make(map[string]*prefillSpeed), refusalRates: make(map[string]*refusalRate)}
 }
 
-// Query is a request to be placed.
+// Query is a request for which backend servers are to be selected.
 type Query struct {
 	Route   *route.Route
 	Service string
 	Call    *Call
-	// Deadline is the earlier of the caller's and the route's.
+	// Deadline is the earlier of the caller's and the route's deadline.
 	Deadline time.Time
-	// keys are those of the prompt's parts; Prepare sets them.
-	keys []uint64
-	// tried backend servers are not chosen again.
-	tried []*live
-	// reader has read the prompt, if it is not nil.
-	reader *Server
+	// prefixKeys holds the keys of the prompt's prefixes; set by Prepare.
+	prefixKeys []uint64
+	// tried lists the backend servers that must not be chosen again.
+	tried []*serverState
+	// prefillServer has prefilled the prompt; nil if none has.
+	prefillServer *Server
 }
 
-// Prepare must be called once the route and the call are set.
+// Prepare computes the prefix keys. It must be called after Route and Call are set.
 func (q *Query) Prepare() {
 	if q.Route.Prompt {
-		q.keys = chain(q.Call.Parts)
+		q.prefixKeys = prefixKeys(q.Call.Parts)
 	}
 }
 
-// Tried keeps the backend server from being chosen again for this request.
-func (q *Query) Tried(s *Server) { q.tried = append(q.tried, s.live) }
+// Tried excludes a backend server from further choices for this request.
+func (q *Query) Tried(s *Server) { q.tried = append(q.tried, s.state) }
 
-// ReadBy tells which backend server has read the prompt.
-func (q *Query) ReadBy(s *Server) { q.reader = s }
+// ReadBy sets the backend server that has prefilled the prompt.
+func (q *Query) ReadBy(s *Server) { q.prefillServer = s }
 
-// Choice is where a request goes.
+// Choice is the result of Decide.
 type Choice struct {
-	// Reader reads the prompt for Server; nil if Server does both or nothing is left to read.
+	// Reader prefills the prompt for Server; nil if Server does both or the prompt is already
+	// prefilled.
 	Reader *Server
-	// Server answers; nil if there is none.
+	// Server generates the answer; nil if there is none.
 	Server *Server
-	// Unread are the prompt tokens that have to be read.
+	// Unread is the number of prompt tokens to be prefilled.
 	Unread float64
 	// First is the expected time to the first event.
 	First time.Duration
-	// Refuse asks to refuse the request, and to tell its caller to return after ComeBack.
+	// Refuse is true if the request should be refused, with the advice to retry after ComeBack.
 	Refuse   bool
 	ComeBack time.Duration
 }
 
-// Decide places a request that was not sent yet, or whose prompt was read, and says whether it should be
-// refused instead.
+// Decide selects the backend servers for a request that was not sent yet or whose prompt is
+// prefilled. It may advise refusing a request that was not sent yet.
 func (d *Decider) Decide(q *Query, now time.Time) Choice {
 	c := d.choose(q, now)
-	out := Choice{Reader: c.reader, Server: c.server, Unread: c.unread, First: c.first}
-	if q.reader == nil && !d.admit(q, &c, now) {
-		out.Refuse, out.ComeBack = true, d.comeBack(q.Deadline, now)
+	out := Choice{Reader: c.prefillServer, Server: c.server, Unread: c.uncachedTokens, First: c.timeToFirst}
+	if q.prefillServer == nil && !d.admit(q, &c, now) {
+		out.Refuse, out.ComeBack = true, d.retryAfter(q.Deadline, now)
 	}
 	return out
 }
 
-// Sent counts a request on its way to a backend server, with the prompt tokens that it will read there.
-func (d *Decider) Sent(q *Query, s *Server, unread float64, now time.Time) {
-	s.sent(unread, now)
-	d.prefixes.note(q.keys, s.key, now)
+// Sent records that a request was sent to a backend server that has uncachedTokens to prefill.
+func (d *Decider) Sent(q *Query, s *Server, uncachedTokens float64, now time.Time) {
+	s.recordSent(uncachedTokens, now)
+	d.prefixes.record(q.prefixKeys, s.key, now)
 }
 
-// Dropped counts a prompt as no longer to be read.
-func (d *Decider) Dropped(s *Server, unread float64) { s.read(unread) }
+// Dropped removes a prompt that will not be prefilled from the pending tokens of a backend server.
+func (d *Decider) Dropped(s *Server, uncachedTokens float64) { s.recordPrefilled(uncachedTokens) }
 
-// Read counts the prompt as read. ahead is what had to be read before it when it was sent at sentAt.
-func (d *Decider) Read(q *Query, s *Server, unread, ahead float64, sentAt, now time.Time) {
-	s.read(unread)
-	d.pace(q.Service).observe(s.Role, unread, ahead, now.Sub(sentAt))
+// Read records that a prompt was prefilled. tokensAhead is the number of tokens that were queued
+// before it at sentAt.
+func (d *Decider) Read(q *Query, s *Server, uncachedTokens, tokensAhead float64, sentAt, now time.Time) {
+	s.recordPrefilled(uncachedTokens)
+	d.prefillSpeed(q.Service).observe(s.Role, uncachedTokens, tokensAhead, now.Sub(sentAt))
 }
 
-// Ahead are the prompt tokens that this process has sent to a backend server and that were not read yet.
-func (d *Decider) Ahead(s *Server, now time.Time) float64 { return s.view(now).pending }
+// Ahead returns the number of prompt tokens that this process has sent to a backend server and that
+// are not prefilled yet.
+func (d *Decider) Ahead(s *Server, now time.Time) float64 { return s.view(now).pendingTokens }
 
-// Heard notes that a backend server sent something. load is what it told, nil if nothing.
-func (d *Decider) Heard(s *Server, load *Load, now time.Time) { s.heard(load, now) }
+// Heard records that a backend server sent data. load is the load it reported, or nil.
+func (d *Decider) Heard(s *Server, load *Load, now time.Time) { s.recordActivity(load, now) }
 
-// Ended counts a request as ended, whatever its outcome.
-func (d *Decider) Ended(s *Server) { s.ended() }
+// Ended records the end of a request, whatever its outcome.
+func (d *Decider) Ended(s *Server) { s.recordEnded() }
 
-// Moved notes the time from sending a request, whose prompt another backend server had read, to its first
-// event. delay is what Delay returned when it was sent.
+// Moved records the time from sending a request with a prompt prefilled elsewhere to its first
+// event. delay is the value that Delay returned when the request was sent.
 func (d *Decider) Moved(from, to *Server, elapsed, delay time.Duration, now time.Time) {
-	from.moved(elapsed-handover-delay, now)
-	to.moved(elapsed-handover-delay, now)
+	from.recordTransfer(elapsed-transferTime-delay, now)
+	to.recordTransfer(elapsed-transferTime-delay, now)
 }
 
-// GivenUp notes that a request, whose prompt another backend server had read, was given up before its
-// first event.
+// GivenUp records that a request with a prompt prefilled elsewhere was abandoned before its first
+// event.
 func (d *Decider) GivenUp(from, to *Server, sentAt time.Time, delay time.Duration, now time.Time) {
-	moveGivenUp(from, to, now.Sub(sentAt)-handover-delay, sentAt, now)
+	recordAbandonedTransfer(from, to, now.Sub(sentAt)-transferTime-delay, sentAt, now)
 }
 
-// Delay is how long the first event is expected to wait at a backend server for requests that generate.
+// Delay returns the expected delay of the first event from other requests that generate on the
+// server.
 func (d *Decider) Delay(s *Server, now time.Time) time.Duration {
 	return time.Duration(decodeDelay(s, s.view(now)) * float64(time.Second))
 }
 
-// Refused notes that a backend server took no request.
-func (d *Decider) Refused(s *Server, now time.Time) { s.refused(now) }
+// Refused records that a backend server refused a request.
+func (d *Decider) Refused(s *Server, now time.Time) { s.recordRefusal(now) }
 
-// choose picks the backend servers for the next attempt.
+// choose selects the backend servers for the next attempt.
 func (d *Decider) choose(q *Query, now time.Time) choice {
 	all := d.roster.Servers(q.Service)
 	if c := d.chooseFrom(q, now, all, false); c.server != nil {
@@ -135,83 +139,86 @@
 	return d.chooseFrom(q, now, all, true)
 }
 
-// chooseFrom compares the backend servers that are usable, or all that were not tried.
-func (d *Decider) chooseFrom(q *Query, now time.Time, all []*Server, avoided bool) choice {
-	servers, views := candidates(all, q.tried, now, avoided)
+// chooseFrom selects among the usable backend servers that were not tried, or among all that were
+// not tried if includeUnusable is set.
+func (d *Decider) chooseFrom(q *Query, now time.Time, all []*Server, includeUnusable bool) choice {
+	servers, views := candidates(all, q.tried, now, includeUnusable)
 	if !q.Route.Prompt || len(q.Call.Parts) == 0 {
-		return choosePlain(servers, views, d.dataCentre, d.random)
+		return chooseLeastLoaded(servers, views, d.dataCentre, d.random)
 	}
-	decoders := newDecoders(servers, views, d.dataCentre, d.random)
-	if q.reader != nil {
-		return chooseDecoder(servers, q.reader, decoders)
+	selector := newDecodeSelector(servers, views, d.dataCentre, d.random)
+	if q.prefillServer != nil {
+		return chooseDecoder(servers, q.prefillServer, selector)
 	}
-	keys := make([]uint64, len(servers))
+	serverKeys := make([]uint64, len(servers))
 	for i, s := range servers {
-		keys[i] = s.key
+		serverKeys[i] = s.key
 	}
-	perToken, unread := d.pace(q.Service).values()
-	cached := d.prefixes.cached(q.keys, q.Call.Parts, keys, now)
-	return choosePrompt(servers, views, cached, &prompt{call: q.Call, keys: q.keys, dataCentre: d.dataCentre, random: d.random}, perToken, unread, decoders)
+	secondsPerToken, meanUncached := d.prefillSpeed(q.Service).values()
+	cachedTokens := d.prefixes.cachedTokens(q.prefixKeys, q.Call.Parts, serverKeys, now)
+	return choosePrompt(servers, views, cachedTokens, &prompt{call: q.Call, prefixKeys: q.prefixKeys, dataCentre: d.dataCentre, random: d.random}, secondsPerToken, meanUncached, selector)
 }
 
-func (d *Decider) pace(service string) *pace {
+func (d *Decider) prefillSpeed(service string) *prefillSpeed {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := d.paces[service]
+	p := d.prefillSpeeds[service]
 	if p == nil {
-		p = newPace()
-		d.paces[service] = p
+		p = newPrefillSpeed()
+		d.prefillSpeeds[service] = p
 	}
 	return p
 }
 
-// admit tells whether a request that was not offered yet should be served. Those with much to read are
-// counted, because the share of them that is refused says how deep a flood is.
+// admit reports whether a request that was not sent yet should be served. The refused fraction of
+// the requests with long uncached prompts measures the degree of overload.
 func (d *Decider) admit(q *Query, c *choice, now time.Time) bool {
 	if c.server == nil {
 		return true
 	}
-	r := d.refused(q.Service)
-	late := tooLate(q, c, r.share(now), now)
-	if q.Route.Prompt && c.unread >= shortPrompt {
-		r.note(late, now)
+	r := d.refusalRate(q.Service)
+	late := tooLate(q, c, r.fraction(now), now)
+	if q.Route.Prompt && c.uncachedTokens >= shortPromptTokens {
+		r.record(late, now)
 	}
 	return !late
 }
 
-func (d *Decider) refused(service string) *refusals {
+func (d *Decider) refusalRate(service string) *refusalRate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.refusals[service]
+	r := d.refusalRates[service]
 	if r == nil {
-		r = &refusals{}
-		d.refusals[service] = r
+		r = &refusalRate{}
+		d.refusalRates[service] = r
 	}
 	return r
 }
 
-// refusals are decaying counts of requests.
-type refusals struct {
+// refusalRate holds exponentially decaying counts of requests.
+type refusalRate struct {
 	mu               sync.Mutex
 	offered, refused float64
-	at               time.Time
+	updatedAt        time.Time
 }
 
 const (
-	// refusalMemory is the time in which a request counts 1/e: the known floods last for seconds.
-	refusalMemory = 2 * time.Second
-	// fewOffers is the number of recent requests below which the share tells nothing.
-	fewOffers = 5
+	// refusalDecayTime is the time in which the counts decay to 1/e. Observed overloads last for
+	// seconds.
+	refusalDecayTime = 2 * time.Second
+	// minOfferedRequests is the number of recent requests below which the fraction is taken as
+	// zero.
+	minOfferedRequests = 5
 )
 
-func (r *refusals) decay(now time.Time) {
-	if age := now.Sub(r.at); age > 0 {
-		f := math.Exp(-age.Seconds() / refusalMemory.Seconds())
-		r.offered, r.refused, r.at = r.offered*f, r.refused*f, now
+func (r *refusalRate) decay(now time.Time) {
+	if age := now.Sub(r.updatedAt); age > 0 {
+		f := math.Exp(-age.Seconds() / refusalDecayTime.Seconds())
+		r.offered, r.refused, r.updatedAt = r.offered*f, r.refused*f, now
 	}
 }
 
-func (r *refusals) note(refused bool, now time.Time) {
+func (r *refusalRate) record(refused bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
@@ -221,61 +228,65 @@
 	}
 }
 
-// share is the part of the recent requests that was refused.
-func (r *refusals) share(now time.Time) float64 {
+// fraction returns the fraction of recent requests that were refused.
+func (r *refusalRate) fraction(now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
-	if r.offered < fewOffers {
+	if r.offered < minOfferedRequests {
 		return 0
 	}
 	return r.refused / r.offered
 }
 
-// tooLate tells whether a request that was not offered yet should be refused, because its answer
-// would begin so late that serving it takes time from requests which can still be on time.
-func tooLate(q *Query, c *choice, refused float64, now time.Time) bool {
+// tooLate reports whether a request that was not sent yet should be refused: its answer would start
+// so late that serving it delays requests that can still meet their target.
+func tooLate(q *Query, c *choice, refusedFraction float64, now time.Time) bool {
 	if !q.Route.Prompt || q.Route.Target <= 0 {
 		return false
 	}
-	if c.first > q.Deadline.Sub(now) {
+	if c.timeToFirst > q.Deadline.Sub(now) {
 		return true
 	}
-	if q.Call.OutputTokens >= longAnswer && c.crowding >= crowded {
+	if q.Call.OutputTokens >= longOutputTokens && c.utilisation >= longOutputUtilisation {
 		return true
 	}
-	// Refusing a request with little to read would free next to nothing.
-	if c.unread < shortPrompt {
+	// Refusing a request with few uncached tokens saves almost nothing.
+	if c.uncachedTokens < shortPromptTokens {
 		return false
 	}
-	allowance := sizeAllowance * min(1, refused/deepFlood)
-	return c.first-time.Duration(allowance*float64(c.excess)) > time.Duration(lateFactor*float64(q.Route.Target))
+	allowance := sizeAllowance * min(1, refusedFraction/fullAllowanceFraction)
+	return c.timeToFirst-time.Duration(allowance*float64(c.excessPrefill)) > time.Duration(lateFactor*float64(q.Route.Target))
 }
 
 const (
-	// longAnswer is the number of events from which an answer holds its place for a second or more.
-	longAnswer = 25
-	// crowded is the share of an engine's places from which it takes no further long answers. Steps get
-	// longer with each request; in full engines of 64 places the longest answers of the known deployments,
-	// 211 events, took longer than their callers wait, and a tenth of the answers was made in vain.
-	crowded = 0.9
-	// sizeAllowance is the part of a large prompt's longer reading that does not count against it in a deep
-	// flood. Without it, the largest tenth was served less than half as often as all there. It grows with
-	// the share of requests that are refused: in a lesser flood few large ones are refused anyway, and with
-	// the whole allowance the requests behind them were late (0.12 of the worth of grown irt-verde quiet-1).
-	sizeAllowance = 0.75
-	deepFlood     = 0.7
+	// longOutputTokens is the number of events from which an answer occupies its slot for a second
+	// or more.
+	longOutputTokens = 25
+	// longOutputUtilisation is the fraction of an engine's slots in use from which it gets no
+	// further long answers. Decode steps get longer with each request: on full engines with 64
+	// slots, the longest answers of the known deployments (211 events) exceeded their callers'
+	// deadlines, and a tenth of all answers was generated for nothing.
+	longOutputUtilisation = 0.9
+	// sizeAllowance is the fraction of a large prompt's excess prefill time that is ignored under
+	// heavy overload. Without it, the largest tenth of the requests was served less than half as
+	// often as requests overall. The allowance grows with the fraction of refused requests up to
+	// fullAllowanceFraction: in a lesser overload few large requests are refused anyway, and the
+	// full allowance delayed the requests behind them, which cost 0.12 of the score of the
+	// benchmark grown irt-verde quiet-1.
+	sizeAllowance         = 0.75
+	fullAllowanceFraction = 0.7
 )
 
-// lateFactor is the expected time to the first event, as a multiple of the target, above which a
-// request is refused. Beyond the target an answer is late; with twice the target as the limit, half of
-// all answers in a flood were late for the same number served.
+// lateFactor is the multiple of the target for the time to the first event above which a request is
+// refused. Answers beyond the target are late; with a limit of twice the target, half of all
+// answers under overload were late and no more were served.
 const lateFactor = 1.0
 
-// comeBack is when a refused caller should return: late in the time that it has left, since a flood
-// outlasts a short pause, but early enough for another try after that. Callers are spread, so that they
-// do not return together.
-func (d *Decider) comeBack(deadline, now time.Time) time.Duration {
-	left := deadline.Sub(now) / 3
-	return min(max(left*3/5+time.Duration(d.random()*float64(left)*2/5), minRetryAfter), maxRetryAfter)
+// retryAfter returns when a refused caller should retry. An overload outlasts a short pause, so the
+// time is late in the remaining time of the caller, but leaves room for another attempt. The jitter
+// keeps callers from returning together.
+func (d *Decider) retryAfter(deadline, now time.Time) time.Duration {
+	window := deadline.Sub(now) / 3
+	return min(max(window*3/5+time.Duration(d.random()*float64(window)*2/5), minRetryAfter), maxRetryAfter)
 }
--- a/gateway/feed.go
+++ b/gateway/feed.go
@@ -15,35 +15,37 @@
 	"github.com/quetzallug/quetzallug/route"
 )
 
-// Source is the store with what the operator and the backend servers write to it.
+// Source is the store that holds the configuration and the registrations, with their decoder.
 type Source interface {
 	external.KV
 	Decoder
 }
 
-// Decoder decodes what the operator and the backend servers write to the store.
+// Decoder decodes the configuration and the registrations in the store.
 type Decoder interface {
-	// ConfigKey is the key of the operator's configuration.
+	// ConfigKey returns the key of the operator's configuration.
 	ConfigKey() string
-	// ServersPrefix begins the keys of registrations.
+	// ServersPrefix returns the common prefix of the registrations' keys.
 	ServersPrefix() string
 	Table(value []byte) (*route.Table, error)
-	// Registration returns an error for an entry that names no backend server to use.
+	// Registration decodes a registration. It returns an error if the entry is not a usable backend
+	// server.
 	Registration(key string, value []byte) (Registration, error)
-	// RegistrationID returns the backend server that a key names.
+	// RegistrationID returns the ID of the backend server in a key.
 	RegistrationID(key string) string
 }
 
 const (
-	// watchPause gathers changes of registrations, which come with each beat of each backend server,
-	// into one call. It is a small part of the seconds that a leaving backend server keeps serving.
-	watchPause = 600 * time.Millisecond
-	// retryPause is the least time between two calls while the store fails. The pause doubles up to
-	// maxRetryPause.
-	retryPause    = 50 * time.Millisecond
-	maxRetryPause = 400 * time.Millisecond
-	// expireInterval is the time between looks for lapsed registrations and idle connections.
-	expireInterval = 250 * time.Millisecond
+	// watchBatchDelay is a pause between watches that batches the registration changes from the
+	// backend servers' heartbeats into one call. It is short compared with the seconds for which a
+	// draining backend server keeps serving.
+	watchBatchDelay = 600 * time.Millisecond
+	// minRetryDelay is the initial delay between calls while the store fails. It doubles up to
+	// maxRetryDelay.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// expiryInterval is the time between checks for lapsed registrations.
+	expiryInterval = 250 * time.Millisecond
 )
 
 // Feed keeps the route table and the roster up to date from the store.
@@ -54,98 +56,98 @@
 	log    logrus.FieldLogger
 }
 
-// NewFeed returns a feed.
+// NewFeed returns a Feed.
 func NewFeed(s Source, t *route.Holder, r *Roster, log logrus.FieldLogger) *Feed {
 	return &Feed{source: s, tables: t, roster: r, log: log}
 }
 
-// Run follows the store until the context ends.
+// Run watches the store until the context ends.
 func (f *Feed) Run(ctx context.Context) {
 	var g errgroup.Group
 	g.Go(func() error {
-		f.follow(ctx)
+		f.listAndWatch(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		f.expire(ctx)
+		f.dropLapsed(ctx)
 		return nil
 	})
 	_ = g.Wait()
 }
 
-// follow lists the configuration and the registrations and then watches the store. One watch serves
-// both, because each waiting watch is a call that is paid for. A watch that fails is followed by a
-// list: a watch may be cut or its history be gone while the store is well. Only a list that fails
-// disturbs the roster.
-func (f *Feed) follow(ctx context.Context) {
-	wait, lost := retryPause, false
+// listAndWatch lists the configuration and the registrations and then watches the store. Both share
+// one watch, because each open watch is a billed call. A failed watch is followed by a new list and
+// is not a store failure: a watch may be cut, or its history compacted, while the store is healthy.
+// Only a failed list counts as a store failure for the roster.
+func (f *Feed) listAndWatch(ctx context.Context) {
+	delay, storeLost := minRetryDelay, false
 	for ctx.Err() == nil {
 		started := time.Now()
 		revision, err := f.list(ctx)
 		if err != nil {
-			// The disturbance ended no earlier than this call began. When it fails tells little: a call
-			// can wait for its time-out while the store is back.
-			f.roster.Disturbed(started)
-			if !lost {
+			// The store was still failing when this call began. The time of the error says little:
+			// a call can wait for its timeout after the store has recovered.
+			f.roster.StoreFailed(started)
+			if !storeLost {
 				f.log.WithError(err).Warn("store lost")
 			}
-			lost = true
-			pause.For(ctx, wait/2+rand.N(wait))
-			wait = min(2*wait, maxRetryPause)
+			storeLost = true
+			pause.For(ctx, delay/2+rand.N(delay))
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		if lost {
+		if storeLost {
 			f.log.WithField("revision", revision).Info("store regained")
 		}
-		lost, wait = false, retryPause
-		f.roster.Confirmed(time.Now())
+		storeLost, delay = false, minRetryDelay
+		f.roster.StoreConfirmed(time.Now())
 		f.watch(ctx, revision)
 	}
 }
 
-// list takes the present state and returns the revision from which to watch.
+// list loads the current state and returns the revision from which to watch.
 func (f *Feed) list(ctx context.Context) (uint64, error) {
 	config, revision, err := f.source.List(ctx, f.source.ConfigKey())
 	if err != nil {
 		return 0, err
 	}
 	for _, e := range config {
-		f.configEvent(external.Event{Entry: e})
+		f.applyConfig(external.Event{Entry: e})
 	}
 	servers, _, err := f.source.List(ctx, f.source.ServersPrefix())
 	if err != nil {
 		return 0, err
 	}
-	f.listServers(servers)
+	f.replaceServers(servers)
 	return revision, nil
 }
 
-// everything is the prefix of all keys.
-const everything = ""
+// allKeys is the prefix of all keys.
+const allKeys = ""
 
 func (f *Feed) watch(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
-		events, next, err := f.source.Watch(ctx, everything, revision)
+		events, next, err := f.source.Watch(ctx, allKeys, revision)
 		switch {
 		case errors.Is(err, external.ErrCompacted):
 			f.log.WithField("revision", revision).Info("history compacted; list again")
 			return
 		case err != nil:
 			if ctx.Err() == nil {
-				f.log.WithError(err).Info("watch ended; list again")
+				f.log.WithError(err).Info("watch ended, listing again")
 			}
 			return
 		}
-		f.roster.Confirmed(time.Now())
-		f.take(events)
+		f.roster.StoreConfirmed(time.Now())
+		f.applyEvents(events)
 		revision = next
 		if len(events) > 0 {
-			pause.For(ctx, watchPause)
+			pause.For(ctx, watchBatchDelay)
 		}
 	}
 }
 
-func (f *Feed) configEvent(e external.Event) {
+func (f *Feed) applyConfig(e external.Event) {
 	if e.Key != f.source.ConfigKey() {
 		return
 	}
@@ -164,10 +166,10 @@
 	}
 }
 
-func (f *Feed) listServers(entries []external.Entry) {
+func (f *Feed) replaceServers(entries []external.Entry) {
 	regs := make([]Registration, 0, len(entries))
 	for _, e := range entries {
-		if reg, ok := f.registration(e); ok {
+		if reg, ok := f.decodeRegistration(e); ok {
 			regs = append(regs, reg)
 		}
 	}
@@ -175,7 +177,7 @@
 	f.log.WithFields(logrus.Fields{"registered": len(regs), "entries": len(entries)}).Info("backend servers listed")
 }
 
-func (f *Feed) registration(e external.Entry) (Registration, bool) {
+func (f *Feed) decodeRegistration(e external.Entry) (Registration, bool) {
 	reg, err := f.source.Registration(e.Key, e.Value)
 	if err != nil {
 		f.log.WithError(err).WithField("key", e.Key).Warn("registration names no backend server")
@@ -183,18 +185,18 @@
 	return reg, err == nil
 }
 
-// take brings the events of one answer into force.
-func (f *Feed) take(events []external.Event) {
+// applyEvents applies the events of one watch response.
+func (f *Feed) applyEvents(events []external.Event) {
 	var changes []Change
 	var revisions []uint64
 	for _, e := range events {
 		switch {
 		case e.Key == f.source.ConfigKey():
-			f.configEvent(e)
+			f.applyConfig(e)
 		case strings.HasPrefix(e.Key, f.source.ServersPrefix()):
 			c := Change{ID: f.source.RegistrationID(e.Key)}
 			if !e.Deleted {
-				if reg, ok := f.registration(e.Entry); ok {
+				if reg, ok := f.decodeRegistration(e.Entry); ok {
 					c.Registration = &reg
 				}
 			}
@@ -206,15 +208,15 @@
 	}
 }
 
-// maxChangeLines bounds the lines about changes that one answer brings. Thousands of backend servers
-// start together, and each entry would write a line for each of them.
+// maxChangeLines limits the log lines per watch response: thousands of backend servers may start
+// together, and each gateway instance would log a line for each of them.
 const maxChangeLines = 20
 
-func (f *Feed) logChanges(changes []Change, revisions []uint64, done []bool) {
+func (f *Feed) logChanges(changes []Change, revisions []uint64, applied []bool) {
 	registered, gone, lines := 0, 0, 0
 	for i, c := range changes {
 		reg := c.Registration
-		if reg != nil && !done[i] {
+		if reg != nil && !applied[i] {
 			continue
 		}
 		if reg != nil {
@@ -227,7 +229,7 @@
 		}
 		log := f.log.WithFields(logrus.Fields{"server": c.ID, "revision": revisions[i]})
 		if reg == nil {
-			log.WithField("dropped", done[i]).Info("registration gone")
+			log.WithField("dropped", applied[i]).Info("registration gone")
 			continue
 		}
 		log.WithFields(logrus.Fields{
@@ -240,9 +242,9 @@
 	}
 }
 
-func (f *Feed) expire(ctx context.Context) {
-	for pause.For(ctx, expireInterval) {
-		for _, id := range f.roster.Expire(time.Now()) {
+func (f *Feed) dropLapsed(ctx context.Context) {
+	for pause.For(ctx, expiryInterval) {
+		for _, id := range f.roster.DropLapsed(time.Now()) {
 			f.log.WithField("server", id).Info("lapsed registration did not return")
 		}
 	}
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -15,86 +15,92 @@
 )
 
 const (
-	// maxSends bounds the backend servers that one request is offered to, refusals included.
-	maxSends = 4
-	// maxDials bounds the backend servers to which no connection could be made.
-	maxDials = 5
-	// leastTime is the least time left in which a request is worth sending.
-	leastTime = 10 * time.Millisecond
-	// maxAnswer bounds an answer that is read whole before it is passed on.
-	maxAnswer = 16 << 20
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+	// maxServersTried limits the backend servers to which a request is sent, including those that
+	// refuse it.
+	maxServersTried = 4
+	// maxConnectFailures limits the failed connection attempts per request.
+	maxConnectFailures = 5
+	// minTimeLeft is the shortest time before the deadline in which a request is still sent.
+	minTimeLeft = 10 * time.Millisecond
+	// maxResponseBody limits a response that is buffered before it is forwarded, in bytes.
+	maxResponseBody = 16 << 20
+	// minRetryAfter and maxRetryAfter limit the retry time told to a refused caller.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
-	// startRetryAfter is told by a process that has just started.
+	// startRetryAfter is the retry time while the process has no configuration yet.
 	startRetryAfter = time.Second
-	// releaseTimeout bounds the call that frees the memory of a prompt which was read in vain.
+	// releaseTimeout limits the call that releases an unused prefilled prompt.
 	releaseTimeout = time.Second
-	// writeSlack is how long after the deadline of a request its caller may still take to read.
-	writeSlack = 500 * time.Millisecond
+	// writeGrace is the time after the deadline within which the caller must have read the
+	// response.
+	writeGrace = 500 * time.Millisecond
 )
 
 // Outcomes of requests.
 const (
 	outcomeAnswered = "answered"
-	outcomeFailed   = "failed"  // the backend server's own failure, passed on
+	outcomeFailed   = "failed"  // error response of the backend server, forwarded
 	outcomeRefused  = "refused" // did not run
-	outcomeBroken   = "broken"  // may have run, no whole answer
-	outcomeTimeout  = "timeout" // may have run, no answer in time
+	outcomeBroken   = "broken"  // may have run, no complete response
+	outcomeTimeout  = "timeout" // may have run, no response before the deadline
 	outcomeGone     = "caller_gone"
 	outcomeInvalid  = "invalid"
 )
 
-// result is how one attempt ended.
-type result int
+// attemptResult is the result of one attempt.
+type attemptResult int
 
 const (
-	finished result = iota // the caller has its answer, or is gone
-	notSent                // the backend server got nothing
-	notRun                 // the backend server refused
-	unknown                // may have run
-	failed                 // ran and failed
+	resultFinished attemptResult = iota // the caller has its response or has disconnected
+	resultNotSent                       // nothing was sent to the backend server
+	resultNotRun                        // the backend server refused the request
+	resultUnknown                       // may have run
+	resultFailed                        // ran and failed
 )
 
-// request is one caller's request in progress.
+// request is the state of one caller's request.
 type request struct {
 	g       *Gateway
 	w       http.ResponseWriter
 	r       *http.Request
 	ctx     context.Context
 	started time.Time
-	// deadline is the earlier of the caller's and the route's.
-	deadline time.Time
-	route    *route.Route
-	service  string
-	call     Call
-	keys     []uint64
-	body     []byte
-
-	tried []*live
+	// deadline is the earlier of the caller's and the route's deadline.
+	deadline   time.Time
+	route      *route.Route
+	service    string
+	call       Call
+	prefixKeys []uint64
+	body       []byte
+
+	tried []*serverState
+	// sends counts the attempts that reached a backend server, runs those that may have run the
+	// request.
 	sends int
-	// reads are the readings of the prompt that were asked of other backend servers.
-	reads int
-	// source is a prompt that was read and not fetched yet, at reader.
-	source string
-	reader *Server
-	vain   []vain
-	dials  int
-	runs   int
-	// failure is the backend server's own failure, passed on if nothing better comes.
-	failure *answer
-	// began is true once the caller has got the header of the answer.
-	began     bool
-	lastEvent string
-	events    int
-	first     time.Duration
-	last      choice
-	cause     string
-	version   uint64
+	// prefills counts the prefills requested from other backend servers.
+	prefills int
+	// prefilled is the address and handle of a prompt that prefillServer has prefilled and that was
+	// not fetched yet.
+	prefilled       string
+	prefillServer   *Server
+	unusedPrefills  []unusedPrefill
+	connectFailures int
+	runs            int
+	// serverError is a backend server's error response. It is forwarded if no other attempt
+	// succeeds.
+	serverError *response
+	// headerSent is true once the response header was sent to the caller.
+	headerSent    bool
+	lastEvent     string
+	events        int
+	timeToFirst   time.Duration
+	lastChoice    choice
+	cause         string
+	configVersion uint64
 }
 
-// answer is a whole answer of a backend server.
-type answer struct {
+// response is a complete response of a backend server.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
@@ -108,11 +114,11 @@
 		q.refuse("no_configuration", startRetryAfter)
 		return
 	}
-	q.version = table.Version
+	q.configVersion = table.Version
 	q.route = table.Match(r.Host, r.URL.Path)
 	if q.route == nil {
 		g.metrics.Refusal("", "no_route")
-		q.reply(http.StatusNotFound, outcomeInvalid, "no_route")
+		q.replyError(http.StatusNotFound, outcomeInvalid, "no_route")
 		return
 	}
 	q.call = g.codec.Call(r)
@@ -125,27 +131,27 @@
 		return
 	}
 	if q.route.Prompt {
-		q.keys = chain(q.call.Parts)
+		q.prefixKeys = prefixKeys(q.call.Parts)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	q.ctx = ctx
-	defer q.release(context.WithoutCancel(ctx))
-	_ = http.NewResponseController(w).SetWriteDeadline(q.deadline.Add(writeSlack))
-	g.budget(q.service).Fresh(q.started)
+	defer q.releasePrefills(context.WithoutCancel(ctx))
+	_ = http.NewResponseController(w).SetWriteDeadline(q.deadline.Add(writeGrace))
+	g.retryBudget(q.service).Fresh(q.started)
 	q.serve()
 }
 
-// defaultMaxBody bounds a body if the configuration names no limit.
+// defaultMaxBody limits request bodies if the configuration sets no limit, in bytes.
 const defaultMaxBody = 8 << 20
 
-// readBody reads the whole body, at most until the request's deadline.
+// readBody reads the whole request body, at most until the deadline.
 func (q *request) readBody(limit int64) bool {
 	if limit <= 0 {
 		limit = defaultMaxBody
 	}
 	if q.r.ContentLength > limit {
-		q.invalid(http.StatusRequestEntityTooLarge, "body_too_large")
+		q.rejectInvalid(http.StatusRequestEntityTooLarge, "body_too_large")
 		return false
 	}
 	if q.r.ContentLength == 0 {
@@ -157,13 +163,13 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		q.invalid(http.StatusRequestEntityTooLarge, "body_too_large")
+		q.rejectInvalid(http.StatusRequestEntityTooLarge, "body_too_large")
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		q.invalid(http.StatusRequestTimeout, "body_too_slow")
+		q.rejectInvalid(http.StatusRequestTimeout, "body_too_slow")
 		return false
 	case err != nil:
-		q.invalid(http.StatusBadRequest, "body_unreadable")
+		q.rejectInvalid(http.StatusBadRequest, "body_unreadable")
 		return false
 	}
 	_ = conn.SetReadDeadline(time.Time{})
@@ -171,64 +177,64 @@
 	return true
 }
 
-// invalid answers a request that cannot be served as it is. Its connection ends, and its read deadline
-// stays, because the rest of the body may be on its way.
-func (q *request) invalid(status int, cause string) {
+// rejectInvalid answers a request that cannot be served. The connection is closed and its read
+// deadline is kept, because the rest of the body may still be in transit.
+func (q *request) rejectInvalid(status int, cause string) {
 	q.w.Header().Set("Connection", "close")
 	q.g.metrics.Refusal(q.service, cause)
-	q.reply(status, outcomeInvalid, cause)
+	q.replyError(status, outcomeInvalid, cause)
 }
 
-// serve sends the request until it is answered or must be given up.
+// serve attempts the request until it is answered or has to be abandoned.
 func (q *request) serve() {
 	for {
 		now := time.Now()
-		if callerLeft(q.r) {
-			q.done(outcomeGone, "")
+		if callerDisconnected(q.r) {
+			q.finish(outcomeGone, "")
 			return
 		}
-		if q.deadline.Sub(now) < leastTime {
+		if q.deadline.Sub(now) < minTimeLeft {
 			q.giveUp("deadline")
 			return
 		}
-		if q.sends > 0 && !q.mayRepeat() {
+		if q.sends > 0 && !q.mayRetry() {
 			q.giveUp(q.cause)
 			return
 		}
 		query := q.query()
 		c := q.g.decider.choose(query, now)
-		q.last = c
+		q.lastChoice = c
 		if c.server == nil {
-			q.giveUp(q.because(c.reason))
+			q.giveUp(q.joinCause(c.reason))
 			return
 		}
 		if q.sends == 0 && !q.g.decider.admit(query, &c, now) {
-			q.refuse("overload", q.g.decider.comeBack(q.deadline, now))
+			q.refuse("overload", q.g.decider.retryAfter(q.deadline, now))
 			return
 		}
-		if !q.pay(&c, now) {
-			q.giveUp(q.because("budget"))
+		if !q.takeRetryBudget(&c, now) {
+			q.giveUp(q.joinCause("budget"))
 			return
 		}
 		switch res := q.attempt(&c, now); res {
-		case finished:
+		case resultFinished:
 			return
-		case notSent:
-			if q.dials++; q.dials >= maxDials {
+		case resultNotSent:
+			if q.connectFailures++; q.connectFailures >= maxConnectFailures {
 				q.giveUp("unreachable")
 				return
 			}
-		case notRun:
+		case resultNotRun:
 			q.sends++
-		case unknown, failed:
+		case resultUnknown, resultFailed:
 			q.sends++
 			q.runs++
 		}
 	}
 }
 
-// because joins the cause of the last attempt, if there was one, with the reason for giving up.
-func (q *request) because(reason string) string {
+// joinCause prefixes the reason for giving up with the cause of the last failed attempt, if any.
+func (q *request) joinCause(reason string) string {
 	if q.cause == "" {
 		return reason
 	}
@@ -236,87 +242,87 @@
 }
 
 func (q *request) query() *Query {
-	out := &Query{Route: q.route, Service: q.service, Call: &q.call, Deadline: q.deadline, keys: q.keys, tried: q.tried}
-	if q.source != "" {
-		out.reader = q.reader
+	out := &Query{Route: q.route, Service: q.service, Call: &q.call, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
+	if q.prefilled != "" {
+		out.prefillServer = q.prefillServer
 	}
 	return out
 }
 
-// mayRepeat tells whether the request may be offered once more.
-func (q *request) mayRepeat() bool {
-	return q.sends < maxSends && q.runs < q.route.MaxAttempts && (q.runs == 0 || q.route.Repeatable)
+// mayRetry reports whether the request may be sent to another backend server.
+func (q *request) mayRetry() bool {
+	return q.sends < maxServersTried && q.runs < q.route.MaxAttempts && (q.runs == 0 || q.route.Repeatable)
 }
 
-// pay spends the retry budget on what the next attempt sends beyond the first run and the first
-// reading of the prompt.
-func (q *request) pay(c *choice, now time.Time) bool {
-	b := q.g.budget(q.service)
-	if c.reader != nil && q.reads > 0 && !b.Take(now) {
+// takeRetryBudget charges the retry budget for everything that the next attempt sends beyond the
+// first run and the first prefill. It returns false if the budget is exhausted.
+func (q *request) takeRetryBudget(c *choice, now time.Time) bool {
+	budget := q.g.retryBudget(q.service)
+	if c.prefillServer != nil && q.prefills > 0 && !budget.Take(now) {
 		return false
 	}
-	return q.sends == 0 || b.Take(now)
+	return q.sends == 0 || budget.Take(now)
 }
 
 // attempt sends the request to the chosen backend servers.
-func (q *request) attempt(c *choice, now time.Time) result {
-	s := &Send{Server: c.server, Priority: q.route.Priority, After: q.after()}
-	if c.reader != nil {
-		q.reads++
+func (q *request) attempt(c *choice, now time.Time) attemptResult {
+	s := &Send{Server: c.server, Priority: q.route.Priority, After: q.resumeAfter()}
+	if c.prefillServer != nil {
+		q.prefills++
 		source, res, ok := q.prefill(c)
 		if !ok {
-			if res != finished {
+			if res != resultFinished {
 				q.logAttempt(c, res, now)
 			}
 			return res
 		}
-		q.source, q.reader = source, c.reader
+		q.prefilled, q.prefillServer = source, c.prefillServer
 	}
-	s.Source = q.source
-	q.tried = append(q.tried, c.server.live)
-	unread := c.unread
+	s.Source = q.prefilled
+	q.tried = append(q.tried, c.server.state)
+	uncachedTokens := c.uncachedTokens
 	if s.Source != "" {
-		unread = 0
+		uncachedTokens = 0
 	}
 	v := c.server.view(now)
-	ahead, delay := v.pending, time.Duration(decodeDelay(c.server, v)*float64(time.Second))
+	tokensAhead, delay := v.pendingTokens, time.Duration(decodeDelay(c.server, v)*float64(time.Second))
 	sentAt := time.Now()
-	c.server.sent(unread, sentAt)
-	q.g.decider.prefixes.note(q.keys, c.server.key, sentAt)
-	o := &offer{q: q, s: c.server, send: s, unread: unread, ahead: ahead, sentAt: sentAt}
+	c.server.recordSent(uncachedTokens, sentAt)
+	q.g.decider.prefixes.record(q.prefixKeys, c.server.key, sentAt)
+	a := &attempt{q: q, server: c.server, send: s, uncachedTokens: uncachedTokens, tokensAhead: tokensAhead, sentAt: sentAt}
 	if s.Source != "" {
-		o.from, o.delay = q.reader, delay
+		a.transferFrom, a.expectedDelay = q.prefillServer, delay
 	}
-	res := o.account()
+	res := a.do()
 	q.g.metrics.Attempt(q.service, res.String())
-	q.countPrompt(c)
-	if res != finished {
+	q.recordPromptTokens(c)
+	if res != resultFinished {
 		q.logAttempt(c, res, sentAt)
 	}
-	if res == unknown || res == failed {
-		q.drop()
+	if res == resultUnknown || res == resultFailed {
+		q.discardPrefill()
 	}
 	return res
 }
 
-// countPrompt counts where the tokens of the prompt came from, as far as the choice expected it.
-func (q *request) countPrompt(c *choice) {
+// recordPromptTokens records the origin of the prompt's tokens as expected by the choice.
+func (q *request) recordPromptTokens(c *choice) {
 	if !q.route.Prompt {
 		return
 	}
-	all := float64(q.call.PromptTokens)
-	if c.reason == reasonRead {
-		q.g.metrics.Prompt(q.service, PromptTokens{Moved: all})
+	total := float64(q.call.PromptTokens)
+	if c.reason == reasonReadBefore {
+		q.g.metrics.Prompt(q.service, PromptTokens{Moved: total})
 		return
 	}
-	p := PromptTokens{Kept: max(0, all-c.unread), Read: min(all, c.unread)}
-	if c.reader != nil {
-		p.Moved = all
+	p := PromptTokens{Kept: max(0, total-c.uncachedTokens), Read: min(total, c.uncachedTokens)}
+	if c.prefillServer != nil {
+		p.Moved = total
 	}
 	q.g.metrics.Prompt(q.service, p)
 }
 
-func (q *request) after() string {
+func (q *request) resumeAfter() string {
 	if q.lastEvent != "" {
 		return q.lastEvent
 	}
@@ -326,49 +332,49 @@
 // giveUp ends a request that was not answered.
 func (q *request) giveUp(cause string) {
 	switch {
-	case q.began:
-		q.done(outcomeBroken, cause)
-		// The connection is broken off, so that what was sent does not look complete.
+	case q.headerSent:
+		q.finish(outcomeBroken, cause)
+		// Aborts the connection, so that the partial response does not look complete.
 		panic(http.ErrAbortHandler)
-	case q.failure != nil:
-		q.write(q.failure)
-		q.done(outcomeFailed, cause)
+	case q.serverError != nil:
+		q.writeResponse(q.serverError)
+		q.finish(outcomeFailed, cause)
 	case q.runs == 0:
 		q.refuse(cause, minRetryAfter)
-	case !time.Now().Before(q.deadline.Add(-leastTime)):
-		q.reply(http.StatusGatewayTimeout, outcomeTimeout, cause)
+	case !time.Now().Before(q.deadline.Add(-minTimeLeft)):
+		q.replyError(http.StatusGatewayTimeout, outcomeTimeout, cause)
 	default:
-		q.reply(http.StatusBadGateway, outcomeBroken, cause)
+		q.replyError(http.StatusBadGateway, outcomeBroken, cause)
 	}
 }
 
-// refuse promises that the request did not run.
+// refuse tells the caller that the request did not run.
 func (q *request) refuse(cause string, after time.Duration) {
 	q.g.metrics.Refusal(q.service, cause)
 	q.g.codec.Refusal(q.w.Header(), after)
-	q.reply(http.StatusServiceUnavailable, outcomeRefused, cause)
+	q.replyError(http.StatusServiceUnavailable, outcomeRefused, cause)
 }
 
-func (q *request) reply(status int, outcome, cause string) {
+func (q *request) replyError(status int, outcome, cause string) {
 	http.Error(q.w, cause, status)
-	q.done(outcome, cause)
+	q.finish(outcome, cause)
 }
 
-// write passes on a whole answer unchanged.
-func (q *request) write(a *answer) {
-	q.begin(a.status, a.header, len(a.body))
-	_, _ = q.w.Write(a.body)
+// writeResponse forwards a complete response unchanged.
+func (q *request) writeResponse(resp *response) {
+	q.writeHeader(resp.status, resp.header, len(resp.body))
+	_, _ = q.w.Write(resp.body)
 }
 
-// begin sends the header of an answer. length is negative if it is not known.
-func (q *request) begin(status int, received http.Header, length int) {
-	q.began = true
+// writeHeader sends the response header. length is the size of the body, or negative if unknown.
+func (q *request) writeHeader(status int, received http.Header, length int) {
+	q.headerSent = true
 	h := q.w.Header()
 	for name, values := range q.g.codec.Answer(received) {
 		h[name] = values
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // disables content sniffing by net/http
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.Itoa(length))
@@ -376,24 +382,25 @@
 	q.w.WriteHeader(status)
 }
 
-// logAttempt notes an attempt that did not answer the request. Answers are noted once, by done.
-func (q *request) logAttempt(c *choice, res result, sentAt time.Time) {
+// logAttempt logs an attempt that did not answer the request. Successful attempts are logged by
+// finish only.
+func (q *request) logAttempt(c *choice, res attemptResult, sentAt time.Time) {
 	f := logrus.Fields{
-		"request": q.call.ID, "route": q.route.Name, "service": q.service, "config": q.version, "attempt": q.sends + q.dials + 1,
+		"request": q.call.ID, "route": q.route.Name, "service": q.service, "config": q.configVersion, "attempt": q.sends + q.connectFailures + 1,
 		"result": res.String(), "cause": q.cause, "took_ms": time.Since(sentAt).Milliseconds(), "choice": c.reason,
-		"events": q.events, "left_ms": time.Until(q.deadline).Milliseconds(), "budget_left": int(q.g.budget(q.service).Left(time.Now())),
+		"events": q.events, "left_ms": time.Until(q.deadline).Milliseconds(), "budget_left": int(q.g.retryBudget(q.service).Left(time.Now())),
 	}
 	if c.server != nil {
 		f["server"] = c.server.ID
 	}
-	if c.reader != nil {
-		f["reader"] = c.reader.ID
+	if c.prefillServer != nil {
+		f["reader"] = c.prefillServer.ID
 	}
 	q.g.log.WithFields(f).Info("attempt")
 }
 
-// done counts and logs the end of a request.
-func (q *request) done(outcome, cause string) {
+// finish records and logs the end of a request.
+func (q *request) finish(outcome, cause string) {
 	elapsed := time.Since(q.started)
 	name := ""
 	if q.route != nil {
@@ -401,19 +408,19 @@
 	}
 	kind := q.kind()
 	q.g.metrics.Request(q.service, kind, outcome, elapsed)
-	if q.first > 0 {
-		q.g.metrics.FirstEvent(q.service, kind, q.first)
+	if q.timeToFirst > 0 {
+		q.g.metrics.FirstEvent(q.service, kind, q.timeToFirst)
 	}
 	f := logrus.Fields{
-		"request": q.call.ID, "route": name, "service": q.service, "config": q.version, "outcome": outcome,
-		"elapsed_ms": elapsed.Milliseconds(), "first_ms": q.first.Milliseconds(), "sends": q.sends, "runs": q.runs,
-		"expected_ms": q.last.first.Milliseconds(), "unread": int(q.last.unread), "choice": q.last.reason, "considered": q.last.considered,
+		"request": q.call.ID, "route": name, "service": q.service, "config": q.configVersion, "outcome": outcome,
+		"elapsed_ms": elapsed.Milliseconds(), "first_ms": q.timeToFirst.Milliseconds(), "sends": q.sends, "runs": q.runs,
+		"expected_ms": q.lastChoice.timeToFirst.Milliseconds(), "unread": int(q.lastChoice.uncachedTokens), "choice": q.lastChoice.reason, "considered": q.lastChoice.considered,
 	}
-	if q.last.server != nil {
-		f["server"] = q.last.server.ID
+	if q.lastChoice.server != nil {
+		f["server"] = q.lastChoice.server.ID
 	}
-	if q.last.reader != nil {
-		f["reader"] = q.last.reader.ID
+	if q.lastChoice.prefillServer != nil {
+		f["reader"] = q.lastChoice.prefillServer.ID
 	}
 	if cause != "" {
 		f["cause"] = cause
@@ -444,6 +451,6 @@
 	return kindOnce
 }
 
-func (r result) String() string {
+func (r attemptResult) String() string {
 	return [...]string{"answered", "not_sent", "not_run", "unknown", "failed"}[r]
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway serves callers whose requests pass through unchanged to backend servers that an
-// operator's route table names. It decides which backend server gets a request, what is refused,
-// what is sent again, and how an answer is relayed. How an installation spells all this on the wire
-// is left to a Codec.
+// Package gateway is a reverse proxy that forwards requests unchanged to backend servers named by
+// the operator's route table. It selects a backend server for each request, rejects requests that
+// cannot be served in time, retries failed attempts within a budget and relays the responses. The
+// header and body formats of an installation are left to a Codec.
 package gateway
 
 import (
@@ -17,89 +17,92 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// Part is one part of a prompt. Equal IDs are equal text.
+// Part is one section of a prompt. Parts with equal IDs have equal text.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Call is what a caller declares about its request.
+// Call holds the metadata that a caller sends with its request.
 type Call struct {
-	// ID names one attempt of one caller.
+	// ID identifies one attempt of one caller.
 	ID string
-	// Remaining is how long the caller waits; zero if it did not say.
+	// Remaining is the time that the caller is still willing to wait; zero if it did not say.
 	Remaining    time.Duration
 	PromptTokens int
 	OutputTokens int
-	// Parts make up the prompt in order. The last one is the request's own.
+	// Parts lists the sections of the prompt in order. The last one is specific to this request.
 	Parts []Part
-	// After is the last event that the caller has, if it resumes a stream.
+	// After is the ID of the last event that the caller received, if it resumes a stream.
 	After string
 }
 
-// Send is what a request to a backend server carries besides what the caller sent.
+// Send holds what the gateway adds to a request that it forwards to a backend server.
 type Send struct {
 	Server    *Server
 	Remaining time.Duration
 	Priority  int
-	// Prefill asks for the prompt to be read only.
+	// Prefill asks the backend server only to prefill the prompt, without generating an answer.
 	Prefill bool
-	// Source names the backend server and the handle of a prompt that was read there.
+	// Source is the address of the backend server that prefilled the prompt and the handle of the
+	// result there; empty if the prompt was not prefilled elsewhere.
 	Source string
-	// After resumes a stream after this event.
+	// After is the ID of the event after which the stream resumes.
 	After string
 }
 
-// Load is the load that a backend server tells with an answer.
+// Load is the load that a backend server reports with a response.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Mark is what an answer says about itself.
+// Mark is the metadata of a response.
 type Mark struct {
-	// ID is the request that the answer belongs to; empty if it does not say.
+	// ID is the ID of the request that the response answers; empty if the response has none.
 	ID string
-	// Signed answers were made by a backend server that worked on the request.
+	// Signed is true if the response was made by a backend server that processed the request.
 	Signed bool
-	// NotRun promises that the request did not run.
+	// NotRun is true if the backend server guarantees that it did not run the request.
 	NotRun bool
-	// Elsewhere means that another backend server has the address.
+	// Elsewhere is true if the address now belongs to another backend server.
 	Elsewhere bool
 	Load      *Load
 }
 
-// Codec spells requests and answers as the installation does.
+// Codec translates requests and responses to and from the wire format of an installation.
 type Codec interface {
-	// Call reads what a caller declares.
+	// Call decodes the metadata of a caller's request.
 	Call(r *http.Request) Call
-	// Header returns the header of a request to a backend server.
+	// Header returns the header to send to a backend server.
 	Header(received http.Header, s *Send) http.Header
-	// Answer returns the header of an answer to the caller.
+	// Answer returns the header to send to the caller.
 	Answer(received http.Header) http.Header
-	// Mark reads what an answer says about itself.
+	// Mark decodes the metadata of a response.
 	Mark(status int, h http.Header) Mark
-	// Handle reads the handle of a prompt that was read.
+	// Handle decodes the handle of a prefilled prompt from a response body.
 	Handle(body []byte) (string, error)
-	// Release returns the request that frees a handle.
+	// Release returns the method and target of the request that releases a handle.
 	Release(handle string) (method, target string)
-	// Refusal sets the header that tells a caller when to come back.
+	// Refusal sets the header that tells a refused caller when to retry.
 	Refusal(h http.Header, after time.Duration)
 }
 
-// Config sets a Gateway.
+// Config configures a Gateway.
 type Config struct {
-	// Instance and DataCentre are those of this process.
+	// Instance and DataCentre identify this process and its location.
 	Instance   string
 	DataCentre string
-	// RetryWindow, RetryShare and RetrySlack bound the requests that are sent again to one service,
-	// as a share of the requests for it in a sliding window.
+	// RetryWindow, RetryShare and RetrySlack limit the retries per service: in a sliding window, at
+	// most the given share of the service's requests plus the slack.
 	RetryWindow time.Duration
 	RetryShare  float64
 	RetrySlack  float64
 }
 
-// Gateway serves callers. It is safe for concurrent use.
-// Lock order: Gateway.mu or Roster.mu, then live.mu of one backend server; Decider.mu and prefixes.mu are held alone.
+// Gateway forwards callers' requests to backend servers. It is safe for concurrent use.
+//
+// Lock order: Gateway.mu or Roster.mu before serverState.mu of a single backend server. Decider.mu
+// and prefixTable.mu are never held together with another lock.
 type Gateway struct {
 	cfg     Config
 	codec   Codec
@@ -110,38 +113,39 @@
 	metrics Metrics
 	log     logrus.FieldLogger
 
-	mu      sync.Mutex
-	budgets map[string]*retry.Window
+	mu           sync.Mutex
+	retryBudgets map[string]*retry.Window
 }
 
-// Metrics counts what happens to requests.
+// Metrics records request metrics.
 type Metrics interface {
 	Request(service, kind, outcome string, elapsed time.Duration)
 	Refusal(service, reason string)
 	FirstEvent(service, kind string, d time.Duration)
-	// Pause is the time between two events of a stream.
+	// Pause records the time between two consecutive events of a stream.
 	Pause(service string, d time.Duration)
 	Attempt(service, outcome string)
 	Prompt(service string, p PromptTokens)
 	RoleOrder(service, role, outcome string)
 }
 
-// PromptTokens is where the tokens of a prompt came from, as expected by the choice of servers.
+// PromptTokens counts the tokens of a prompt by origin, as expected when the backend servers were
+// selected.
 type PromptTokens struct {
-	// Kept were in the memory of the backend server that read the prompt, Read were read by it, and
-	// Moved were fetched by another one that generated the answer.
+	// Kept tokens were cached on the backend server that prefilled the prompt, Read tokens were
+	// processed by it, and Moved tokens were transferred to another one that generated the answer.
 	Kept, Read, Moved float64
 }
 
-// New returns a gateway.
+// New returns a Gateway.
 func New(cfg Config, codec Codec, tables *route.Holder, roster *Roster, pool *upstream.Pool, m Metrics, log logrus.FieldLogger) *Gateway {
 	return &Gateway{
 		cfg: cfg, codec: codec, tables: tables, roster: roster, pool: pool, decider: NewDecider(cfg.DataCentre, roster, rand.Float64),
-		metrics: m, log: log, budgets: make(map[string]*retry.Window),
+		metrics: m, log: log, retryBudgets: make(map[string]*retry.Window),
 	}
 }
 
-// Ready tells whether requests can be served, or why not.
+// Ready reports whether requests can be served, and if not, the reason.
 func (g *Gateway) Ready() (bool, string) {
 	switch {
 	case g.tables.Table() == nil:
@@ -152,17 +156,18 @@
 	return true, ""
 }
 
-// budgetUse is the part of the retry budget that is used. Requests count here when they arrive, and
-// for the callers when they send them; a process that is replaced forgets what it has counted.
-const budgetUse = 0.9
+// retryBudgetFraction is the fraction of the configured retry budget that is used. The rest is a
+// margin: requests are counted here when they arrive but by callers when they are sent, and a
+// restarted process loses its counts.
+const retryBudgetFraction = 0.9
 
-func (g *Gateway) budget(service string) *retry.Window {
+func (g *Gateway) retryBudget(service string) *retry.Window {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.budgets[service]
+	b := g.retryBudgets[service]
 	if b == nil {
-		b = retry.NewWindow(g.cfg.RetryWindow, budgetUse*g.cfg.RetryShare, g.cfg.RetrySlack)
-		g.budgets[service] = b
+		b = retry.NewWindow(g.cfg.RetryWindow, retryBudgetFraction*g.cfg.RetryShare, g.cfg.RetrySlack)
+		g.retryBudgets[service] = b
 	}
 	return b
 }
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -11,180 +11,185 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// offer is one request to one backend server.
-type offer struct {
-	q       *request
-	s       *Server
-	send    *Send
-	unread  float64
-	ahead   float64
-	sentAt  time.Time
-	counted bool
-	// from has read the prompt, which moves to s; nil if there is no move.
-	from *Server
-	// delay is expected before the first event for other reasons than the move.
-	delay time.Duration
+// attempt is one request sent to one backend server.
+type attempt struct {
+	q              *request
+	server         *Server
+	send           *Send
+	uncachedTokens float64
+	tokensAhead    float64
+	sentAt         time.Time
+	prefillCounted bool
+	// transferFrom has prefilled the prompt, which is transferred to server; nil if there is no
+	// transfer, or after it was recorded.
+	transferFrom *Server
+	// expectedDelay is the expected delay of the first event from causes other than the transfer.
+	expectedDelay time.Duration
 }
 
-// account runs the offer and counts it as ended. A stream that is broken off ends by a panic.
-func (o *offer) account() result {
-	defer o.s.ended()
-	defer o.readDone()
-	res := o.run()
-	if now := time.Now(); o.from != nil && res != notRun && res != notSent {
-		moveGivenUp(o.from, o.s, o.moveTime(now), o.sentAt, now)
+// do executes the attempt and records its end. The deferred calls also run when a broken stream
+// ends in a panic with http.ErrAbortHandler.
+func (a *attempt) do() attemptResult {
+	defer a.server.recordEnded()
+	defer a.prefillDone()
+	res := a.execute()
+	if now := time.Now(); a.transferFrom != nil && res != resultNotRun && res != resultNotSent {
+		recordAbandonedTransfer(a.transferFrom, a.server, a.excessTransferTime(now), a.sentAt, now)
 	}
 	return res
 }
 
-// moveDone notes how long the move of the prompt took, once.
-func (o *offer) moveDone(now time.Time) {
-	if o.from == nil {
+// recordTransfer records the duration of the prompt transfer. Only the first call has an effect.
+func (a *attempt) recordTransfer(now time.Time) {
+	if a.transferFrom == nil {
 		return
 	}
-	extra := o.moveTime(now)
-	o.from.moved(extra, now)
-	o.s.moved(extra, now)
-	o.from = nil
+	extra := a.excessTransferTime(now)
+	a.transferFrom.recordTransfer(extra, now)
+	a.server.recordTransfer(extra, now)
+	a.transferFrom = nil
 }
 
-// moveTime is how much longer than expected the first event takes.
-func (o *offer) moveTime(now time.Time) time.Duration {
-	return now.Sub(o.sentAt) - handover - o.delay
+// excessTransferTime returns how much later than expected the first event arrives.
+func (a *attempt) excessTransferTime(now time.Time) time.Duration {
+	return now.Sub(a.sentAt) - transferTime - a.expectedDelay
 }
 
-// readDone counts the prompt as read by the backend server, once.
-func (o *offer) readDone() {
-	if !o.counted {
-		o.counted = true
-		o.s.read(o.unread)
+// prefillDone records that the backend server has prefilled the prompt. Only the first call has an
+// effect.
+func (a *attempt) prefillDone() {
+	if !a.prefillCounted {
+		a.prefillCounted = true
+		a.server.recordPrefilled(a.uncachedTokens)
 	}
 }
 
-func (o *offer) run() result {
-	resp, mark, res := o.exchange()
+func (a *attempt) execute() attemptResult {
+	resp, mark, res := a.roundTrip()
 	if resp == nil {
 		return res
 	}
-	defer resp.Close(o.q.g.pool)
+	defer resp.Close(a.q.g.pool)
 	switch {
 	case mark.NotRun || mark.Elsewhere:
-		return o.refused(resp, mark)
+		return a.handleRefusal(resp, mark)
 	case resp.StatusCode/100 == 2:
 		if !mark.Signed || resp.Header.Get("Content-Encoding") != "" {
-			return o.broken("not_a_servers_answer")
+			return a.recordBroken("not_a_servers_answer")
 		}
 		// The backend server has fetched the prompt.
-		o.q.source = ""
-		if o.q.route.Stream {
-			return o.relay(resp)
+		a.q.prefilled = ""
+		if a.q.route.Stream {
+			return a.relayStream(resp)
 		}
-		return o.whole(resp)
+		return a.forwardWhole(resp)
 	default:
-		return o.failure(resp, mark)
+		return a.handleErrorStatus(resp, mark)
 	}
 }
 
-// exchange sends the request and waits for the header of its answer.
-func (o *offer) exchange() (*upstream.Response, Mark, result) {
-	q := o.q
-	o.send.Remaining = time.Until(q.deadline)
+// roundTrip sends the request and waits for the response header.
+func (a *attempt) roundTrip() (*upstream.Response, Mark, attemptResult) {
+	q := a.q
+	a.send.Remaining = time.Until(q.deadline)
 	codec := q.g.codec
-	resp, err := q.g.pool.Do(q.ctx, o.s.Address, &upstream.Request{
+	resp, err := q.g.pool.Do(q.ctx, a.server.Address, &upstream.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
-		Header: codec.Header(q.r.Header, o.send), Body: q.body,
-	}, q.belongs)
+		Header: codec.Header(q.r.Header, a.send), Body: q.body,
+	}, q.isResponseToRequest)
 	now := time.Now()
 	switch {
 	case err == nil:
 		m := codec.Mark(resp.StatusCode, resp.Header)
-		o.s.heard(m.Load, now)
-		return resp, m, finished
+		a.server.recordActivity(m.Load, now)
+		return resp, m, resultFinished
 	case q.r.Context().Err() != nil:
-		q.done(outcomeGone, "")
-		return nil, Mark{}, finished
+		q.finish(outcomeGone, "")
+		return nil, Mark{}, resultFinished
 	case errors.Is(err, upstream.ErrNotSent):
-		o.s.unreachable(now)
+		a.server.recordUnreachable(now)
 		q.cause = "unreachable"
 		if q.ctx.Err() != nil {
-			return nil, Mark{}, notRun
+			return nil, Mark{}, resultNotRun
 		}
-		return nil, Mark{}, notSent
+		return nil, Mark{}, resultNotSent
 	case q.ctx.Err() != nil:
-		o.s.result(0.5, now)
+		a.server.recordResult(0.5, now)
 		q.cause = "deadline"
-		return nil, Mark{}, unknown
+		return nil, Mark{}, resultUnknown
 	default:
-		return nil, Mark{}, o.broken(err.Error())
+		return nil, Mark{}, a.recordBroken(err.Error())
 	}
 }
 
-// belongs tells whether an answer is to this request. A refusal may come without an ID; any other
-// answer without one is taken only if nothing else was sent on the connection.
-func (q *request) belongs(resp *http.Response, fresh bool) bool {
+// isResponseToRequest reports whether a response belongs to this request. A response without an ID
+// is accepted only if it is a refusal or if the connection was used for nothing else.
+func (q *request) isResponseToRequest(resp *http.Response, fresh bool) bool {
 	m := q.g.codec.Mark(resp.StatusCode, resp.Header)
 	return m.ID == q.call.ID || (m.ID == "" && (fresh || m.NotRun || m.Elsewhere))
 }
 
-func (o *offer) broken(cause string) result {
-	o.s.result(1, time.Now())
-	o.q.cause = cause
-	return unknown
+func (a *attempt) recordBroken(cause string) attemptResult {
+	a.server.recordResult(1, time.Now())
+	a.q.cause = cause
+	return resultUnknown
 }
 
-func (o *offer) refused(resp *upstream.Response, m Mark) result {
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDiscard))
+func (a *attempt) handleRefusal(resp *upstream.Response, m Mark) attemptResult {
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDiscardedBody))
 	if m.Elsewhere {
-		o.s.unreachable(time.Now())
-		o.q.cause = "another_server_at_address"
-		return notRun
+		a.server.recordUnreachable(time.Now())
+		a.q.cause = "another_server_at_address"
+		return resultNotRun
 	}
-	o.s.refused(time.Now())
-	o.q.cause = "server_full"
-	return notRun
+	a.server.recordRefusal(time.Now())
+	a.q.cause = "server_full"
+	return resultNotRun
 }
 
-// maxDiscard bounds the body of a refusal that is read so that its connection can be kept.
-const maxDiscard = 64 << 10
+// maxDiscardedBody limits the body of a refusal that is read so that the connection can be reused,
+// in bytes.
+const maxDiscardedBody = 64 << 10
 
-// whole passes on an answer after all of it was received.
-func (o *offer) whole(resp *upstream.Response) result {
-	body, err := io.ReadAll(io.LimitReader(resp, maxAnswer+1))
+// forwardWhole forwards a response after receiving all of it.
+func (a *attempt) forwardWhole(resp *upstream.Response) attemptResult {
+	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBody+1))
 	switch {
-	case o.q.r.Context().Err() != nil:
-		o.q.done(outcomeGone, "")
-		return finished
-	case err != nil || len(body) > maxAnswer:
-		return o.broken("answer_not_whole")
+	case a.q.r.Context().Err() != nil:
+		a.q.finish(outcomeGone, "")
+		return resultFinished
+	case err != nil || len(body) > maxResponseBody:
+		return a.recordBroken("answer_not_whole")
 	}
-	o.s.result(0, time.Now())
-	o.q.first = time.Since(o.q.started)
-	o.q.write(&answer{resp.StatusCode, resp.Header, body})
-	o.q.done(outcomeAnswered, "")
-	return finished
+	a.server.recordResult(0, time.Now())
+	a.q.timeToFirst = time.Since(a.q.started)
+	a.q.writeResponse(&response{resp.StatusCode, resp.Header, body})
+	a.q.finish(outcomeAnswered, "")
+	return resultFinished
 }
 
-// failureShare is the weight of a backend server's own failure: it may be the request's fault.
-const failureShare = 0.5
+// serverErrorWeight is the failure weight of a backend server's error response, which the request
+// itself may have caused.
+const serverErrorWeight = 0.5
 
-func (o *offer) failure(resp *upstream.Response, m Mark) result {
-	body, err := io.ReadAll(io.LimitReader(resp, maxAnswer+1))
+func (a *attempt) handleErrorStatus(resp *upstream.Response, m Mark) attemptResult {
+	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBody+1))
 	switch {
-	case o.q.r.Context().Err() != nil:
-		o.q.done(outcomeGone, "")
-		return finished
-	case err != nil || len(body) > maxAnswer || !m.Signed:
-		return o.broken(fmt.Sprintf("status_%d_not_whole", resp.StatusCode))
+	case a.q.r.Context().Err() != nil:
+		a.q.finish(outcomeGone, "")
+		return resultFinished
+	case err != nil || len(body) > maxResponseBody || !m.Signed:
+		return a.recordBroken(fmt.Sprintf("status_%d_not_whole", resp.StatusCode))
 	}
-	a := &answer{resp.StatusCode, resp.Header, body}
+	full := &response{resp.StatusCode, resp.Header, body}
 	if resp.StatusCode < http.StatusInternalServerError {
-		o.s.result(0, time.Now())
-		o.q.write(a)
-		o.q.done(outcomeFailed, strconv.Itoa(a.status))
-		return finished
+		a.server.recordResult(0, time.Now())
+		a.q.writeResponse(full)
+		a.q.finish(outcomeFailed, strconv.Itoa(full.status))
+		return resultFinished
 	}
-	o.s.result(failureShare, time.Now())
-	o.q.failure = a
-	o.q.cause = "server_failed"
-	return failed
+	a.server.recordResult(serverErrorWeight, time.Now())
+	a.q.serverError = full
+	a.q.cause = "server_failed"
+	return resultFailed
 }
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -10,112 +10,112 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// maxHandleAnswer bounds the answer that carries a handle.
-const maxHandleAnswer = 64 << 10
+// maxControlBody limits the responses to prefills and role orders, in bytes.
+const maxControlBody = 64 << 10
 
-// prefill has the prompt read by another backend server and returns where the result can be fetched.
-// Reading runs nothing, so that it may be repeated even for requests that must not be.
+// prefill asks another backend server to prefill the prompt and returns where the result can be
+// fetched. A prefill generates nothing, so it may be repeated even for requests that must not be.
 //
-// ok is false if the attempt ends here with the result.
-func (q *request) prefill(c *choice) (source string, res result, ok bool) {
-	p := c.reader
-	ahead := p.view(time.Now()).pending
+// ok is false if the attempt ends here, with res as its result.
+func (q *request) prefill(c *choice) (source string, res attemptResult, ok bool) {
+	server := c.prefillServer
+	tokensAhead := server.view(time.Now()).pendingTokens
 	sentAt := time.Now()
-	p.sent(c.unread, sentAt)
-	defer p.ended()
-	defer p.read(c.unread)
-	q.g.decider.prefixes.note(q.keys, p.key, sentAt)
-	send := &Send{Server: p, Remaining: time.Until(q.deadline), Priority: q.route.Priority, Prefill: true}
-	resp, err := q.g.pool.Do(q.ctx, p.Address, &upstream.Request{
+	server.recordSent(c.uncachedTokens, sentAt)
+	defer server.recordEnded()
+	defer server.recordPrefilled(c.uncachedTokens)
+	q.g.decider.prefixes.record(q.prefixKeys, server.key, sentAt)
+	send := &Send{Server: server, Remaining: time.Until(q.deadline), Priority: q.route.Priority, Prefill: true}
+	resp, err := q.g.pool.Do(q.ctx, server.Address, &upstream.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
 		Header: q.g.codec.Header(q.r.Header, send), Body: q.body,
-	}, q.belongs)
+	}, q.isResponseToRequest)
 	if err != nil {
-		return "", q.prefillFailed(p, err), false
+		return "", q.handlePrefillError(server, err), false
 	}
 	defer resp.Close(q.g.pool)
-	body, err := io.ReadAll(io.LimitReader(resp, maxHandleAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp, maxControlBody))
 	now := time.Now()
 	m := q.g.codec.Mark(resp.StatusCode, resp.Header)
-	p.heard(m.Load, now)
+	server.recordActivity(m.Load, now)
 	if q.r.Context().Err() != nil {
-		q.done(outcomeGone, "")
-		return "", finished, false
+		q.finish(outcomeGone, "")
+		return "", resultFinished, false
 	}
 	if m.NotRun || m.Elsewhere || err != nil || resp.StatusCode != http.StatusOK {
-		q.tried = append(q.tried, p.live)
+		q.tried = append(q.tried, server.state)
 		q.cause = "prompt_refused"
 		if m.Elsewhere {
-			p.unreachable(now)
+			server.recordUnreachable(now)
 		} else {
-			p.refused(now)
+			server.recordRefusal(now)
 		}
-		return "", notRun, false
+		return "", resultNotRun, false
 	}
 	handle, err := q.g.codec.Handle(body)
 	if err != nil {
-		p.result(1, now)
-		q.tried = append(q.tried, p.live)
+		server.recordResult(1, now)
+		q.tried = append(q.tried, server.state)
 		q.cause = "handle_unreadable"
-		return "", notRun, false
+		return "", resultNotRun, false
 	}
-	p.result(0, now)
-	q.g.decider.pace(q.service).observe(p.Role, c.unread, ahead, now.Sub(sentAt))
-	return p.Address + "/" + handle, finished, true
+	server.recordResult(0, now)
+	q.g.decider.prefillSpeed(q.service).observe(server.Role, c.uncachedTokens, tokensAhead, now.Sub(sentAt))
+	return server.Address + "/" + handle, resultFinished, true
 }
 
-func (q *request) prefillFailed(p *Server, err error) result {
+func (q *request) handlePrefillError(server *Server, err error) attemptResult {
 	now := time.Now()
-	q.tried = append(q.tried, p.live)
+	q.tried = append(q.tried, server.state)
 	switch {
 	case q.r.Context().Err() != nil:
-		q.done(outcomeGone, "")
-		return finished
+		q.finish(outcomeGone, "")
+		return resultFinished
 	case errors.Is(err, upstream.ErrNotSent):
-		p.unreachable(now)
+		server.recordUnreachable(now)
 		q.cause = "reader_unreachable"
-		return notSent
+		return resultNotSent
 	default:
-		p.result(1, now)
+		server.recordResult(1, now)
 		q.cause = "reader_broken"
-		return notRun
+		return resultNotRun
 	}
 }
 
-// vain is a prompt that was read and not used.
-type vain struct {
-	reader *Server
+// unusedPrefill is a prefilled prompt that was not used.
+type unusedPrefill struct {
+	server *Server
 	handle string
 }
 
-// drop gives up the prompt that was read for the request.
-func (q *request) drop() {
-	if q.source == "" {
+// discardPrefill marks the prefilled prompt of the request as unused.
+func (q *request) discardPrefill() {
+	if q.prefilled == "" {
 		return
 	}
-	q.vain = append(q.vain, vain{q.reader, q.source[len(q.reader.Address)+1:]})
-	q.source = ""
+	q.unusedPrefills = append(q.unusedPrefills, unusedPrefill{q.prefillServer, q.prefilled[len(q.prefillServer.Address)+1:]})
+	q.prefilled = ""
 }
 
-// release frees the memory of prompts that were read in vain.
-func (q *request) release(ctx context.Context) {
-	q.drop()
-	for _, v := range q.vain {
-		go q.g.free(ctx, v.reader, v.handle)
+// releasePrefills releases the memory of unused prefilled prompts.
+func (q *request) releasePrefills(ctx context.Context) {
+	q.discardPrefill()
+	for _, v := range q.unusedPrefills {
+		go q.g.releaseHandle(ctx, v.server, v.handle)
 	}
 }
 
-func (g *Gateway) free(ctx context.Context, p *Server, handle string) {
+func (g *Gateway) releaseHandle(ctx context.Context, server *Server, handle string) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	method, target := g.codec.Release(handle)
-	resp, err := g.pool.Do(ctx, p.Address, &upstream.Request{
-		Method: method, Target: target, Host: p.Address, Header: http.Header{},
+	resp, err := g.pool.Do(ctx, server.Address, &upstream.Request{
+		Method: method, Target: target, Host: server.Address, Header: http.Header{},
 	}, func(*http.Response, bool) bool { return true })
 	if err != nil {
-		g.log.WithError(err).WithField("server", p.ID).Warn("free a prompt read in vain")
+		g.log.WithError(err).WithField("server", server.ID).Warn("cannot release an unused prefilled prompt")
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDiscard))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDiscardedBody))
 	resp.Close(g.pool)
 }
--- a/gateway/prefix.go
+++ b/gateway/prefix.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// prefixMemory is how long a prompt part that was read is expected to stay in a backend server's
-	// memory. It must be longer than the time between two uses of a part that is worth keeping.
-	prefixMemory = 20 * time.Second
-	// prefixWays is the number of backend servers remembered per prefix.
-	prefixWays = 4
-	// prefixEntries bounds one generation of the table, about 2 MB.
-	prefixEntries = 16 << 10
+	// prefixLifetime is how long a prefilled prompt part is expected to stay in a backend server's
+	// cache. It must exceed the time between two uses of a part that is worth caching.
+	prefixLifetime = 20 * time.Second
+	// serversPerPrefix is the number of backend servers remembered per prefix.
+	serversPerPrefix = 4
+	// prefixGenerationSize limits the entries of one generation of the table, about 2 MB.
+	prefixGenerationSize = 16 << 10
 )
 
-// chain returns the key of the prompt up to and including each part.
-func chain(parts []Part) []uint64 {
+// prefixKeys returns, for each part, the key of the prompt up to and including that part.
+func prefixKeys(parts []Part) []uint64 {
 	keys := make([]uint64, len(parts))
 	h := uint64(0)
 	for i, p := range parts {
@@ -28,65 +28,66 @@
 	return keys
 }
 
-type prefixWay struct {
-	server uint64
-	at     int64
+type prefixUse struct {
+	serverKey uint64
+	usedAt    int64
 }
 
-// prefixes remembers which backend servers read which prefixes recently. Entries that were not used
-// during a generation are dropped with it.
-type prefixes struct {
-	mu       sync.Mutex
-	now, old map[uint64]*[prefixWays]prefixWay
+// prefixTable remembers which backend servers recently prefilled which prefixes. It holds two
+// generations; entries that are not used while a generation is filled are dropped.
+type prefixTable struct {
+	mu                sync.Mutex
+	current, previous map[uint64]*[serversPerPrefix]prefixUse
 }
 
-func newPrefixes() *prefixes {
-	return &prefixes{now: make(map[uint64]*[prefixWays]prefixWay)}
+func newPrefixTable() *prefixTable {
+	return &prefixTable{current: make(map[uint64]*[serversPerPrefix]prefixUse)}
 }
 
-func (p *prefixes) get(key uint64) *[prefixWays]prefixWay {
-	if e := p.now[key]; e != nil {
+func (p *prefixTable) get(key uint64) *[serversPerPrefix]prefixUse {
+	if e := p.current[key]; e != nil {
 		return e
 	}
-	e := p.old[key]
+	e := p.previous[key]
 	if e != nil {
-		p.now[key] = e
+		p.current[key] = e
 	}
 	return e
 }
 
-// note remembers that the backend server has read the prefixes.
-func (p *prefixes) note(keys []uint64, server uint64, now time.Time) {
+// record stores that the backend server has prefilled the prefixes.
+func (p *prefixTable) record(keys []uint64, serverKey uint64, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.now) >= prefixEntries {
-		p.old, p.now = p.now, make(map[uint64]*[prefixWays]prefixWay)
+	if len(p.current) >= prefixGenerationSize {
+		p.previous, p.current = p.current, make(map[uint64]*[serversPerPrefix]prefixUse)
 	}
 	at := now.UnixNano()
 	for _, k := range keys {
 		e := p.get(k)
 		if e == nil {
-			e = &[prefixWays]prefixWay{}
-			p.now[k] = e
+			e = &[serversPerPrefix]prefixUse{}
+			p.current[k] = e
 		}
 		slot := 0
 		for i := range e {
-			if e[i].server == server {
+			if e[i].serverKey == serverKey {
 				slot = i
 				break
 			}
-			if e[i].at < e[slot].at {
+			if e[i].usedAt < e[slot].usedAt {
 				slot = i
 			}
 		}
-		e[slot] = prefixWay{server: server, at: at}
+		e[slot] = prefixUse{serverKey: serverKey, usedAt: at}
 	}
 }
 
-// cached returns for each server key the prompt tokens that it has probably read.
-func (p *prefixes) cached(keys []uint64, parts []Part, servers []uint64, now time.Time) []float64 {
-	out := make([]float64, len(servers))
-	oldest := now.Add(-prefixMemory).UnixNano()
+// cachedTokens returns, for each server key, the number of prompt tokens that the server has
+// probably cached.
+func (p *prefixTable) cachedTokens(keys []uint64, parts []Part, serverKeys []uint64, now time.Time) []float64 {
+	out := make([]float64, len(serverKeys))
+	oldest := now.Add(-prefixLifetime).UnixNano()
 	tokens := 0
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,13 +98,13 @@
 		}
 		before := float64(tokens)
 		tokens += parts[i].Tokens
-		for n, s := range servers {
-			// A part counts only if all parts before it are kept.
+		for n, s := range serverKeys {
+			// A part counts only if all parts before it are cached.
 			if out[n] != before {
 				continue
 			}
-			for _, way := range e {
-				if way.server == s && way.at > oldest {
+			for _, use := range e {
+				if use.serverKey == s && use.usedAt > oldest {
 					out[n] = float64(tokens)
 				}
 			}
--- a/gateway/roleplan.go
+++ b/gateway/roleplan.go
@@ -10,163 +10,172 @@
 )
 
 const (
-	// PlanInterval is the time between two looks at the roles.
+	// PlanInterval is the time between two planning rounds.
 	PlanInterval = 500 * time.Millisecond
-	// settleTime is how long the list of engines must be unchanged before roles are compared with it.
+	// settleTime is how long the list of engines must be unchanged before roles are planned.
 	settleTime = 1500 * time.Millisecond
-	// persistTime is how long a wanted change must stay wanted under load.
+	// persistTime is how long a role change must remain necessary under load before it is ordered.
 	persistTime = time.Second
-	// dwellTime is how long the split stays as it is after a change in the other direction. A role
-	// change takes an engine away for seconds.
+	// dwellTime is the minimum time between changes in opposite directions. A role change makes an
+	// engine unavailable for seconds.
 	dwellTime = 14 * time.Second
-	// showTime is how long after a change the engine's new role may take to show in the list.
-	showTime = 5 * time.Second
-	// decodeShare is the least share of engines that generate answers, and prefillShare the least that
-	// read prompts. Below them, a sudden turn of the mix finds no engine that is ready.
-	decodeShare  = 0.25
-	prefillShare = 0.3
-	// spareShare is the part of the engines beyond the need that generates answers.
-	spareShare = 0.3
-	// decodeFill is the share of their places up to which decode engines are meant to be used.
-	decodeFill = 0.7
-	// readDepth is the number of prompts at one prefill engine above which another one is needed. An
-	// engine reads one prompt after the other, in about 10 ms each.
-	readDepth = 3
-	// smoothing is the weight of one look in the average load: it remembers about two seconds.
-	smoothing = 0.25
-	// minChangeShare is the least difference, as a share of the engines, that is worth a change.
+	// listDelay is how long an engine's new role may take to appear in the list after the change.
+	listDelay = 5 * time.Second
+	// minDecodeShare and minPrefillShare are the minimum fractions of the engines in each role.
+	// With fewer, a sudden shift of the load between the roles finds no engine ready.
+	minDecodeShare  = 0.25
+	minPrefillShare = 0.3
+	// spareDecodeShare is the fraction of the spare engines that is assigned to decode.
+	spareDecodeShare = 0.3
+	// targetDecodeUtilisation is the targeted fraction of the slots in use on decode engines.
+	targetDecodeUtilisation = 0.7
+	// targetPrefillQueue is the number of prompts per prefill engine above which another engine is
+	// needed. An engine processes prompts one at a time, in about 10 ms each.
+	targetPrefillQueue = 3
+	// loadWeight is the weight of one planning round in the moving average of the load, which
+	// covers about two seconds.
+	loadWeight = 0.25
+	// minChangeShare is the smallest difference from the target, as a fraction of the engines, that
+	// causes a change.
 	minChangeShare = 0.1
-	// changeShare bounds the engines that change at the same time under load.
-	changeShare = 0.2
-	// ampleDepth is the number of prompts at one prefill engine, and ampleFill the share of the places of a
-	// decode engine, up to which a split is left as it is: orders are paid for, and a fleet with little load
-	// gains nothing from them. Prompts wait noticeably from about half an engine's time.
-	ampleDepth = 0.5
-	ampleFill  = 0.35
-	// idleEngines is the number of engines that each role gets before there is any load. It covers a whole
-	// fleet of 44; a larger one changes by the load that comes.
-	idleEngines = 32
-	// ordersPerLook bounds the orders of one look, which are sent one after the other in about 5 ms each.
-	ordersPerLook = 16
+	// maxChangeShare limits the fraction of the engines that change their role at the same time
+	// under load.
+	maxChangeShare = 0.2
+	// amplePrefillQueue is the number of prompts per prefill engine, and ampleDecodeUtilisation the
+	// fraction of slots in use on decode engines, up to which the split is left unchanged: orders
+	// are billed, and a lightly loaded fleet gains nothing from them. Prompts queue noticeably once
+	// engines are busy about half of the time.
+	amplePrefillQueue      = 0.5
+	ampleDecodeUtilisation = 0.35
+	// maxIdleEngines is the number of engines up to which a role is filled before there is any
+	// load. It covers a fleet of 44 engines completely; larger fleets change their roles as load
+	// arrives.
+	maxIdleEngines = 32
+	// maxOrdersPerPlan limits the orders per planning round. They are sent one after the other, in
+	// about 5 ms each.
+	maxOrdersPerPlan = 16
 )
 
-// RolePlan divides the engines of one service between the roles. It holds what is remembered between
-// two looks and needs no network.
+// RolePlan assigns roles to the engines of one service. It holds the state between planning rounds
+// and does no I/O.
 type RolePlan struct {
-	// seen is a sum over the engines' keys.
-	seen      uint64
-	seenAt    time.Time
-	wanted    int
-	wantedAt  time.Time
-	direction int
-	changedAt time.Time
-	// generating and reading are moving averages of the same fields of split.
-	generating, reading float64
-	// ordered holds the last order to each engine.
-	ordered map[*live]ordered
-	// Look is what the last look found.
-	Look Look
+	// listHash is a hash of the list of engines.
+	listHash      uint64
+	listChangedAt time.Time
+	wantedChange  int
+	wantedSince   time.Time
+	lastDirection int
+	changedAt     time.Time
+	// decodeRequests and prefillRequests are moving averages of the fields of the same names in
+	// split.
+	decodeRequests, prefillRequests float64
+	// pendingOrders holds the last order to each engine.
+	pendingOrders map[*serverState]pendingOrder
+	// Decision is the result of the last planning round.
+	Decision RoleDecision
 }
 
-// Look is one look at the split of a service's engines.
-type Look struct {
-	// Decode and Prefill are the engines of each role, Wanted those that should generate answers.
+// RoleDecision is the result of one planning round.
+type RoleDecision struct {
+	// Decode and Prefill are the numbers of engines in each role; Wanted is the target for Decode.
 	Decode, Prefill, Wanted int
-	// Generating and Reading are the average requests on decode and on prefill engines.
-	Generating, Reading float64
-	// Reason says why the split is changed or left as it is.
+	// DecodeRequests and PrefillRequests are the average numbers of requests on the engines of each
+	// role.
+	DecodeRequests, PrefillRequests float64
+	// Reason says why the split is changed or left unchanged.
 	Reason string
 }
 
-// Reasons of looks.
+// Reasons for decisions, as logged.
 const (
-	lookUnsettled = "list_changes"   // the list of engines has just changed
-	lookNoSplit   = "no_split"       // too few engines, or some without a role
-	lookFits      = "fits"           // the split is the wanted one
-	lookIdle      = "idle"           // there is no load
-	lookAmple     = "ample"          // both roles have far more than they need
-	lookNew       = "wanted_briefly" // another split is wanted, but not for long
-	lookDwell     = "changed_lately" // the last change was in the other direction
-	lookChange    = "changes"
+	planListChanges   = "list_changes"   // the list of engines has changed recently
+	planNoSplit       = "no_split"       // too few engines, or some without a role
+	planFits          = "fits"           // the split is close enough to the target
+	planIdle          = "idle"           // there is no load
+	planAmple         = "ample"          // both roles have ample capacity
+	planWantedBriefly = "wanted_briefly" // a change is needed, but not for long enough yet
+	planChangedLately = "changed_lately" // the last change was in the other direction
+	planChanges       = "changes"
 )
 
-// ordered is an order whose effect may not show in the list of engines yet.
-type ordered struct {
+// pendingOrder is an order whose effect may not be visible in the list of engines yet.
+type pendingOrder struct {
 	role external.Role
-	// until is when the effect must show; the engine gets no further order before.
+	// until is when the effect must be visible; the engine gets no other order before then.
 	until time.Time
 }
 
-// NewRolePlan returns a plan that remembers nothing.
-func NewRolePlan() *RolePlan { return &RolePlan{ordered: make(map[*live]ordered)} }
+// NewRolePlan returns a RolePlan without history.
+func NewRolePlan() *RolePlan { return &RolePlan{pendingOrders: make(map[*serverState]pendingOrder)} }
 
-// role is what an engine has, or will have after the last order to it.
-func (st *RolePlan) role(s *Server, now time.Time) external.Role {
-	if o, ok := st.ordered[s.live]; ok && now.Before(o.until) && o.role != "" {
+// effectiveRole returns the role of an engine after its pending order, if any.
+func (st *RolePlan) effectiveRole(s *Server, now time.Time) external.Role {
+	if o, ok := st.pendingOrders[s.state]; ok && now.Before(o.until) && o.role != "" {
 		return o.role
 	}
 	return s.Role
 }
 
-// Next returns the role that some engines should get now, and those engines. It is to be called every
-// PlanInterval with the registered engines of one service.
+// Next returns the engines that should change their role now, and the new role. It must be called
+// every PlanInterval with the registered engines of one service.
 func (st *RolePlan) Next(servers []*Server, now time.Time) (external.Role, []*Server) {
 	if !st.settled(servers, now) {
-		st.Look = Look{Reason: lookUnsettled}
+		st.Decision = RoleDecision{Reason: planListChanges}
 		return "", nil
 	}
 	split := newSplit(servers, st, now)
 	st.smooth(split)
-	changes := st.changes(split, now)
+	change := st.requiredChange(split, now)
 	to, from := external.RolePrefill, external.RoleDecode
-	if changes < 0 {
-		to, from, changes = from, to, -changes
+	if change < 0 {
+		to, from, change = from, to, -change
 	}
-	return to, split.candidates(from, changes, st, now)
+	return to, split.selectEngines(from, change, st, now)
 }
 
-// Ordered notes that an engine accepted an order and takes change to carry it out.
+// Ordered records that an engine accepted an order that takes the given time to carry out.
 func (st *RolePlan) Ordered(s *Server, role external.Role, change time.Duration, now time.Time) {
-	st.changed(role, now)
-	st.ordered[s.live] = ordered{role: role, until: now.Add(change + showTime)}
-	s.changing(now.Add(change))
+	st.recordChange(role, now)
+	st.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(change + listDelay)}
+	s.pauseUntil(now.Add(change))
 }
 
-// changed notes when and in which direction the split was changed.
-func (st *RolePlan) changed(role external.Role, now time.Time) {
-	st.changedAt, st.direction = now, 1
+// recordChange records the time and direction of a change of the split.
+func (st *RolePlan) recordChange(role external.Role, now time.Time) {
+	st.changedAt, st.lastDirection = now, 1
 	if role == external.RoleDecode {
-		st.direction = -1
+		st.lastDirection = -1
 	}
 }
 
-// settled tells whether the list of engines has been the same for a while.
+// settled reports whether the list of engines has been unchanged for settleTime.
 func (st *RolePlan) settled(servers []*Server, now time.Time) bool {
-	seen := uint64(0)
+	hash := uint64(0)
 	for _, s := range servers {
-		seen += splitmix.Mix(s.key)
+		hash += splitmix.Mix(s.key)
 	}
-	if seen != st.seen {
-		st.seen, st.seenAt = seen, now
-		// Engines that come bring their roles with them: the split is no longer the one that was ordered.
+	if hash != st.listHash {
+		st.listHash, st.listChangedAt = hash, now
+		// New engines start with a role of their own, so the split is no longer the one that was
+		// ordered and the dwell time does not apply.
 		st.changedAt = time.Time{}
 	}
-	return len(servers) > 0 && now.Sub(st.seenAt) >= settleTime
+	return len(servers) > 0 && now.Sub(st.listChangedAt) >= settleTime
 }
 
-// split is how the engines of a service are divided between the roles now.
+// split is the current division of a service's engines between the roles, with their load.
 type split struct {
 	servers []*Server
 	views   []view
 	decode  int
 	prefill int
 	mixed   int
-	// generating are the requests on decode engines and reading those on prefill engines. places is
-	// the number that one engine takes.
-	generating float64
-	reading    float64
-	places     int
-	idle       bool
+	// decodeRequests and prefillRequests count the requests on the engines of each role;
+	// slotsPerEngine is the number of requests that one engine runs at a time.
+	decodeRequests  float64
+	prefillRequests float64
+	slotsPerEngine  int
+	idle            bool
 }
 
 func newSplit(servers []*Server, st *RolePlan, now time.Time) *split {
@@ -174,15 +183,15 @@
 	for _, s := range servers {
 		v := s.view(now)
 		p.views = append(p.views, v)
-		p.places = max(p.places, s.Slots)
-		p.idle = p.idle && v.inFlight+v.others == 0
-		switch st.role(s, now) {
+		p.slotsPerEngine = max(p.slotsPerEngine, s.Slots)
+		p.idle = p.idle && v.inFlight+v.otherRequests == 0
+		switch st.effectiveRole(s, now) {
 		case external.RoleDecode:
 			p.decode++
-			p.generating += float64(v.inFlight + v.others)
+			p.decodeRequests += float64(v.inFlight + v.otherRequests)
 		case external.RolePrefill:
 			p.prefill++
-			p.reading += float64(v.inFlight + v.others)
+			p.prefillRequests += float64(v.inFlight + v.otherRequests)
 		default:
 			p.mixed++
 		}
@@ -190,88 +199,89 @@
 	return p
 }
 
-// need is the number of engines that the load takes, by role.
+// need returns the number of engines that the load requires, by role.
 func (p *split) need() (decode, prefill float64) {
-	return p.generating / (decodeFill * float64(max(p.places, 1))), p.reading / readDepth
+	return p.decodeRequests / (targetDecodeUtilisation * float64(max(p.slotsPerEngine, 1))), p.prefillRequests / targetPrefillQueue
 }
 
-// ample tells whether both roles have far more engines than they need.
+// ample reports whether both roles have far more capacity than they need.
 func (p *split) ample() bool {
-	return p.generating <= ampleFill*float64(p.places*p.decode) && p.reading <= ampleDepth*float64(p.prefill)
+	return p.decodeRequests <= ampleDecodeUtilisation*float64(p.slotsPerEngine*p.decode) && p.prefillRequests <= amplePrefillQueue*float64(p.prefill)
 }
 
-// wantedDecode is the number of engines that should generate answers: what is needed and a part of what
-// is left, or the share of the need if there are too few engines.
-func (p *split) wantedDecode() int {
+// targetDecode returns the target number of decode engines: those needed plus a fraction of the
+// spare ones, or in proportion to the need if there are too few engines.
+func (p *split) targetDecode() int {
 	n := float64(p.decode + p.prefill)
 	decode, prefill := p.need()
 	if need := decode + prefill; need <= n {
-		decode += (n - need) * spareShare
+		decode += (n - need) * spareDecodeShare
 	} else {
 		decode = n * decode / need
 	}
-	least, most := max(2, math.Ceil(decodeShare*n)), n-max(1, math.Ceil(prefillShare*n))
+	least, most := max(2, math.Ceil(minDecodeShare*n)), n-max(1, math.Ceil(minPrefillShare*n))
 	return int(max(min(math.Round(decode), most), min(least, n-1)))
 }
 
-// smooth replaces the load of a look by its moving average: bursts that are shorter than a role change
-// are no reason for one.
+// smooth replaces the load by its moving average, so that bursts shorter than a role change do not
+// cause one.
 func (st *RolePlan) smooth(p *split) {
-	st.generating += smoothing * (p.generating - st.generating)
-	st.reading += smoothing * (p.reading - st.reading)
-	p.generating, p.reading = st.generating, st.reading
+	st.decodeRequests += loadWeight * (p.decodeRequests - st.decodeRequests)
+	st.prefillRequests += loadWeight * (p.prefillRequests - st.prefillRequests)
+	p.decodeRequests, p.prefillRequests = st.decodeRequests, st.prefillRequests
 }
 
-// changes returns how many engines should become prefill engines now, negative for decode engines.
-func (st *RolePlan) changes(p *split, now time.Time) int {
-	st.Look = Look{Decode: p.decode, Prefill: p.prefill, Generating: p.generating, Reading: p.reading}
+// requiredChange returns how many engines should become prefill engines now; it is negative if
+// they should become decode engines.
+func (st *RolePlan) requiredChange(p *split, now time.Time) int {
+	st.Decision = RoleDecision{Decode: p.decode, Prefill: p.prefill, DecodeRequests: p.decodeRequests, PrefillRequests: p.prefillRequests}
 	if p.decode+p.prefill < 3 || p.mixed > 0 {
-		st.Look.Reason = lookNoSplit
+		st.Decision.Reason = planNoSplit
 		return 0
 	}
-	d := p.decode - p.wantedDecode()
-	st.Look.Wanted = p.decode - d
-	if d != st.wanted {
-		if sign(d) != sign(st.wanted) {
-			st.wantedAt = now
+	change := p.decode - p.targetDecode()
+	st.Decision.Wanted = p.decode - change
+	if change != st.wantedChange {
+		if sign(change) != sign(st.wantedChange) {
+			st.wantedSince = now
 		}
-		st.wanted = d
+		st.wantedChange = change
 	}
 	switch {
-	case sign(d)*d < max(1, int(minChangeShare*float64(p.decode+p.prefill))):
-		st.Look.Reason = lookFits
+	case sign(change)*change < max(1, int(minChangeShare*float64(p.decode+p.prefill))):
+		st.Decision.Reason = planFits
 		return 0
 	case p.idle:
-		st.Look.Reason = lookIdle
-		return p.idleChanges(d)
+		st.Decision.Reason = planIdle
+		return p.idleChange(change)
 	case p.ample():
-		st.Look.Reason = lookAmple
+		st.Decision.Reason = planAmple
 		return 0
-	case now.Sub(st.wantedAt) < persistTime:
-		st.Look.Reason = lookNew
+	case now.Sub(st.wantedSince) < persistTime:
+		st.Decision.Reason = planWantedBriefly
 		return 0
-	case sign(d) != st.direction && now.Sub(st.changedAt) < dwellTime:
-		st.Look.Reason = lookDwell
+	case sign(change) != st.lastDirection && now.Sub(st.changedAt) < dwellTime:
+		st.Decision.Reason = planChangedLately
 		return 0
 	}
-	st.Look.Reason = lookChange
+	st.Decision.Reason = planChanges
 	changing := 0
-	for _, o := range st.ordered {
+	for _, o := range st.pendingOrders {
 		if now.Before(o.until) {
 			changing++
 		}
 	}
-	room := max(1, int(changeShare*float64(len(p.servers)))) - changing
-	return sign(d) * max(0, min(sign(d)*d, room, ordersPerLook))
+	allowed := max(1, int(maxChangeShare*float64(len(p.servers)))) - changing
+	return sign(change) * max(0, min(sign(change)*change, allowed, maxOrdersPerPlan))
 }
 
-// idleChanges bounds the changes of a fleet without load.
-func (p *split) idleChanges(d int) int {
+// idleChange limits the change of a fleet without load.
+func (p *split) idleChange(change int) int {
 	have := p.prefill
-	if d < 0 {
+	if change < 0 {
 		have = p.decode
 	}
-	return sign(d) * max(0, min(sign(d)*d, idleEngines-have, ordersPerLook))
+	return sign(change) * max(0, min(sign(change)*change, maxIdleEngines-have, maxOrdersPerPlan))
 }
 
 func sign(n int) int {
@@ -284,23 +294,23 @@
 	return 0
 }
 
-// candidates returns up to n engines of a role, the least busy first, from the data centres that have
-// most of them.
-func (p *split) candidates(role external.Role, n int, st *RolePlan, now time.Time) []*Server {
+// selectEngines returns up to n engines of a role, the least busy first, from the data centres with
+// the most engines of that role.
+func (p *split) selectEngines(role external.Role, n int, st *RolePlan, now time.Time) []*Server {
 	count := map[string]int{}
-	var all []int
+	var eligible []int
 	for i, s := range p.servers {
-		if s.Role == role && st.role(s, now) == role && p.views[i].usable {
+		if s.Role == role && st.effectiveRole(s, now) == role && p.views[i].usable {
 			count[s.DataCentre]++
-			if !now.Before(st.ordered[s.live].until) {
-				all = append(all, i)
+			if !now.Before(st.pendingOrders[s.state].until) {
+				eligible = append(eligible, i)
 			}
 		}
 	}
 	var out []*Server
 	for range n {
 		best := -1
-		for _, i := range all {
+		for _, i := range eligible {
 			s := p.servers[i]
 			if slices.Contains(out, s) {
 				continue
@@ -319,4 +329,4 @@
 	return out
 }
 
-func busier(a, b view) bool { return a.inFlight+a.others > b.inFlight+b.others }
+func busier(a, b view) bool { return a.inFlight+a.otherRequests > b.inFlight+b.otherRequests }
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -21,31 +21,31 @@
 	Role   external.Role
 	Holder string
 	Fence  uint64
-	// Sequence is the number of orders that the engine has accepted. It refuses the order if it has
-	// accepted another one since, so that an order that is carried out late does not undo a newer one.
+	// Sequence is the number of orders that the engine has accepted. The engine refuses the order
+	// if it has accepted another one since, so that a delayed order does not undo a newer one.
 	Sequence int64
 }
 
-// OrderResult is an engine's answer to an order.
+// OrderResult is the result of an order.
 type OrderResult int
 
-// Answers to orders.
+// Results of orders.
 const (
 	OrderAccepted OrderResult = iota
-	OrderHolds                // the engine has the role already
+	OrderHolds                // the engine already has the role
 	OrderRefused
 )
 
 func (r OrderResult) String() string { return [...]string{"accepted", "holds", "refused"}[r] }
 
-// EngineReport is what an engine says about itself when asked.
+// EngineReport is the state reported by an engine.
 type EngineReport struct {
 	Role     external.Role
 	Busy     bool
 	Sequence int64
 }
 
-// Orders spells orders to engines as the installation does.
+// Orders encodes orders to engines and decodes their responses.
 type Orders interface {
 	ReportRequest(s *Server) *upstream.Request
 	Report(body []byte) (EngineReport, error)
@@ -53,23 +53,23 @@
 	OrderResult(status int) OrderResult
 }
 
-// Authority is the right to give orders. *lease.Manager provides it.
+// Authority provides the right to give orders. It is implemented by *lease.Manager.
 type Authority interface {
 	Authority(pool string) (lease.Authority, bool)
 }
 
 const (
-	// RolesPool is the pool whose holder gives orders to all engines of the installation.
+	// RolesPool is the lease pool whose holder gives orders to all engines of the installation.
 	RolesPool = "roles"
-	// orderTimeout bounds one call to an engine. It is below the time for which the authority of a
-	// new holder is held back.
+	// orderTimeout limits one call to an engine. It is shorter than the guard time of a new lease
+	// holder.
 	orderTimeout = 500 * time.Millisecond
-	// unknownTime is how long an engine gets no further order after one whose answer was lost, which
-	// may be carried out seconds later.
-	unknownTime = 15 * time.Second
+	// unknownOutcomeTime is how long an engine gets no further order after one whose response was
+	// lost, which may still be carried out seconds later.
+	unknownOutcomeTime = 15 * time.Second
 )
 
-// Roles plans the roles of engines and gives orders while it holds the authority.
+// Roles plans the roles of engines and orders role changes while this process holds the lease.
 type Roles struct {
 	instance string
 	guard    time.Duration
@@ -81,21 +81,21 @@
 	metrics  Metrics
 	log      logrus.FieldLogger
 
-	services map[string]*RolePlan
-	acquired time.Time
-	fence    uint64
+	plans      map[string]*RolePlan
+	acquiredAt time.Time
+	fence      uint64
 }
 
-// NewRoles returns a planner of roles. guard is how long a new authority is held back, so that the
-// last orders of the holder before are over.
+// NewRoles returns a Roles. guard is how long a new lease holder waits before it gives orders, so
+// that the last orders of the previous holder have completed.
 func NewRoles(instance string, guard time.Duration, o Orders, a Authority, t *route.Holder, r *Roster, p *upstream.Pool, m Metrics, log logrus.FieldLogger) *Roles {
 	return &Roles{
 		instance: instance, guard: guard, orders: o, leases: a, tables: t, roster: r, pool: p, metrics: m, log: log,
-		services: make(map[string]*RolePlan),
+		plans: make(map[string]*RolePlan),
 	}
 }
 
-// Run plans until the context ends.
+// Run plans roles until the context ends.
 func (r *Roles) Run(ctx context.Context) {
 	for pause.For(ctx, PlanInterval) {
 		a, ok := r.leases.Authority(RolesPool)
@@ -103,71 +103,72 @@
 		if !ok || table == nil {
 			continue
 		}
-		may := r.mayOrder(a, time.Now())
+		mayOrder := r.mayOrder(a, time.Now())
 		for name, s := range table.Services {
 			if s.Engine != nil {
-				r.plan(ctx, a, may, name, s.Engine)
+				r.planService(ctx, a, mayOrder, name, s.Engine)
 			}
 		}
 	}
 }
 
-// mayOrder holds a new authority back, unless nobody ever held one before.
+// mayOrder reports whether the guard time of a new lease has passed. The first lease ever needs
+// none.
 func (r *Roles) mayOrder(a lease.Authority, now time.Time) bool {
 	if a.Fence != r.fence {
-		r.fence, r.acquired = a.Fence, now
+		r.fence, r.acquiredAt = a.Fence, now
 	}
-	return a.Fence == 1 || now.Sub(r.acquired) >= r.guard
+	return a.Fence == 1 || now.Sub(r.acquiredAt) >= r.guard
 }
 
-func (r *Roles) state(service string) *RolePlan {
-	s := r.services[service]
-	if s == nil {
-		s = NewRolePlan()
-		r.services[service] = s
+func (r *Roles) plan(service string) *RolePlan {
+	p := r.plans[service]
+	if p == nil {
+		p = NewRolePlan()
+		r.plans[service] = p
 	}
-	return s
+	return p
 }
 
-// plan looks at the split of a service's engines. A holder that may not order yet looks as well, so that
-// it knows the load when it may.
-func (r *Roles) plan(ctx context.Context, a lease.Authority, may bool, service string, e *route.Engine) {
+// planService runs a planning round for one service. It also runs during the guard time, so that
+// the load is known when orders are allowed.
+func (r *Roles) planService(ctx context.Context, a lease.Authority, mayOrder bool, service string, e *route.Engine) {
 	now := time.Now()
-	st := r.state(service)
-	before := st.Look.Reason
+	st := r.plan(service)
+	previousReason := st.Decision.Reason
 	to, servers := st.Next(r.roster.Servers(service), now)
-	if l := st.Look; l.Reason != before {
+	if decision := st.Decision; decision.Reason != previousReason {
 		r.log.WithFields(logrus.Fields{
-			"service": service, "decode": l.Decode, "prefill": l.Prefill, "wanted_decode": l.Wanted, "generating": int(l.Generating),
-			"reading": int(l.Reading), "choice": l.Reason, "fence": a.Fence,
+			"service": service, "decode": decision.Decode, "prefill": decision.Prefill, "wanted_decode": decision.Wanted, "generating": int(decision.DecodeRequests),
+			"reading": int(decision.PrefillRequests), "choice": decision.Reason, "fence": a.Fence,
 		}).Info("roles planned")
 	}
 	for _, s := range servers {
-		if !may || !a.Valid() {
+		if !mayOrder || !a.Valid() {
 			return
 		}
 		r.order(ctx, a, s, to, st, e)
 	}
 }
 
-// order reads the engine's state and orders the change under the condition that it has not accepted
-// another order since.
+// order reads the engine's state and orders the role change, on condition that the engine has not
+// accepted another order since.
 func (r *Roles) order(ctx context.Context, a lease.Authority, s *Server, role external.Role, st *RolePlan, e *route.Engine) {
 	log := r.log.WithFields(logrus.Fields{"server": s.ID, "from": s.Role, "to": role, "fence": a.Fence})
-	st.ordered[s.live] = ordered{until: time.Now().Add(settleTime)}
+	st.pendingOrders[s.state] = pendingOrder{until: time.Now().Add(settleTime)}
 	_, body, err := r.call(ctx, s, r.orders.ReportRequest(s))
 	if err != nil {
-		log.WithError(err).Warn("no order: the engine's state is unknown")
+		log.WithError(err).Warn("no order: cannot read the engine's state")
 		return
 	}
 	report, err := r.orders.Report(body)
 	if err != nil || report.Busy || report.Role != s.Role {
-		log.WithError(err).WithFields(logrus.Fields{"busy": report.Busy, "role": report.Role}).Info("no order: the engine is changing or its state differs")
+		log.WithError(err).WithFields(logrus.Fields{"busy": report.Busy, "role": report.Role}).Info("no order: the engine is busy or its report does not match its registration")
 		return
 	}
 	req, err := r.orders.OrderRequest(&RoleOrder{Server: s, Role: role, Holder: r.instance, Fence: a.Fence, Sequence: report.Sequence})
 	if err != nil {
-		log.WithError(err).Error("order not encoded")
+		log.WithError(err).Error("cannot encode role order")
 		return
 	}
 	if !a.Valid() {
@@ -175,13 +176,13 @@
 	}
 	status, _, err := r.call(ctx, s, req)
 	now := time.Now()
-	st.changed(role, now)
+	st.recordChange(role, now)
 	if err != nil {
-		// It may be carried out late. Counting it as carried out avoids an order to another engine that
-		// would have to be taken back.
-		st.ordered[s.live] = ordered{role: role, until: now.Add(unknownTime)}
+		// The order may still be carried out. It counts as accepted, because otherwise another
+		// engine would get an order that would have to be reverted.
+		st.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(unknownOutcomeTime)}
 		r.metrics.RoleOrder(s.Service, string(role), "unknown")
-		log.WithError(err).Warn("order sent, outcome unknown")
+		log.WithError(err).Warn("role order sent, outcome unknown")
 		return
 	}
 	result := r.orders.OrderResult(status)
@@ -200,6 +201,6 @@
 		return 0, nil, err
 	}
 	defer resp.Close(r.pool)
-	body, err := io.ReadAll(io.LimitReader(resp, maxHandleAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp, maxControlBody))
 	return resp.StatusCode, body, err
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -14,7 +14,7 @@
 	"github.com/quetzallug/quetzallug/internal/splitmix"
 )
 
-// Registration is what the installation says about one start of a backend server.
+// Registration describes one run of a backend server, from start to exit.
 type Registration struct {
 	ID         string
 	Service    string
@@ -23,265 +23,271 @@
 	Slots      int
 	Role       external.Role
 	Draining   bool
-	// Born tells the starts of a backend server apart that keeps its ID; zero if unknown.
+	// Born distinguishes successive runs of a backend server with the same ID; zero if unknown.
 	Born int64
 }
 
-// Server is a registered backend server with what this process knows of its load and health.
+// Server is a registered backend server with its load and health as known to this process.
 type Server struct {
 	Registration
-	live *live
-	// key tells starts of backend servers apart in hashes; all entries compute the same.
+	state *serverState
+	// key is a hash that identifies one run of a backend server; all gateway instances compute the
+	// same.
 	key uint64
 }
 
-func makeServer(r Registration, l *live) *Server {
-	return &Server{Registration: r, live: l, key: xxhash.Sum64String(r.ID) ^ splitmix.Mix(uint64(r.Born))}
+func makeServer(r Registration, st *serverState) *Server {
+	return &Server{Registration: r, state: st, key: xxhash.Sum64String(r.ID) ^ splitmix.Mix(uint64(r.Born))}
 }
 
-// live is shared by all registrations of one start of a backend server.
-type live struct {
+// serverState is shared by all registrations of one run of a backend server.
+type serverState struct {
 	mu       sync.Mutex
 	inFlight int
-	// pending are the prompt tokens that were sent and not yet read.
-	pending float64
-	// others are the requests of other entries, as of othersAt.
-	others   int
-	othersAt time.Time
-	// waitingSince is when the backend server was last heard or, if later, got its first request.
-	waitingSince time.Time
-	// failing is a moving average of failures, from 0 to 1.
-	failing   float64
-	failingAt time.Time
-	// ejected is the time until which the backend server gets no requests while others can.
-	ejected time.Time
-	row     int
-	// move is a moving average of the time that a prompt took to move from or to this backend server, in
-	// seconds beyond the expected handover.
-	move   float64
-	moveAt time.Time
-	// refusals in a row, and the time until which they keep new requests away.
-	refusals int
-	full     time.Time
+	// pendingTokens is the number of prompt tokens that were sent and not prefilled yet.
+	pendingTokens float64
+	// otherRequests is the number of requests from other gateway instances, as reported at
+	// loadReportedAt.
+	otherRequests  int
+	loadReportedAt time.Time
+	// lastActivity is when the backend server last sent data or, if later, when its first request
+	// in flight was sent.
+	lastActivity time.Time
+	// failureRate is a moving average of failures, from 0 to 1.
+	failureRate   float64
+	failureRateAt time.Time
+	// ejectedUntil is the time until which the backend server is used only if there is no other.
+	ejectedUntil        time.Time
+	consecutiveFailures int
+	// transferExcess is a moving average of the time that prompt transfers from or to this backend
+	// server took beyond the expected transferTime, in seconds.
+	transferExcess   float64
+	transferExcessAt time.Time
+	// consecutiveRefusals is the number of refusals in a row; after a refusal the backend server
+	// gets no requests until refusedUntil.
+	consecutiveRefusals int
+	refusedUntil        time.Time
 }
 
 const (
-	// silence is how long a backend server with requests may send nothing at all before others are
-	// preferred. The slowest target of the known installations is 200 ms.
-	silence = 600 * time.Millisecond
-	// othersAge is the age at which a report about other entries' requests counts for nothing.
-	othersAge = 2 * time.Second
-	// failureWeight is the weight of one result in the average of failures.
+	// silenceTimeout is how long a backend server with requests in flight may send nothing before
+	// others are preferred. The slowest target of the known installations is 200 ms.
+	silenceTimeout = 600 * time.Millisecond
+	// loadReportLifetime is the age from which a load report is ignored.
+	loadReportLifetime = 2 * time.Second
+	// failureWeight is the weight of one result in the failure rate.
 	failureWeight = 0.15
-	// failureMemory is the time in which the average falls by itself to 1/e.
-	failureMemory = 4 * time.Second
-	// ejectAfter is the number of failures in a row after which a backend server is left alone for
-	// ejectBase, doubled with each further failure up to ejectMax.
+	// failureDecayTime is the time in which the failure rate decays to 1/e.
+	failureDecayTime = 4 * time.Second
+	// ejectAfter is the number of consecutive failures after which a backend server is ejected for
+	// ejectBase. The time doubles with each further failure up to ejectMax.
 	ejectAfter = 3
 	ejectBase  = 300 * time.Millisecond
 	ejectMax   = 3 * time.Second
 )
 
-// sent counts a request on its way.
-func (s *Server) sent(tokens float64, now time.Time) {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.inFlight == 0 {
-		l.waitingSince = now
+// recordSent records that a request was sent.
+func (s *Server) recordSent(tokens float64, now time.Time) {
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.inFlight == 0 {
+		st.lastActivity = now
 	}
-	l.inFlight++
-	l.pending += tokens
+	st.inFlight++
+	st.pendingTokens += tokens
 }
 
-// read counts prompt tokens as read.
-func (s *Server) read(tokens float64) {
-	s.live.mu.Lock()
-	defer s.live.mu.Unlock()
-	s.live.pending = max(0, s.live.pending-tokens)
+// recordPrefilled subtracts prefilled tokens from the pending ones.
+func (s *Server) recordPrefilled(tokens float64) {
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	s.state.pendingTokens = max(0, s.state.pendingTokens-tokens)
 }
 
-// heard notes that the backend server sent something, with its own load if it told it.
-func (s *Server) heard(load *Load, now time.Time) {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.waitingSince = now
+// recordActivity records that the backend server sent data, and the load that it reported, if any.
+func (s *Server) recordActivity(load *Load, now time.Time) {
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.lastActivity = now
 	if load != nil {
-		l.others, l.othersAt = max(0, load.Running+load.Waiting-l.inFlight), now
+		st.otherRequests, st.loadReportedAt = max(0, load.Running+load.Waiting-st.inFlight), now
 	}
 }
 
-// ended counts a request as ended.
-func (s *Server) ended() {
-	s.live.mu.Lock()
-	defer s.live.mu.Unlock()
-	s.live.inFlight--
+// recordEnded records the end of a request.
+func (s *Server) recordEnded() {
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	s.state.inFlight--
 }
 
-// result takes the outcome of a request. weight is 0 for a success and up to 1 for a failure.
-func (s *Server) result(weight float64, now time.Time) {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.failing = l.failure(now)*(1-failureWeight) + weight*failureWeight
-	l.failingAt = now
-	l.refusals = 0
+// recordResult records the result of a request. weight is 0 for a success and up to 1 for a
+// failure.
+func (s *Server) recordResult(weight float64, now time.Time) {
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.failureRate = st.decayedFailureRate(now)*(1-failureWeight) + weight*failureWeight
+	st.failureRateAt = now
+	st.consecutiveRefusals = 0
 	if weight < 1 {
-		l.row = 0
+		st.consecutiveFailures = 0
 		return
 	}
-	if l.row++; l.row >= ejectAfter {
-		l.ejected = now.Add(min(ejectMax, ejectBase<<min(l.row-ejectAfter, 4)))
+	if st.consecutiveFailures++; st.consecutiveFailures >= ejectAfter {
+		st.ejectedUntil = now.Add(min(ejectMax, ejectBase<<min(st.consecutiveFailures-ejectAfter, 4)))
 	}
 }
 
-// unreachable ejects the backend server at once: no connection could be made to it, or another one
-// has its address.
-func (s *Server) unreachable(now time.Time) {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.row = max(l.row+1, ejectAfter)
-	l.ejected = now.Add(min(ejectMax, ejectBase<<min(l.row-ejectAfter, 4)))
+// recordUnreachable ejects the backend server immediately, because no connection could be made or
+// its address belongs to another backend server.
+func (s *Server) recordUnreachable(now time.Time) {
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.consecutiveFailures = max(st.consecutiveFailures+1, ejectAfter)
+	st.ejectedUntil = now.Add(min(ejectMax, ejectBase<<min(st.consecutiveFailures-ejectAfter, 4)))
 }
 
 const (
-	// moveWeight is the weight of one move in the average, and moveMemory the time in which the average
-	// falls by itself to 1/e, so that links that were slow are tried again.
-	moveWeight = 0.3
-	moveMemory = 3 * time.Second
+	// transferWeight is the weight of one transfer in the average, and transferDecayTime the time
+	// in which the average decays to 1/e, so that links that were slow are tried again.
+	transferWeight    = 0.3
+	transferDecayTime = 3 * time.Second
 )
 
-// moved notes how much longer than expected a prompt took to move from or to the backend server. Both
-// ends of a move are blamed for it; the one whose other moves are fast is soon cleared.
-func (s *Server) moved(extra time.Duration, now time.Time) {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.move = l.moving(now)*(1-moveWeight) + moveWeight*max(0, extra.Seconds())
-	l.moveAt = now
+// recordTransfer records how much longer than expected a prompt transfer from or to the backend
+// server took. It is recorded for both ends; the average of a healthy end recovers with its other
+// transfers.
+func (s *Server) recordTransfer(extra time.Duration, now time.Time) {
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.transferExcess = st.decayedTransferExcess(now)*(1-transferWeight) + transferWeight*max(0, extra.Seconds())
+	st.transferExcessAt = now
 }
 
-// moveGivenUp notes that a move, which began at a time and is given up, took longer than expected so far. It
-// counts only if the backend server that fetches was heard meanwhile: one that has gone dark would
-// discredit all that it fetches from.
-func moveGivenUp(from, to *Server, extra time.Duration, sentAt, now time.Time) {
-	to.live.mu.Lock()
-	heard := to.live.waitingSince.After(sentAt)
-	to.live.mu.Unlock()
-	if !heard {
+// recordAbandonedTransfer records by how much an unfinished transfer has exceeded the expected
+// time. It counts only if the receiving backend server has sent data since the request was sent: an
+// unresponsive one would otherwise lower the rating of every server that it fetches from.
+func recordAbandonedTransfer(from, to *Server, extra time.Duration, sentAt, now time.Time) {
+	to.state.mu.Lock()
+	active := to.state.lastActivity.After(sentAt)
+	to.state.mu.Unlock()
+	if !active {
 		return
 	}
 	for _, s := range []*Server{from, to} {
-		if extra.Seconds() > s.view(now).move {
-			s.moved(extra, now)
+		if extra.Seconds() > s.view(now).transferExcess {
+			s.recordTransfer(extra, now)
 		}
 	}
 }
 
-func (l *live) moving(now time.Time) float64 {
-	age := now.Sub(l.moveAt)
-	if age <= 0 || l.move == 0 {
-		return l.move
+func (st *serverState) decayedTransferExcess(now time.Time) float64 {
+	age := now.Sub(st.transferExcessAt)
+	if age <= 0 || st.transferExcess == 0 {
+		return st.transferExcess
 	}
-	return l.move * math.Exp(-age.Seconds()/moveMemory.Seconds())
+	return st.transferExcess * math.Exp(-age.Seconds()/transferDecayTime.Seconds())
 }
 
 const (
-	// fullBase is how long a backend server that refused a request gets no others while there are
-	// some; it doubles with each refusal in a row up to fullMax. Longer refusals come from engines
-	// that change their role, which takes seconds.
-	fullBase = 50 * time.Millisecond
-	fullMax  = 800 * time.Millisecond
+	// refusalPauseBase is how long a backend server gets no further requests after a refusal while
+	// there are others. It doubles with each consecutive refusal up to refusalPauseMax. Longer
+	// series of refusals come from engines that are changing their role, which takes seconds.
+	refusalPauseBase = 50 * time.Millisecond
+	refusalPauseMax  = 800 * time.Millisecond
 )
 
-// refused notes that the backend server took no request.
-func (s *Server) refused(now time.Time) {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.full = now.Add(min(fullMax, fullBase<<min(l.refusals, 5)))
-	l.refusals++
+// recordRefusal records that the backend server refused a request.
+func (s *Server) recordRefusal(now time.Time) {
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.refusedUntil = now.Add(min(refusalPauseMax, refusalPauseBase<<min(st.consecutiveRefusals, 5)))
+	st.consecutiveRefusals++
 }
 
-// changing keeps requests away until the backend server is back.
-func (s *Server) changing(until time.Time) {
-	s.live.mu.Lock()
-	defer s.live.mu.Unlock()
-	s.live.full = until
+// pauseUntil keeps requests away until the backend server has changed its role.
+func (s *Server) pauseUntil(until time.Time) {
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	s.state.refusedUntil = until
 }
 
-func (l *live) failure(now time.Time) float64 {
-	age := now.Sub(l.failingAt)
-	if age <= 0 || l.failing == 0 {
-		return l.failing
+func (st *serverState) decayedFailureRate(now time.Time) float64 {
+	age := now.Sub(st.failureRateAt)
+	if age <= 0 || st.failureRate == 0 {
+		return st.failureRate
 	}
-	return l.failing * math.Exp(-age.Seconds()/failureMemory.Seconds())
+	return st.failureRate * math.Exp(-age.Seconds()/failureDecayTime.Seconds())
 }
 
-// view is a consistent copy of what a choice needs.
+// view is a consistent copy of the state that a choice needs.
 type view struct {
-	inFlight int
-	others   int
-	pending  float64
-	failing  float64
-	// move is the expected time of moving a prompt beyond the usual, in seconds.
-	move   float64
-	usable bool
+	inFlight      int
+	otherRequests int
+	pendingTokens float64
+	failureRate   float64
+	// transferExcess is the expected transfer time of a prompt beyond transferTime, in seconds.
+	transferExcess float64
+	usable         bool
 }
 
 func (s *Server) view(now time.Time) view {
-	l := s.live
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	v := view{inFlight: l.inFlight, pending: l.pending, failing: l.failure(now), move: l.moving(now), usable: true}
-	if now.Sub(l.othersAt) < othersAge {
-		v.others = l.others
+	st := s.state
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	v := view{inFlight: st.inFlight, pendingTokens: st.pendingTokens, failureRate: st.decayedFailureRate(now), transferExcess: st.decayedTransferExcess(now), usable: true}
+	if now.Sub(st.loadReportedAt) < loadReportLifetime {
+		v.otherRequests = st.otherRequests
 	}
-	quiet := l.inFlight > 0 && now.Sub(l.waitingSince) > silence
-	v.usable = !quiet && !now.Before(l.ejected) && !now.Before(l.full)
+	silent := st.inFlight > 0 && now.Sub(st.lastActivity) > silenceTimeout
+	v.usable = !silent && !now.Before(st.ejectedUntil) && !now.Before(st.refusedUntil)
 	return v
 }
 
-// Roster keeps the registered backend servers by service. It is safe for concurrent use.
+// Roster holds the registered backend servers by service. It is safe for concurrent use.
 //
-// A registration that disappears while the store is disturbed, or shortly after, may have lapsed
-// although its backend server lives. It is kept until the grace after the last disturbance has
-// passed. One that disappears in calm is removed at once.
+// A registration that disappears during a store failure, or shortly afterwards, may have expired
+// although its backend server is running. It is kept until the grace period after the last failure
+// has passed. At other times a registration that disappears is removed immediately.
 type Roster struct {
 	grace time.Duration
 
-	mu        sync.Mutex
-	servers   map[string]*Server
-	lapsed    map[string]bool
-	disturbed time.Time
-	confirmed time.Time
-	// published counts the lists that were made.
-	published int
-	services  atomic.Pointer[map[string][]*Server]
+	mu            sync.Mutex
+	servers       map[string]*Server
+	lapsed        map[string]bool
+	storeFailedAt time.Time
+	confirmedAt   time.Time
+	// publishCount counts the published snapshots.
+	publishCount int
+	services     atomic.Pointer[map[string][]*Server]
 }
 
-// Change is a change of one registration, as an answer of the store brings it.
+// Change is a change of one registration.
 type Change struct {
 	ID string
-	// Registration is nil if it is gone.
+	// Registration is nil if the registration was removed.
 	Registration *Registration
 }
 
-// lapseGrace is how long after a disturbance of the store a lapsed registration is kept. Backend servers
-// that live are registered again within about two seconds. Three seconds after a disturbance, those that
-// left must get no requests.
+// lapseGrace is how long after a store failure a lapsed registration is kept. Running backend
+// servers register again within about two seconds. Three seconds after the failure, servers that
+// have left must get no requests.
 const lapseGrace = 2700 * time.Millisecond
 
-// NewRoster returns an empty roster.
+// NewRoster returns an empty Roster.
 func NewRoster() *Roster {
 	r := &Roster{grace: lapseGrace, servers: make(map[string]*Server), lapsed: make(map[string]bool)}
 	r.services.Store(&map[string][]*Server{})
 	return r
 }
 
-// Servers returns the backend servers of a service. The slice must not be changed.
+// Servers returns the backend servers of a service. The caller must not modify the slice.
 func (r *Roster) Servers(service string) []*Server { return (*r.services.Load())[service] }
 
 // Len returns the number of registered backend servers.
@@ -291,62 +297,63 @@
 	return len(r.servers)
 }
 
-// Disturbed notes that a call to the store failed that began at a time.
-func (r *Roster) Disturbed(now time.Time) {
+// StoreFailed records that a call to the store failed that began at the given time.
+func (r *Roster) StoreFailed(startedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.disturbed = now
+	r.storeFailedAt = startedAt
 }
 
-// Confirmed notes that the store has told all changes up to now.
-func (r *Roster) Confirmed(now time.Time) {
+// StoreConfirmed records that all changes in the store up to now are known.
+func (r *Roster) StoreConfirmed(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.confirmed = now
+	r.confirmedAt = now
 }
 
-// Apply takes the changes of one answer of the store and publishes them together: an answer can bring
-// thousands. It tells for each change whether anything changed; a registration that lapsed is kept.
+// Apply applies the changes of one response of the store and publishes them together, because a
+// response can contain thousands. The result tells for each change whether it had an effect; a
+// registration that is kept as lapsed does not count.
 func (r *Roster) Apply(changes []Change, now time.Time) []bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	done := make([]bool, len(changes))
-	any := false
+	applied := make([]bool, len(changes))
+	changed := false
 	for i, c := range changes {
 		if c.Registration != nil {
-			done[i] = r.put(*c.Registration)
+			applied[i] = r.upsert(*c.Registration)
 		} else {
-			done[i] = r.remove(c.ID, now)
+			applied[i] = r.remove(c.ID, now)
 		}
-		any = any || done[i]
+		changed = changed || applied[i]
 	}
-	if any {
+	if changed {
 		r.publish()
 	}
-	return done
+	return applied
 }
 
-func (r *Roster) put(reg Registration) bool {
+func (r *Roster) upsert(reg Registration) bool {
 	old := r.servers[reg.ID]
 	delete(r.lapsed, reg.ID)
 	if old != nil && old.Registration == reg {
 		return false
 	}
-	l := &live{}
+	st := &serverState{}
 	if old != nil && old.Address == reg.Address && old.Born == reg.Born && old.Service == reg.Service {
-		l = old.live
+		st = old.state
 	}
-	r.servers[reg.ID] = makeServer(reg, l)
+	r.servers[reg.ID] = makeServer(reg, st)
 	return true
 }
 
-// remove takes a registration away. It tells whether the backend server was dropped at once.
+// remove removes a registration or marks it as lapsed. It reports whether it was removed.
 func (r *Roster) remove(id string, now time.Time) bool {
 	s := r.servers[id]
 	if s == nil {
 		return false
 	}
-	if !s.Draining && now.Sub(r.disturbed) < r.grace {
+	if !s.Draining && now.Sub(r.storeFailedAt) < r.grace {
 		r.lapsed[id] = true
 		return false
 	}
@@ -355,14 +362,14 @@
 	return true
 }
 
-// Replace takes the whole list of registrations.
+// Replace replaces all registrations.
 func (r *Roster) Replace(regs []Registration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := make(map[string]bool, len(regs))
 	for _, reg := range regs {
 		listed[reg.ID] = true
-		r.put(reg)
+		r.upsert(reg)
 	}
 	for id := range r.servers {
 		if !listed[id] {
@@ -372,11 +379,11 @@
 	r.publish()
 }
 
-// Expire drops lapsed registrations whose grace has passed and returns their IDs.
-func (r *Roster) Expire(now time.Time) []string {
+// DropLapsed removes the lapsed registrations after the grace period and returns their IDs.
+func (r *Roster) DropLapsed(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.lapsed) == 0 || now.Sub(r.disturbed) < r.grace {
+	if len(r.lapsed) == 0 || now.Sub(r.storeFailedAt) < r.grace {
 		return nil
 	}
 	var gone []string
@@ -389,7 +396,8 @@
 	return gone
 }
 
-// publish makes a new snapshot. Draining backend servers get no new work and are left out.
+// publish publishes a new snapshot. Draining backend servers are left out, as they get no new
+// requests.
 func (r *Roster) publish() {
 	m := make(map[string][]*Server, len(*r.services.Load()))
 	for _, s := range r.servers {
@@ -401,5 +409,5 @@
 		slices.SortFunc(servers, func(a, b *Server) int { return strings.Compare(a.ID, b.ID) })
 	}
 	r.services.Store(&m)
-	r.published++
+	r.publishCount++
 }
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// Status is what one process believes, for operators and metrics.
+// Status is the state of one process for operators and metrics.
 type Status struct {
 	Instance   string `json:"instance"`
 	DataCentre string `json:"data_centre"`
 	Ready      bool   `json:"ready"`
 	// Reason says why the process is not ready.
 	Reason string `json:"reason,omitempty"`
-	// Config is the version of the configuration in force; 0 if there is none.
+	// Config is the version of the current configuration; 0 if there is none.
 	Config uint64 `json:"config"`
 	Routes int    `json:"routes"`
-	// StoreAgeMS is the age of the configuration and of the registrations: the time since the store last
-	// told all changes. It is negative if it never did. A store without news is asked every few seconds.
+	// StoreAgeMS is the age of the configuration and the registrations in milliseconds: the time
+	// since the store last confirmed that all changes are known. It is negative if that never
+	// happened. A store without changes is queried every few seconds.
 	StoreAgeMS int64 `json:"store_age_ms"`
-	// Orders tells whether this process may give orders to engines now.
+	// Orders is true if this process may currently give orders to engines.
 	Orders   bool            `json:"orders"`
 	Services []ServiceStatus `json:"services"`
 	Servers  []ServerStatus  `json:"servers"`
 }
 
-// ServiceStatus is what one process believes of a service.
+// ServiceStatus is the state of a service as known to one process.
 type ServiceStatus struct {
 	Service string `json:"service"`
-	// Servers are registered, Usable those of them that get new requests.
+	// Servers counts the registered backend servers, Usable those that get new requests.
 	Servers int `json:"servers"`
 	Usable  int `json:"usable"`
-	// InFlight are the requests of this process at its backend servers.
+	// InFlight counts the requests of this process on the service's backend servers.
 	InFlight int `json:"in_flight"`
-	// UnreadTokens are the prompt tokens that this process has sent and that were not read yet.
+	// UnreadTokens counts the prompt tokens that this process has sent and that are not prefilled
+	// yet.
 	UnreadTokens int `json:"unread_tokens"`
-	// RetryBudgetLeft is the number of requests that may be sent again now.
+	// RetryBudgetLeft is the number of retries that the budget currently allows.
 	RetryBudgetLeft float64 `json:"retry_budget_left"`
 }
 
-// ServerStatus is what one process believes of a backend server.
+// ServerStatus is the state of a backend server as known to one process.
 type ServerStatus struct {
 	Server     string `json:"server"`
 	Service    string `json:"service"`
@@ -49,19 +51,21 @@
 	Role       string `json:"role"`
 	// State is ready, draining or lapsed.
 	State string `json:"state"`
-	// Usable backend servers get new requests.
+	// Usable is true if the backend server gets new requests.
 	Usable bool `json:"usable"`
-	// InFlight are the requests of this process, Others those of other entries by the last report.
+	// InFlight counts the requests of this process, Others those of other gateway instances as last
+	// reported.
 	InFlight int `json:"in_flight"`
 	Others   int `json:"others"`
 	Slots    int `json:"slots"`
-	// UnreadTokens are the prompt tokens that this process has sent and that were not read yet.
+	// UnreadTokens counts the prompt tokens that this process has sent and that are not prefilled
+	// yet.
 	UnreadTokens int `json:"unread_tokens"`
 	// FailingShare is the moving average of failed requests, from 0 to 1.
 	FailingShare float64 `json:"failing_share"`
-	// LoadAgeMS is the age of the last report of the load; negative if there was none.
+	// LoadAgeMS is the age of the last load report in milliseconds; negative if there was none.
 	LoadAgeMS int64 `json:"load_age_ms"`
-	// Connections of this process, in use and kept.
+	// Connections counts the connections of this process, in use and idle.
 	Connections int `json:"connections"`
 }
 
@@ -69,11 +73,11 @@
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
-	// stateLapsed means that the registration disappeared while the store was disturbed.
+	// stateLapsed means that the registration disappeared during a store failure.
 	stateLapsed = "lapsed"
 )
 
-// Status returns what this process believes now.
+// Status returns the current state of this process.
 func (g *Gateway) Status(now time.Time) *Status {
 	out := &Status{Instance: g.cfg.Instance, DataCentre: g.cfg.DataCentre}
 	out.Ready, out.Reason = g.Ready()
@@ -102,23 +106,24 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		s := services[name]
-		s.RetryBudgetLeft = g.budget(name).Left(now)
+		s.RetryBudgetLeft = g.retryBudget(name).Left(now)
 		out.Services = append(out.Services, *s)
 	}
 	return out
 }
 
-// never is the age of something that has not happened.
-const never = -1
+// ageNever is the age of an event that has not happened.
+const ageNever = -1
 
 func age(at, now time.Time) int64 {
 	if at.IsZero() {
-		return never
+		return ageNever
 	}
 	return now.Sub(at).Milliseconds()
 }
 
-// status returns the registered backend servers in a fixed order, and the age of the registrations.
+// status returns the registered backend servers in sorted order, and the age of the registrations
+// in milliseconds.
 func (r *Roster) status(now time.Time) (servers []ServerStatus, storeAge int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,8 +132,8 @@
 		v := s.view(now)
 		st := ServerStatus{
 			Server: s.ID, Service: s.Service, Address: s.Address, DataCentre: s.DataCentre, Role: string(s.Role),
-			State: stateReady, Usable: v.usable && !s.Draining, InFlight: v.inFlight, Others: v.others, Slots: s.Slots,
-			UnreadTokens: int(v.pending), FailingShare: v.failing, LoadAgeMS: age(s.reportedAt(), now),
+			State: stateReady, Usable: v.usable && !s.Draining, InFlight: v.inFlight, Others: v.otherRequests, Slots: s.Slots,
+			UnreadTokens: int(v.pendingTokens), FailingShare: v.failureRate, LoadAgeMS: age(s.reportedAt(), now),
 		}
 		switch {
 		case s.Draining:
@@ -141,11 +146,11 @@
 	slices.SortFunc(servers, func(a, b ServerStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Server, b.Server))
 	})
-	return servers, age(r.confirmed, now)
+	return servers, age(r.confirmedAt, now)
 }
 
 func (s *Server) reportedAt() time.Time {
-	s.live.mu.Lock()
-	defer s.live.mu.Unlock()
-	return s.live.othersAt
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	return s.state.loadReportedAt
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// maxEvent bounds one event of a stream.
-	maxEvent     = 1 << 20
-	streamBuffer = 4 << 10
+	// maxEventSize limits one event of a stream, in bytes.
+	maxEventSize     = 1 << 20
+	streamBufferSize = 4 << 10
 )
 
 var errEventTooLarge = errors.New("event too large")
 
-// events reads whole events, each with its empty line.
-type events struct {
+// eventReader reads complete server-sent events, including the blank line that ends each.
+type eventReader struct {
 	br  *bufio.Reader
 	buf []byte
 }
 
-// next returns one event and its id. A rest without an empty line is returned with io.EOF only if
-// the answer is complete.
-func (e *events) next() (event []byte, id string, err error) {
+// next returns one event and its ID. Trailing data without a blank line is returned with io.EOF,
+// which means that the response is complete.
+func (e *eventReader) next() (event []byte, id string, err error) {
 	e.buf = e.buf[:0]
 	for {
 		line, err := e.br.ReadSlice('\n')
 		e.buf = append(e.buf, line...)
-		if len(e.buf) > maxEvent {
+		if len(e.buf) > maxEventSize {
 			return nil, "", errEventTooLarge
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -53,40 +53,40 @@
 	}
 }
 
-// relay passes on events as they arrive. The header goes out with the first event, so that a stream
-// that breaks before it can be sent again.
-func (o *offer) relay(resp *upstream.Response) result {
-	q := o.q
-	in := &events{br: bufio.NewReaderSize(resp, streamBuffer)}
+// relayStream forwards events as they arrive. The header is sent with the first event, so that a
+// stream that breaks before it can be retried.
+func (a *attempt) relayStream(resp *upstream.Response) attemptResult {
+	q := a.q
+	reader := &eventReader{br: bufio.NewReaderSize(resp, streamBufferSize)}
 	flush := http.NewResponseController(q.w)
-	var last time.Time
+	var lastEventAt time.Time
 	for {
-		event, id, err := in.next()
+		event, id, err := reader.next()
 		now := time.Now()
 		if q.r.Context().Err() != nil {
-			q.done(outcomeGone, "")
-			return finished
+			q.finish(outcomeGone, "")
+			return resultFinished
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return o.interrupted(err)
+			return a.handleInterruption(err)
 		}
 		if len(event) > 0 {
-			o.firstEvent(now)
-			if !last.IsZero() {
-				q.g.metrics.Pause(q.service, now.Sub(last))
+			a.recordFirstEvent(now)
+			if !lastEventAt.IsZero() {
+				q.g.metrics.Pause(q.service, now.Sub(lastEventAt))
 			}
-			last = now
+			lastEventAt = now
 		}
-		if err == nil && !q.follows(id) {
+		if err == nil && !q.isNewEvent(id) {
 			continue
 		}
-		if !q.began {
-			q.begin(resp.StatusCode, resp.Header, -1)
+		if !q.headerSent {
+			q.writeHeader(resp.StatusCode, resp.Header, -1)
 		}
 		if len(event) > 0 {
 			if _, werr := q.w.Write(event); werr != nil {
-				q.done(outcomeGone, "write")
-				return finished
+				q.finish(outcomeGone, "write")
+				return resultFinished
 			}
 			q.events++
 			if id != "" {
@@ -94,19 +94,19 @@
 			}
 		}
 		if err != nil {
-			o.s.result(0, now)
-			q.done(outcomeAnswered, "")
-			return finished
+			a.server.recordResult(0, now)
+			q.finish(outcomeAnswered, "")
+			return resultFinished
 		}
-		if in.br.Buffered() == 0 {
+		if reader.br.Buffered() == 0 {
 			_ = flush.Flush()
 		}
-		o.s.heard(nil, now)
+		a.server.recordActivity(nil, now)
 	}
 }
 
-// follows tells whether an event comes after the last one that the caller has.
-func (q *request) follows(id string) bool {
+// isNewEvent reports whether an event comes after the last one that the caller received.
+func (q *request) isNewEvent(id string) bool {
 	if id == "" || q.lastEvent == "" {
 		return true
 	}
@@ -115,27 +115,28 @@
 	return err != nil || lastErr != nil || n > last
 }
 
-func (o *offer) firstEvent(now time.Time) {
-	q := o.q
-	if q.first == 0 {
-		q.first = now.Sub(q.started)
+func (a *attempt) recordFirstEvent(now time.Time) {
+	q := a.q
+	if q.timeToFirst == 0 {
+		q.timeToFirst = now.Sub(q.started)
 	}
-	if !o.counted && o.unread > 0 {
-		q.g.decider.pace(q.service).observe(o.s.Role, o.unread, o.ahead, now.Sub(o.sentAt))
+	if !a.prefillCounted && a.uncachedTokens > 0 {
+		q.g.decider.prefillSpeed(q.service).observe(a.server.Role, a.uncachedTokens, a.tokensAhead, now.Sub(a.sentAt))
 	}
-	o.readDone()
-	o.moveDone(now)
+	a.prefillDone()
+	a.recordTransfer(now)
 }
 
-// interrupted ends an attempt whose stream broke. A stream that cannot resume is given up.
-func (o *offer) interrupted(err error) result {
-	q := o.q
-	o.s.result(1, time.Now())
+// handleInterruption ends an attempt whose stream broke. A stream that has started and cannot be
+// resumed is abandoned.
+func (a *attempt) handleInterruption(err error) attemptResult {
+	q := a.q
+	a.server.recordResult(1, time.Now())
 	q.cause = "stream_broken: " + err.Error()
-	if q.began && !q.route.Resumable {
+	if q.headerSent && !q.route.Resumable {
 		q.runs++
 		q.giveUp(q.cause)
-		return finished
+		return resultFinished
 	}
-	return unknown
+	return resultUnknown
 }
