--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission decides which requests run. It refuses early what cannot be on time, bounds
-// each caller and the queue, and lets lower ranks yield first under load without starving them.
-// The package does no I/O and takes the time as an argument.
+// Package admission decides whether a request may run. It rejects requests that cannot meet their
+// deadline or latency targets, enforces the limits of each caller and of the queue, and under load
+// rejects requests of lower rank first without starving them. The package does no I/O and takes the
+// current time as an argument.
 package admission
 
 import (
@@ -8,54 +9,55 @@
 	"time"
 )
 
-// Reason says why a request was refused. The empty reason means that it was admitted.
+// Reason is why a request was refused. The empty reason means that it was admitted.
 type Reason string
 
-// Reasons for a refusal. All of them mean that the request did not run.
+// Reasons for a refusal. A refused request did not run.
 const (
 	Admitted         Reason = ""
 	Expired          Reason = "expired"           // the deadline has passed
-	Late             Reason = "late"              // the answer would not be on time
-	CallerRate       Reason = "caller_rate"       // the caller's rate limit
-	CallerConcurrent Reason = "caller_concurrent" // the caller's limit of concurrent requests
-	QueueFull        Reason = "queue_full"        // the queue bound
-	RankYields       Reason = "rank_yields"       // capacity is kept for higher ranks
+	Late             Reason = "late"              // a latency target or the deadline would be missed
+	CallerRate       Reason = "caller_rate"       // the caller reached its rate limit
+	CallerConcurrent Reason = "caller_concurrent" // the caller reached its limit of concurrent requests
+	QueueFull        Reason = "queue_full"        // Config.Queue requests are already waiting
+	RankYields       Reason = "rank_yields"       // the remaining capacity is reserved for higher ranks
 	NoWorker         Reason = "no_worker"         // no worker can take the request
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	DefaultQueue           = 64
-	DefaultYieldStep       = 0.15
-	DefaultMinShare        = 0.4
-	DefaultGuaranteedShare = 0.05
-	DefaultSlack           = 1.0
-	DefaultMaxCallers      = 32_768
+	DefaultQueue            = 64
+	DefaultYieldStep        = 0.15
+	DefaultMinYieldPressure = 0.4
+	DefaultGuaranteedShare  = 0.05
+	DefaultSlack            = 1.0
+	DefaultMaxCallers       = 32_768
 )
 
-// maxRank is the lowest rank that is told apart. Ranks below it share its counters.
+// maxRank is the largest rank number, and so the least important rank, with counters of its own.
+// Larger rank numbers are treated as maxRank.
 const maxRank = 8
 
-// Config sets a Controller. Zero fields take the defaults.
+// Config holds the settings of a Controller. Zero fields take the defaults.
 type Config struct {
-	// Queue is the most requests that wait.
+	// Queue is the maximum number of waiting requests.
 	Queue int
-	// YieldStep is how much earlier the next rank yields if half of the requests have the rank
-	// above, as a share of the pressure at which rank 1 is refused. MinShare is the pressure
-	// below which no rank yields.
-	YieldStep float64
-	MinShare  float64
-	// GuaranteedShare is the share of admissions that a rank gets although it would yield,
-	// unless its kind is starvable.
+	// YieldStep is how much lower the maximum pressure of a rank is than 1, the pressure at which
+	// rank 1 is refused, if half of the recent requests have the next higher rank.
+	// MinYieldPressure is the pressure up to which no rank is refused in favour of a higher one.
+	YieldStep        float64
+	MinYieldPressure float64
+	// GuaranteedShare is the number of requests of a rank that may run above the rank's maximum
+	// pressure, per admitted request of a higher rank. Starvable requests have no guarantee.
 	GuaranteedShare float64
-	// Slack is the part of a deadline that an expected time may use before the request is
-	// refused as late.
+	// Slack is the fraction of a latency target or of the time to the deadline that the expected
+	// time may take up before the request is refused as late.
 	Slack float64
-	// Callers bounds each caller.
+	// Callers holds the limits of each caller.
 	Callers CallerLimits
-	// MaxCallers bounds the memory for callers.
+	// MaxCallers is the maximum number of callers that are tracked one by one. It bounds memory.
 	MaxCallers int
-	// Seed makes the hashes of caller names hard to guess.
+	// Seed is mixed into the hashes of caller names, so that collisions are hard to construct.
 	Seed uint64
 }
 
@@ -66,8 +68,8 @@
 	if c.YieldStep <= 0 {
 		c.YieldStep = DefaultYieldStep
 	}
-	if c.MinShare <= 0 {
-		c.MinShare = DefaultMinShare
+	if c.MinYieldPressure <= 0 {
+		c.MinYieldPressure = DefaultMinYieldPressure
 	}
 	if c.GuaranteedShare <= 0 {
 		c.GuaranteedShare = DefaultGuaranteedShare
@@ -81,88 +83,91 @@
 	return c
 }
 
-// Request is what the decision needs to know of a request.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
 	Caller string
-	// Rank 1 is the most important.
+	// Rank is the importance of the request; 1 is the most important. A starvable request has no
+	// guaranteed share of admissions.
 	Rank      int
 	Starvable bool
-	// Deadline is when the whole answer is due. FirstToken and BetweenTokens are the latency
-	// targets of the kind; zero means none.
+	// Deadline is when the complete answer is due. FirstToken and BetweenTokens are the latency
+	// targets for the kind of request. Zero means none.
 	Deadline      time.Time
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Waited is the time that the request has already spent in the system.
+	// Waited is the time since the request arrived.
 	Waited time.Duration
 }
 
-// Expectation is what the chosen workers are expected to deliver.
+// Expectation holds the expected latencies of a request on the workers chosen for it.
 type Expectation struct {
-	// NoWorker is true if there is no worker to choose.
+	// NoWorker is true if no worker can take the request.
 	NoWorker      bool
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Total is the expected time of the whole answer.
+	// Total is the expected time until the answer is complete.
 	Total time.Duration
-	// Queued is the number of requests that wait at the worker or in the queue in question.
+	// Queued is the number of requests already waiting in the queue that the request would join.
 	Queued int
 }
 
-// Decision is the outcome for one request.
+// Decision is the result of admission for one request.
 type Decision struct {
 	Reason Reason
-	// RetryAfter is when a refused caller should try again.
+	// RetryAfter is how long a refused caller should wait before it tries again.
 	RetryAfter time.Duration
-	// Priority is passed to the engine. Higher is served first.
+	// Priority is the scheduling priority for the engine. Higher values are served first.
 	Priority int
-	// Guaranteed is true if the request was admitted from its rank's guaranteed share.
+	// Guaranteed is true if the request was admitted only because of its rank's guaranteed share.
 	Guaranteed bool
-	// shared is true if the caller was counted in its shard's overflow entry.
-	shared bool
+	// inOverflow is true if the request was counted in the overflow entry of the caller's shard.
+	inOverflow bool
 }
 
-// Admitted tells whether the request may run.
+// Admitted reports whether the request may run.
 func (d Decision) Admitted() bool { return d.Reason == Admitted }
 
-// Controller admits requests. It is safe for concurrent use. Each admitted request must be
-// released once. Lock order: a caller shard's lock is never held together with Controller.mu.
+// Controller decides on requests and counts those that run. It is safe for concurrent use. Every
+// admitted request must be released exactly once. Controller.mu and the lock of a caller shard are
+// never held at the same time.
 type Controller struct {
 	cfg     Config
 	callers *callers
 
 	mu sync.Mutex
-	// credit is the admissions that each rank has saved up from its guaranteed share.
+	// credit is the number of guaranteed admissions that each rank has accumulated.
 	credit [maxRank + 1]float64
-	// asked counts the recent requests of each rank. It decays at the interval of decayEvery.
-	asked   [maxRank + 1]float64
-	decayed time.Time
+	// recent counts the requests of each rank that passed all checks but the rank's. The counts
+	// decay exponentially, once per decayInterval; lastDecay is when they last did.
+	recent    [maxRank + 1]float64
+	lastDecay time.Time
 }
 
-// The recent requests of a rank are remembered for about 10 s: 0.9 per second.
+// Decay of the request counts. A factor of 0.9 per second averages over about 10 s.
 const (
-	decayEvery  = time.Second
-	decayFactor = 0.9
-	// maxDecays is enough to forget everything after an idle time.
-	maxDecays = 100
+	decayInterval = time.Second
+	decayFactor   = 0.9
+	// maxDecaySteps bounds the loop after an idle period; 100 steps leave almost nothing.
+	maxDecaySteps = 100
 )
 
-// maxCredit bounds the saved-up admissions of a rank, so that a rank that was absent does not
-// crowd out the others when it returns.
+// maxCredit bounds the guaranteed admissions that a rank can accumulate, so that a rank without
+// traffic for a while doesn't displace the other ranks when its traffic returns.
 const maxCredit = 4
 
-// New returns a controller.
+// New returns a Controller with the given settings.
 func New(cfg Config) *Controller {
 	cfg = cfg.withDefaults()
 	return &Controller{cfg: cfg, callers: newCallers(cfg.MaxCallers, cfg.Seed, cfg.Callers)}
 }
 
-// Priority returns the engine priority of a rank. Higher is served first.
+// Priority returns the scheduling priority of a rank on an engine. Higher values are served first.
 func Priority(rank int) int { return maxRank - clampRank(rank) }
 
 func clampRank(rank int) int { return min(max(rank, 1), maxRank) }
 
-// Admit decides on a request. The request's caller must be released with Release after an
-// admitted request has ended.
+// Admit decides whether a request may run. If it is admitted, Release must be called with the
+// decision once the request has ended.
 func (c *Controller) Admit(r *Request, e *Expectation, now time.Time) Decision {
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
 		return Decision{Reason: Expired}
@@ -170,59 +175,63 @@
 	if e.NoWorker {
 		return Decision{Reason: NoWorker, RetryAfter: time.Second}
 	}
-	if d, ok := c.onTime(r, e, now); !ok {
+	if d, ok := c.checkTiming(r, e, now); !ok {
 		return d
 	}
 	if e.Queued >= c.cfg.Queue {
-		return Decision{Reason: QueueFull, RetryAfter: atLeast(e.FirstToken)}
+		return Decision{Reason: QueueFull, RetryAfter: retryAfter(e.FirstToken)}
 	}
-	reason, wait, shared := c.callers.take(r.Caller, now)
+	reason, wait, inOverflow := c.callers.acquire(r.Caller, now)
 	if reason != Admitted {
 		return Decision{Reason: reason, RetryAfter: wait}
 	}
 	rank := clampRank(r.Rank)
 	ok, guaranteed := c.admitRank(rank, r.Starvable, c.pressure(r, e), now)
 	if !ok {
-		c.callers.giveBack(r.Caller, shared, 1)
-		return Decision{Reason: RankYields, RetryAfter: atLeast(e.FirstToken)}
+		c.callers.release(r.Caller, inOverflow, 1)
+		return Decision{Reason: RankYields, RetryAfter: retryAfter(e.FirstToken)}
 	}
-	return Decision{Priority: Priority(rank), Guaranteed: guaranteed, shared: shared}
+	return Decision{Priority: Priority(rank), Guaranteed: guaranteed, inOverflow: inOverflow}
 }
 
-// Recheck tells whether a request that waits for its engine can still be on time. It is asked
-// before the engine starts the request, and counts nothing. A request that fails it did not run.
+// Recheck decides whether an admitted request that waits for its engine can still meet its
+// deadline and latency targets. It is called before the engine starts the request and changes no
+// counters. A request that Recheck refuses did not run.
 func (c *Controller) Recheck(r *Request, e *Expectation, now time.Time) Decision {
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
 		return Decision{Reason: Expired}
 	}
-	d, _ := c.onTime(r, e, now)
+	d, _ := c.checkTiming(r, e, now)
 	return d
 }
 
-// Release ends a request of the caller that the given decision admitted.
-func (c *Controller) Release(caller string, d Decision) { c.callers.giveBack(caller, d.shared, 0) }
+// Release stops counting a request that ended. The decision is the one that admitted it.
+func (c *Controller) Release(caller string, d Decision) { c.callers.release(caller, d.inOverflow, 0) }
 
-// SetCallerLimits puts new limits in force for all callers.
+// SetCallerLimits replaces the limits that apply to each caller.
 func (c *Controller) SetCallerLimits(l CallerLimits) { c.callers.setLimits(l) }
 
-func (c *Controller) onTime(r *Request, e *Expectation, now time.Time) (Decision, bool) {
-	late := time.Duration(0)
+// checkTiming refuses a request that is expected to miss its latency targets or its deadline. The
+// retry delay is the largest expected excess.
+func (c *Controller) checkTiming(r *Request, e *Expectation, now time.Time) (Decision, bool) {
+	excess := time.Duration(0)
 	if r.FirstToken > 0 {
-		late = max(late, r.Waited+e.FirstToken-scale(r.FirstToken, c.cfg.Slack))
+		excess = max(excess, r.Waited+e.FirstToken-scale(r.FirstToken, c.cfg.Slack))
 	}
 	if r.BetweenTokens > 0 {
-		late = max(late, e.BetweenTokens-scale(r.BetweenTokens, c.cfg.Slack))
+		excess = max(excess, e.BetweenTokens-scale(r.BetweenTokens, c.cfg.Slack))
 	}
 	if !r.Deadline.IsZero() {
-		late = max(late, e.Total-scale(r.Deadline.Sub(now), c.cfg.Slack))
+		excess = max(excess, e.Total-scale(r.Deadline.Sub(now), c.cfg.Slack))
 	}
-	if late > 0 {
-		return Decision{Reason: Late, RetryAfter: atLeast(late)}, false
+	if excess > 0 {
+		return Decision{Reason: Late, RetryAfter: retryAfter(excess)}, false
 	}
 	return Decision{}, true
 }
 
-// pressure is how much of the scarcest allowance the request would use, from 0 to 1.
+// pressure returns the largest fraction used of the queue and of each latency target. It is 1 when
+// the queue is full or when the expected time equals its target.
 func (c *Controller) pressure(r *Request, e *Expectation) float64 {
 	p := float64(e.Queued) / float64(c.cfg.Queue)
 	if r.FirstToken > 0 {
@@ -234,13 +243,14 @@
 	return p
 }
 
-// admitRank applies the rank's pressure bound and its guaranteed share.
+// admitRank decides by the rank of a request: it is admitted up to the rank's maximum pressure, and
+// above it from the rank's guaranteed share. Each admission adds to the credit of all lower ranks.
 func (c *Controller) admitRank(rank int, starvable bool, pressure float64, now time.Time) (ok, guaranteed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	above := c.shareAbove(rank, now)
+	demand := c.higherRankDemand(rank, now)
 	switch {
-	case above == 0 || pressure <= max(1-c.cfg.YieldStep*above, c.cfg.MinShare):
+	case demand == 0 || pressure <= max(1-c.cfg.YieldStep*demand, c.cfg.MinYieldPressure):
 	case !starvable && c.credit[rank] >= 1:
 		c.credit[rank]--
 		guaranteed = true
@@ -253,21 +263,23 @@
 	return true, guaranteed
 }
 
-// shareAbove counts a request and returns twice the share of higher ranks in recent requests,
-// counting each rank in between again: what is kept for higher ranks follows what they ask for.
-func (c *Controller) shareAbove(rank int, now time.Time) float64 {
-	if c.decayed.IsZero() {
-		c.decayed = now
+// higherRankDemand counts a request of the given rank and returns the weighted share of higher
+// ranks in the recent requests. The weight is 2 per rank of difference, so the result is 1 if half
+// of the requests have the next higher rank. The capacity reserved for higher ranks thus follows
+// their demand.
+func (c *Controller) higherRankDemand(rank int, now time.Time) float64 {
+	if c.lastDecay.IsZero() {
+		c.lastDecay = now
 	}
-	for range min(int(now.Sub(c.decayed)/decayEvery), maxDecays) {
-		for i := range c.asked {
-			c.asked[i] *= decayFactor
+	for range min(int(now.Sub(c.lastDecay)/decayInterval), maxDecaySteps) {
+		for i := range c.recent {
+			c.recent[i] *= decayFactor
 		}
-		c.decayed = now
+		c.lastDecay = now
 	}
-	c.asked[rank]++
+	c.recent[rank]++
 	higher, total := 0.0, 0.0
-	for i, n := range c.asked {
+	for i, n := range c.recent {
 		total += n
 		if i < rank {
 			higher += n * float64(rank-i)
@@ -276,9 +288,9 @@
 	return 2 * higher / total
 }
 
-// minRetryAfter keeps refused callers from returning at once.
+// minRetryAfter is the shortest retry delay, so that refused callers don't retry immediately.
 const minRetryAfter = 50 * time.Millisecond
 
-func atLeast(d time.Duration) time.Duration { return max(d, minRetryAfter) }
+func retryAfter(d time.Duration) time.Duration { return max(d, minRetryAfter) }
 
 func scale(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -15,9 +15,10 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Guards against running what cannot be on time, and against a wrong reason in the refusal.
+// Guards against admitting a request that would miss its deadline or a latency target, and against
+// a refusal with the wrong reason.
 func TestReasons(t *testing.T) {
-	ok := admission.Expectation{FirstToken: ms(100), BetweenTokens: ms(30), Total: ms(900)}
+	onTime := admission.Expectation{FirstToken: ms(100), BetweenTokens: ms(30), Total: ms(900)}
 	for _, c := range []struct {
 		name string
 		edit func(*admission.Request, *admission.Expectation)
@@ -34,7 +35,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := admission.Request{Rank: 1, Deadline: start.Add(ms(3000)), FirstToken: ms(730), BetweenTokens: ms(71)}
-			e := ok
+			e := onTime
 			c.edit(&r, &e)
 			d := admission.New(admission.Config{}).Admit(&r, &e, start)
 			assert.Equal(t, c.want, d.Reason)
@@ -51,7 +52,8 @@
 	}
 }
 
-// Guards against callers above their limits and against limits that leak after refusals.
+// Guards against callers that exceed their limits, and against a refused request that stays counted
+// and so reduces the caller's limit.
 func TestCallerLimits(t *testing.T) {
 	c := admission.New(admission.Config{Callers: admission.CallerLimits{RequestsPerSecond: 10, Burst: 3, Concurrent: 2}})
 	r := &admission.Request{Caller: "a", Rank: 1}
@@ -70,8 +72,8 @@
 	assert.True(t, c.Admit(r, e, start.Add(ms(101))).Admitted())
 }
 
-// Guards against memory that grows with the number of callers, and against a full table that
-// stops admitting for good.
+// Guards against memory that grows with the number of callers, and against a full caller table
+// that refuses new callers even after its requests have ended.
 func TestCallerTableIsBounded(t *testing.T) {
 	c := admission.New(admission.Config{MaxCallers: 64, Callers: admission.CallerLimits{Concurrent: 1}})
 	e := &admission.Expectation{}
@@ -82,17 +84,17 @@
 			admitted[name] = d
 		}
 	}
-	assert.LessOrEqual(t, len(admitted), 128, "one per entry and one per overflow entry")
+	assert.LessOrEqual(t, len(admitted), 128, "one request per entry and one per overflow entry")
 	for name, d := range admitted {
 		c.Release(name, d)
 	}
 	assert.True(t, c.Admit(&admission.Request{Caller: "late", Rank: 1}, e, start.Add(time.Minute)).Admitted())
 }
 
-// Guards against lower ranks that take capacity from higher ones under load, that starve
-// although their kind is not starvable, or that yield to ranks that send nothing.
+// Guards against lower ranks that take capacity from higher ones under load, against starving a
+// rank that isn't starvable, and against reserving capacity for ranks without requests.
 func TestRanksYield(t *testing.T) {
-	run := func(starvable, withHigher bool) (low int) {
+	admittedLow := func(starvable, withHigher bool) (admitted int) {
 		c := admission.New(admission.Config{})
 		e := &admission.Expectation{FirstToken: ms(700)}
 		for i := range 1000 {
@@ -102,20 +104,20 @@
 			}
 			d := c.Admit(&admission.Request{Rank: 3, FirstToken: ms(730), Starvable: starvable}, e, now)
 			if d.Admitted() {
-				low++
+				admitted++
 			} else {
 				require.Equal(t, admission.RankYields, d.Reason)
 			}
 		}
-		return low
+		return admitted
 	}
-	assert.InDelta(t, 50, run(false, true), 2, "the guaranteed share")
-	assert.Zero(t, run(true, true))
-	assert.Equal(t, 1000, run(true, false))
+	assert.InDelta(t, 50, admittedLow(false, true), 2, "the guaranteed share")
+	assert.Zero(t, admittedLow(true, true))
+	assert.Equal(t, 1000, admittedLow(true, false))
 	assert.Greater(t, admission.Priority(1), admission.Priority(3))
 }
 
-// Target: under 1 microsecond per decision with 14,000 callers.
+// The target is under 1 microsecond per decision with 14,000 callers.
 func BenchmarkAdmit(b *testing.B) {
 	c := admission.New(admission.Config{Callers: admission.CallerLimits{RequestsPerSecond: 100, Burst: 100, Concurrent: 64}})
 	names := make([]string, 14_000)
--- a/admission/callers.go
+++ b/admission/callers.go
@@ -8,41 +8,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// CallerLimits bound one caller. Zero fields mean no limit.
+// CallerLimits holds the limits of one caller. Zero RequestsPerSecond or Concurrent means no limit;
+// Burst is the capacity of the token bucket and at least 1.
 type CallerLimits struct {
 	RequestsPerSecond float64
 	Burst             int
 	Concurrent        int
 }
 
+// callerShards is the number of separately locked parts of the caller table. callers.shard depends
+// on its being 64.
 const callerShards = 64
 
-// callers keeps the use of each caller in a bounded number of entries. A caller with nothing in
-// flight and a full bucket needs no entry, so its entry can be dropped without effect. If a shard
-// has no such entry, further callers share one overflow entry per shard.
+// callers tracks the usage of each caller in a bounded number of entries. The entry of a caller
+// with no requests in flight and a full token bucket equals a new one, so it can be removed. If a
+// shard is full of entries in use, further callers share the shard's overflow entry.
 type callers struct {
-	seed     uint64
-	perShard int
-	limits   atomic.Pointer[CallerLimits]
-	shards   [callerShards]callerShard
+	seed        uint64
+	maxPerShard int
+	limits      atomic.Pointer[CallerLimits]
+	shards      [callerShards]callerShard
 }
 
 type callerShard struct {
 	mu       sync.Mutex
 	entries  map[uint64]*callerEntry
 	overflow callerEntry
-	// sweepAt limits full sweeps of a shard to one per second.
-	sweepAt time.Time
+	// nextSweep is the earliest time of the next sweep. A sweep visits all entries, so there is at
+	// most one per second.
+	nextSweep time.Time
 }
 
+// callerEntry holds the token bucket of the rate limit, as it was at refilledAt, and the number of
+// requests in flight.
 type callerEntry struct {
 	tokens     float64
-	at         time.Time
+	refilledAt time.Time
 	concurrent int
 }
 
-func newCallers(maximum int, seed uint64, l CallerLimits) *callers {
-	c := &callers{seed: seed, perShard: max(1, maximum/callerShards)}
+func newCallers(maxCallers int, seed uint64, l CallerLimits) *callers {
+	c := &callers{seed: seed, maxPerShard: max(1, maxCallers/callerShards)}
 	c.setLimits(l)
 	for i := range c.shards {
 		c.shards[i].entries = make(map[uint64]*callerEntry)
@@ -52,15 +58,17 @@
 
 func (c *callers) setLimits(l CallerLimits) { c.limits.Store(&l) }
 
+// shard returns the caller's shard and the key of its entry. The multiplication (Fibonacci hashing)
+// spreads the hash into the six highest bits, which select one of 64 shards.
 func (c *callers) shard(caller string) (*callerShard, uint64) {
 	h := xxhash.Sum64String(caller) ^ c.seed
 	h *= 0x9e3779b97f4a7c15
 	return &c.shards[h>>58], h
 }
 
-// take counts a request of the caller, or says why the caller may not send it now. shared tells
-// that it was counted in the overflow entry.
-func (c *callers) take(caller string, now time.Time) (reason Reason, wait time.Duration, shared bool) {
+// acquire counts a request of the caller, or returns the limit that it would exceed and the time to
+// wait. inOverflow is true if the request was counted in the overflow entry.
+func (c *callers) acquire(caller string, now time.Time) (reason Reason, wait time.Duration, inOverflow bool) {
 	l := *c.limits.Load()
 	if caller == "" || l == (CallerLimits{}) {
 		return Admitted, 0, false
@@ -69,7 +77,7 @@
 	s, h := c.shard(caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.entry(h, c.perShard, l.RequestsPerSecond, burst, now)
+	e := s.entry(h, c.maxPerShard, l.RequestsPerSecond, burst, now)
 	if l.Concurrent > 0 && e.concurrent >= l.Concurrent {
 		return CallerConcurrent, minRetryAfter, false
 	}
@@ -84,8 +92,8 @@
 	return Admitted, 0, e == &s.overflow
 }
 
-// giveBack ends a counted request and returns the given number of rate tokens.
-func (c *callers) giveBack(caller string, shared bool, tokens float64) {
+// release stops counting a request and returns refund tokens to the caller's bucket.
+func (c *callers) release(caller string, inOverflow bool, refund float64) {
 	if caller == "" {
 		return
 	}
@@ -93,36 +101,38 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[h]
-	if shared {
+	if inOverflow {
 		e = &s.overflow
 	}
 	if e != nil {
-		e.tokens += tokens
+		e.tokens += refund
 		e.concurrent = max(0, e.concurrent-1)
 	}
 }
 
-func (s *callerShard) entry(h uint64, maximum int, rate, burst float64, now time.Time) *callerEntry {
+// entry returns the entry for a key and creates it if needed. It returns the overflow entry if the
+// shard is full.
+func (s *callerShard) entry(h uint64, maxEntries int, rate, burst float64, now time.Time) *callerEntry {
 	if e := s.entries[h]; e != nil {
 		return e
 	}
-	if len(s.entries) >= maximum && !now.Before(s.sweepAt) {
+	if len(s.entries) >= maxEntries && !now.Before(s.nextSweep) {
 		s.sweep(rate, burst, now)
 	}
-	if len(s.entries) >= maximum {
-		if s.overflow.at.IsZero() {
-			s.overflow = callerEntry{tokens: burst, at: now}
+	if len(s.entries) >= maxEntries {
+		if s.overflow.refilledAt.IsZero() {
+			s.overflow = callerEntry{tokens: burst, refilledAt: now}
 		}
 		return &s.overflow
 	}
-	e := &callerEntry{tokens: burst, at: now}
+	e := &callerEntry{tokens: burst, refilledAt: now}
 	s.entries[h] = e
 	return e
 }
 
-// sweep drops the entries that hold no information.
+// sweep removes the entries without requests in flight whose bucket is full.
 func (s *callerShard) sweep(rate, burst float64, now time.Time) {
-	s.sweepAt = now.Add(time.Second)
+	s.nextSweep = now.Add(time.Second)
 	for h, e := range s.entries {
 		if rate > 0 {
 			e.refill(rate, burst, now)
@@ -133,9 +143,10 @@
 	}
 }
 
+// refill adds the tokens accrued since the last refill, up to burst.
 func (e *callerEntry) refill(rate, burst float64, now time.Time) {
-	if elapsed := now.Sub(e.at).Seconds(); elapsed > 0 {
+	if elapsed := now.Sub(e.refilledAt).Seconds(); elapsed > 0 {
 		e.tokens = min(burst, e.tokens+elapsed*rate)
-		e.at = now
+		e.refilledAt = now
 	}
 }
--- a/load/load.go
+++ b/load/load.go
@@ -1,8 +1,9 @@
-// Package load estimates the load of workers from their lagging reports.
+// Package load estimates the current load of workers from reports that arrive late.
 //
-// A Tracker keeps the last report of each worker and corrects it by what this process itself has
-// sent to and seen finished by the worker since the report was made. It also learns how fast each
-// worker prefills and decodes. The package does no I/O and takes the time as an argument.
+// A Tracker keeps the last report of each worker and corrects it by the requests that this process
+// sent to the worker, or saw finish there, after the report was made. It also estimates how fast
+// each worker prefills and decodes. The package does no I/O and takes the current time as an
+// argument.
 package load
 
 import (
@@ -15,77 +16,81 @@
 )
 
 const (
-	// maxEvents bounds the corrections kept per worker. When it is exceeded, the two oldest are
-	// merged, so totals stay exact and only their times become coarser.
-	maxEvents = 256
-	// transit is how long a request may be under way to a worker. A report does not include
-	// requests sent less than this before it was made.
-	transit = 2 * time.Millisecond
-	// fullScaleSeconds is the age of a report from which the other routers are expected to have
-	// sent as much as this one.
-	fullScaleSeconds = 2.0
-	// sequenceReset is the age from which a lower sequence number is taken as a restarted worker
-	// rather than as a delayed report.
-	sequenceReset = 2 * time.Second
+	// maxCorrections is the maximum number of corrections kept per worker. Beyond it the two oldest
+	// are merged, which keeps the totals exact and only makes their times less precise.
+	maxCorrections = 256
+	// maxTransit is how long a request can take to reach a worker. A request sent less than this
+	// before a report was made is taken as missing from the report.
+	maxTransit = 2 * time.Millisecond
+	// fullExtrapolationSeconds is the age of a report from which each other router is assumed to
+	// have sent as much as this one.
+	fullExtrapolationSeconds = 2.0
+	// sequenceResetAge is how much newer than the last report a report must be for its lower
+	// sequence number to mean that the worker restarted, and not that the report was delayed.
+	sequenceResetAge = 2 * time.Second
 )
 
-// Report is a worker's load report as received.
+// Report is a load report of a worker.
 type Report struct {
-	// Sequence rises with each report of one start of the worker.
+	// Sequence increases with each report until the worker restarts.
 	Sequence uint64
 	// Age is the time since the worker made the report.
 	Age  time.Duration
 	Load external.EngineLoad
 }
 
-// Work is what one request adds to a worker.
+// Work is the load that one request adds to a worker.
 type Work struct {
-	// PrefillTokens are the prompt tokens to prefill on this worker.
+	// PrefillTokens is the number of prompt tokens that this worker prefills.
 	PrefillTokens int
-	// Decode is true if the worker also decodes the answer.
+	// Decode is true if the worker decodes the answer.
 	Decode bool
-	// Pieces are the pieces of KV cache that the request holds until it is finished.
+	// Pieces is the number of KV cache pieces that the request occupies until it ends.
 	Pieces int
 }
 
-// Ticket is returned by Sent and passed back when the request makes progress.
+// Ticket identifies a request sent to a worker. Worker.Sent returns it, and FirstToken and Finished
+// take it.
 type Ticket struct {
 	Work Work
 
-	sentAt    time.Time
-	ahead     float64 // prefill tokens to process up to the first token
-	sequences int
+	sentAt       time.Time
+	prefillAhead float64 // queued prefill tokens when it was sent, including its own
+	sequences    int
 }
 
-type event struct {
+// correction is a change of a worker's load that its last report doesn't include: a request sent to
+// it or finished by it.
+type correction struct {
 	at        time.Time
 	prefill   float64
 	sequences int
 	pieces    int
 }
 
-// Tracker holds the load of all workers that this process knows. It is safe for concurrent use.
+// Tracker holds the load of all workers that this process uses. It is safe for concurrent use.
 // Lock order: Tracker.mu before Worker.mu.
 type Tracker struct {
-	mu      sync.RWMutex
-	workers map[string]*Worker
-	speed   Speed
-	scale   atomic.Uint64 // bits of a float64
+	mu           sync.RWMutex
+	workers      map[string]*Worker
+	initialSpeed Speed
+	routerCount  atomic.Uint64 // a float64, by math.Float64bits
 }
 
-// NewTracker returns a tracker whose workers start with the given speed.
+// NewTracker returns a Tracker. The given speed is assumed of workers until theirs is observed.
 func NewTracker(initial Speed) *Tracker {
-	t := &Tracker{workers: make(map[string]*Worker), speed: initial.withDefaults()}
+	t := &Tracker{workers: make(map[string]*Worker), initialSpeed: initial.withDefaults()}
 	t.SetRouters(1)
 	return t
 }
 
-// SetRouters tells how many routers send to the same workers. The others are expected to send
-// and finish as much as this one since a report, because they act on the same report. Without
-// this, each router alone fills the gap that an old report shows.
-func (t *Tracker) SetRouters(n float64) { t.scale.Store(math.Float64bits(max(1, n))) }
+// SetRouters sets the number of routers that send to the same workers. Since all of them act on the
+// same reports, each other router is assumed to have sent and finished as many requests since a
+// report as this one. Without this, several routers would each fill all of the capacity that an old
+// report shows as free.
+func (t *Tracker) SetRouters(n float64) { t.routerCount.Store(math.Float64bits(max(1, n))) }
 
-// Worker returns the worker with the given ID and creates it if needed.
+// Worker returns the worker with the given ID. It is added if it isn't tracked yet.
 func (t *Tracker) Worker(id string) *Worker {
 	t.mu.RLock()
 	w := t.workers[id]
@@ -96,13 +101,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w = t.workers[id]; w == nil {
-		w = &Worker{learner: newLearner(t.speed), role: external.RoleMixed, scale: &t.scale}
+		w = &Worker{estimator: newEstimator(t.initialSpeed), role: external.RoleMixed, routerCount: &t.routerCount}
 		t.workers[id] = w
 	}
 	return w
 }
 
-// Remove forgets a worker that left the fleet.
+// Remove stops tracking a worker.
 func (t *Tracker) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,139 +121,144 @@
 	return len(t.workers)
 }
 
-// Worker is the load of one worker. It is safe for concurrent use.
+// Worker tracks the load of one worker. It is safe for concurrent use.
 type Worker struct {
-	scale    *atomic.Uint64
-	mu       sync.Mutex
-	role     external.Role
-	sequence uint64
-	madeAt   time.Time // zero: no report yet
-	report   external.EngineLoad
-	events   []event
-	// Corrections by the events, except for prefill, which also drains over time.
+	routerCount *atomic.Uint64
+	mu          sync.Mutex
+	role        external.Role
+	sequence    uint64
+	reportedAt  time.Time // zero: no report yet
+	report      external.EngineLoad
+	corrections []correction
+	// sequences and pieces are the sums of the corrections. prefill also falls over time, as the
+	// worker processes its queue.
 	sequences int
 	pieces    int
-	prefill   float64 // queued prefill tokens at prefillAt
+	prefill   float64 // tokens queued at prefillAt, according to the report and the corrections
 	prefillAt time.Time
-	learner   learner
+	estimator estimator
 }
 
-// SetRole tells the worker's role, which decides whether queued requests will decode here.
+// SetRole sets the worker's role. Queued requests count as sequences to decode unless the worker
+// only prefills.
 func (w *Worker) SetRole(r external.Role) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.role = r
 }
 
-// Observe takes a report. It returns false for a report that is older than the one in use.
+// Observe replaces the worker's report and drops the corrections that the new report includes. It
+// ignores a report that is older than the current one and returns false.
 func (w *Worker) Observe(r Report, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	madeAt := now.Add(-r.Age)
-	if w.outdated(r.Sequence, madeAt) {
+	reportedAt := now.Add(-r.Age)
+	if w.outdated(r.Sequence, reportedAt) {
 		return false
 	}
-	w.sequence, w.madeAt, w.report = r.Sequence, madeAt, r.Load
-	kept := w.events[:0]
-	for _, e := range w.events {
-		if e.at.After(madeAt.Add(-transit)) {
-			kept = append(kept, e)
+	w.sequence, w.reportedAt, w.report = r.Sequence, reportedAt, r.Load
+	kept := w.corrections[:0]
+	for _, c := range w.corrections {
+		if c.at.After(reportedAt.Add(-maxTransit)) {
+			kept = append(kept, c)
 		}
 	}
-	w.events = kept
+	w.corrections = kept
 	w.sequences, w.pieces = 0, 0
-	w.prefill, w.prefillAt = float64(r.Load.PrefillTokens), madeAt
-	for _, e := range kept {
-		w.apply(e)
+	w.prefill, w.prefillAt = float64(r.Load.PrefillTokens), reportedAt
+	for _, c := range kept {
+		w.applyCorrection(c)
 	}
 	return true
 }
 
-// outdated tells whether a report is older than the one in use. After Restarted the sequence is
-// zero and only the time can tell.
-func (w *Worker) outdated(sequence uint64, madeAt time.Time) bool {
+// outdated reports whether a report is older than the current one. After Restarted the current
+// sequence number is zero, and only the times are compared.
+func (w *Worker) outdated(sequence uint64, reportedAt time.Time) bool {
 	switch {
-	case w.madeAt.IsZero():
+	case w.reportedAt.IsZero():
 		return false
 	case w.sequence == 0:
-		return madeAt.Before(w.madeAt)
+		return reportedAt.Before(w.reportedAt)
 	default:
-		return sequence <= w.sequence && madeAt.Sub(w.madeAt) < sequenceReset
+		return sequence <= w.sequence && reportedAt.Sub(w.reportedAt) < sequenceResetAge
 	}
 }
 
-// Sent records that this process sent a request to the worker.
+// Sent adds a request that this process sent to the worker.
 func (w *Worker) Sent(work Work, now time.Time) Ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := event{at: now, prefill: float64(work.PrefillTokens), pieces: -work.Pieces}
+	c := correction{at: now, prefill: float64(work.PrefillTokens), pieces: -work.Pieces}
 	if work.Decode {
-		e.sequences = 1
+		c.sequences = 1
 	}
-	w.add(e)
-	return Ticket{Work: work, sentAt: now, ahead: w.prefill, sequences: w.decoding(w.routers(now))}
+	w.addCorrection(c)
+	return Ticket{Work: work, sentAt: now, prefillAhead: w.prefill, sequences: w.decodingSequences(w.effectiveRouters(now))}
 }
 
-// FirstToken records that the worker delivered the first token of a request that it prefilled,
-// and learns the prefill speed from it.
+// FirstToken updates the estimated prefill speed when the worker delivers the first token of a
+// request that it prefilled.
 func (w *Worker) FirstToken(t Ticket, now time.Time) {
 	if t.Work.PrefillTokens == 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.learner.prefill(t.ahead, t.sequences, now.Sub(t.sentAt).Seconds())
+	w.estimator.observePrefill(t.prefillAhead, t.sequences, now.Sub(t.sentAt).Seconds())
 }
 
-// BetweenTokens records the mean time between tokens seen on one answer, and learns the step time
-// from it.
+// BetweenTokens updates the estimated step time from the mean time between the tokens of an answer.
 func (w *Worker) BetweenTokens(mean time.Duration, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.learner.step(w.decoding(w.routers(now)), mean.Seconds())
+	w.estimator.observeStep(w.decodingSequences(w.effectiveRouters(now)), mean.Seconds())
 }
 
-// Finished records that a request ended on the worker, whatever its outcome.
+// Finished removes a request that ended on the worker, whatever its outcome.
 func (w *Worker) Finished(t Ticket, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := event{at: now, pieces: t.Work.Pieces}
+	c := correction{at: now, pieces: t.Work.Pieces}
 	if t.Work.Decode {
-		e.sequences = -1
+		c.sequences = -1
 	}
-	w.add(e)
+	w.addCorrection(c)
 }
 
-// Restarted forgets the report and the corrections, because the worker lost all requests.
+// Restarted resets the worker's load to zero: a worker that restarts loses all its requests. The
+// estimated speed is kept.
 func (w *Worker) Restarted(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.report = external.EngineLoad{FreePieces: w.report.TotalPieces, TotalPieces: w.report.TotalPieces}
-	w.events = w.events[:0]
+	w.corrections = w.corrections[:0]
 	w.sequence, w.sequences, w.pieces, w.prefill = 0, 0, 0, 0
-	w.madeAt, w.prefillAt = now, now
+	w.reportedAt, w.prefillAt = now, now
 }
 
-func (w *Worker) add(e event) {
-	if len(w.events) >= maxEvents {
-		a, b := w.events[0], w.events[1]
-		w.events[1] = event{at: b.at, prefill: a.prefill + b.prefill, sequences: a.sequences + b.sequences, pieces: a.pieces + b.pieces}
-		w.events = append(w.events[:0], w.events[1:]...)
+// addCorrection stores and applies a correction.
+func (w *Worker) addCorrection(c correction) {
+	if len(w.corrections) >= maxCorrections {
+		a, b := w.corrections[0], w.corrections[1]
+		w.corrections[1] = correction{at: b.at, prefill: a.prefill + b.prefill, sequences: a.sequences + b.sequences, pieces: a.pieces + b.pieces}
+		w.corrections = append(w.corrections[:0], w.corrections[1:]...)
 	}
-	w.events = append(w.events, e)
-	w.apply(e)
+	w.corrections = append(w.corrections, c)
+	w.applyCorrection(c)
 }
 
-func (w *Worker) apply(e event) {
-	w.sequences += e.sequences
-	w.pieces += e.pieces
-	routers := w.routers(e.at)
-	w.prefill = w.queuedPrefill(e.at, w.decoding(routers)) + e.prefill*routers
-	w.prefillAt = e.at
+// applyCorrection adds a correction to the totals and advances the prefill queue to its time.
+func (w *Worker) applyCorrection(c correction) {
+	w.sequences += c.sequences
+	w.pieces += c.pieces
+	effectiveRouters := w.effectiveRouters(c.at)
+	w.prefill = w.queuedPrefill(c.at, w.decodingSequences(effectiveRouters)) + c.prefill*effectiveRouters
+	w.prefillAt = c.at
 }
 
-// queuedPrefill returns the prefill queue at a time, drained at the learned speed of an engine
-// with the given number of decoding sequences.
+// queuedPrefill returns the prefill tokens that are still queued at the given time if the worker
+// prefills at its estimated speed while it decodes the given number of sequences.
 func (w *Worker) queuedPrefill(now time.Time, sequences int) float64 {
 	if w.prefill == 0 {
 		return 0
@@ -257,42 +267,45 @@
 	if elapsed <= 0 {
 		return w.prefill
 	}
-	return max(0, w.prefill-elapsed/w.learner.speed.prefillTokenSeconds(sequences))
+	return max(0, w.prefill-elapsed/w.estimator.speed.prefillTokenSeconds(sequences))
 }
 
-// routers is the number of routers whose sends a correction stands for at a time. It grows with
-// the age of the report: right after one, a few own sends say little about the others.
-func (w *Worker) routers(at time.Time) float64 {
-	n := math.Float64frombits(w.scale.Load())
+// effectiveRouters returns the factor by which this router's own corrections are multiplied to
+// account for the other routers. It grows from 1 to the number of routers with the age of the
+// report, because the few requests sent right after a report say little about the other routers.
+func (w *Worker) effectiveRouters(at time.Time) float64 {
+	n := math.Float64frombits(w.routerCount.Load())
 	if n == 1 {
 		return 1
 	}
-	return 1 + (n-1)*min(1, max(0, float64(at.Sub(w.madeAt))*(1e-9/fullScaleSeconds)))
+	return 1 + (n-1)*min(1, max(0, float64(at.Sub(w.reportedAt))*(1e-9/fullExtrapolationSeconds)))
 }
 
-func (w *Worker) decoding(routers float64) int {
-	n := w.report.Running + int(float64(w.sequences)*routers)
+// decodingSequences returns the estimated number of sequences that the worker decodes or will decode
+// from its queue.
+func (w *Worker) decodingSequences(effectiveRouters float64) int {
+	n := w.report.Running + int(float64(w.sequences)*effectiveRouters)
 	if w.role != external.RolePrefill {
 		n += w.report.Queued
 	}
 	return max(0, n)
 }
 
-// Estimate returns the worker's load at a time.
+// Estimate returns the estimated load of the worker at the given time.
 func (w *Worker) Estimate(now time.Time) Estimate {
 	w.mu.Lock()
-	routers := w.routers(now)
-	sequences := w.decoding(routers)
+	effectiveRouters := w.effectiveRouters(now)
+	sequences := w.decodingSequences(effectiveRouters)
 	e := Estimate{
 		PrefillTokens: w.queuedPrefill(now, sequences),
 		Sequences:     sequences,
-		FreePieces:    max(0, w.report.FreePieces+int(float64(w.pieces)*routers)),
+		FreePieces:    max(0, w.report.FreePieces+int(float64(w.pieces)*effectiveRouters)),
 		TotalPieces:   w.report.TotalPieces,
-		Speed:         w.learner.speed,
-		Known:         !w.madeAt.IsZero(),
+		Speed:         w.estimator.speed,
+		Known:         !w.reportedAt.IsZero(),
 	}
 	if e.Known {
-		e.Age = now.Sub(w.madeAt)
+		e.Age = now.Sub(w.reportedAt)
 	}
 	w.mu.Unlock()
 	return e
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -23,7 +23,7 @@
 	}}
 }
 
-// Guards against counting a request twice (in the report and as a correction) or not at all.
+// Guards against counting a request both in the report and as a correction, or in neither.
 func TestReportReplacesOnlyOlderCorrections(t *testing.T) {
 	w := load.NewTracker(load.Speed{}).Worker("w")
 	require.True(t, w.Observe(report(1, 0, 0, 5, 50), at(0)))
@@ -33,7 +33,7 @@
 	assert.Equal(t, 7, e.Sequences)
 	assert.Equal(t, 43, e.FreePieces)
 
-	// This report, made at 500 ms, includes the first request only.
+	// This report was made at 500 ms, so it includes only the first request.
 	require.True(t, w.Observe(report(2, 500*time.Millisecond, 0, 6, 47), at(time.Second)))
 	e = w.Estimate(at(time.Second))
 	assert.Equal(t, 7, e.Sequences)
@@ -46,8 +46,8 @@
 	assert.Equal(t, 46, e.FreePieces)
 }
 
-// Guards against a delayed report that overwrites a newer one, and against ignoring a restarted
-// worker, whose sequence numbers begin again.
+// Guards against a delayed report that overwrites a newer one, and against ignoring the reports of a
+// restarted worker because its sequence numbers start again.
 func TestOldReportsAreIgnored(t *testing.T) {
 	w := load.NewTracker(load.Speed{}).Worker("w")
 	require.True(t, w.Observe(report(7, 0, 0, 5, 50), at(0)))
@@ -57,7 +57,8 @@
 	assert.Equal(t, 1, w.Estimate(at(10*time.Second)).Sequences)
 }
 
-// Guards against a queue that never drains between reports.
+// Guards against an estimated prefill queue that stays constant between reports although the worker
+// processes it.
 func TestPrefillDrains(t *testing.T) {
 	w := load.NewTracker(load.Speed{PrefillSecondsPerToken: 1e-4}).Worker("w")
 	w.SetRole(external.RolePrefill)
@@ -69,14 +70,15 @@
 	assert.InDelta(t, 0.318, e.FirstToken(2000), 0.001)
 }
 
-// Guards against several routers that each fill the gap which an old report shows.
+// Guards against overloading a worker: without scaling, each of several routers fills all of the
+// capacity that an old report shows as free.
 func TestOtherRoutersAreExpectedToAct(t *testing.T) {
 	tracker := load.NewTracker(load.Speed{})
 	tracker.SetRouters(3)
 	w := tracker.Worker("w")
 	w.Observe(report(1, 0, 0, 5, 50), at(0))
 	ticket := w.Sent(load.Work{Decode: true, Pieces: 2}, at(0))
-	assert.Equal(t, 6, w.Estimate(at(0)).Sequences, "right after a report, only the own send counts")
+	assert.Equal(t, 6, w.Estimate(at(0)).Sequences, "right after a report, only this router's request counts")
 	e := w.Estimate(at(2 * time.Second))
 	assert.Equal(t, 8, e.Sequences)
 	assert.Equal(t, 44, e.FreePieces)
@@ -84,7 +86,8 @@
 	assert.Equal(t, 5, w.Estimate(at(2*time.Second)).Sequences)
 }
 
-// Guards against speeds that do not follow the engine, or that one absurd value spoils.
+// Guards against an estimated speed that doesn't converge to the observed one, or that a single
+// outlier distorts.
 func TestSpeedIsLearned(t *testing.T) {
 	w := load.NewTracker(load.Speed{PrefillSecondsPerToken: 1e-4}).Worker("w")
 	w.SetRole(external.RolePrefill)
@@ -102,28 +105,28 @@
 	assert.Less(t, w.Estimate(at(2000*time.Second)).Speed.Step(0), 0.06)
 }
 
-// Guards against negative or drifting totals over any history, including one longer than the
-// event buffer.
+// Guards against totals that become negative or don't return to the report once all requests have
+// finished, also with more corrections than are kept one by one.
 func TestEstimateReturnsToReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := load.NewTracker(load.Speed{}).Worker("w")
 		w.Observe(report(1, 0, 0, 3, 60), at(0))
-		var open []load.Ticket
+		var inFlight []load.Ticket
 		now := time.Duration(0)
 		for range rapid.IntRange(0, 600).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * time.Millisecond
-			if len(open) > 0 && rapid.Bool().Draw(t, "finish") {
-				w.Finished(open[0], at(now))
-				open = open[1:]
+			if len(inFlight) > 0 && rapid.Bool().Draw(t, "finish") {
+				w.Finished(inFlight[0], at(now))
+				inFlight = inFlight[1:]
 				continue
 			}
 			work := load.Work{PrefillTokens: rapid.IntRange(0, 4000).Draw(t, "tokens"), Decode: true, Pieces: 1}
-			open = append(open, w.Sent(work, at(now)))
+			inFlight = append(inFlight, w.Sent(work, at(now)))
 			e := w.Estimate(at(now))
 			require.GreaterOrEqual(t, e.PrefillTokens, 0.0)
 			require.GreaterOrEqual(t, e.FreePieces, 0)
 		}
-		for _, ticket := range open {
+		for _, ticket := range inFlight {
 			w.Finished(ticket, at(now))
 		}
 		e := w.Estimate(at(now + time.Hour))
--- a/load/speed.go
+++ b/load/speed.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Defaults of the speed of an engine that was not observed yet. They are of the order of an
-// eight-accelerator engine and are replaced by learned values within a few dozen requests.
+// Default speed of an engine that hasn't been observed yet. It is typical of an engine with eight
+// accelerators, and observations replace it within a few dozen requests.
 const (
 	DefaultPrefillTokensPerSecond = 10_000
 	DefaultStepBase               = 18 * time.Millisecond
@@ -12,26 +12,27 @@
 )
 
 const (
-	// learnRate is the weight of one observation in the averages; 0.05 remembers about 20.
-	learnRate = 0.05
-	// maxDrift bounds a learned value to this factor around its initial value, so that a few
-	// absurd observations cannot make a worker look free or unusable.
-	maxDrift = 8
-	// minLearnTokens is the least prefill work from which the speed is learned. Below it, fixed
-	// costs dominate.
-	minLearnTokens = 256
+	// smoothingFactor is the weight of one observation in the moving averages; 0.05 averages over
+	// about 20 observations.
+	smoothingFactor = 0.05
+	// maxDriftFactor is how far an estimate may move from its initial value in either direction, so
+	// that a few outliers can't make a worker look idle or unusable.
+	maxDriftFactor = 8
+	// minObservedTokens is the minimum number of prefilled tokens for an observation to count. Below
+	// it, fixed costs dominate the time.
+	minObservedTokens = 256
 )
 
-// Speed describes how fast an engine works. Seconds are used instead of time.Duration because the
-// values enter arithmetic on the routing path.
+// Speed describes how fast an engine prefills and decodes. Times are float64 seconds instead of
+// time.Duration, because the routing path does floating-point arithmetic with them.
 type Speed struct {
-	// PrefillSecondsPerToken is the pure prefill cost of one prompt token.
+	// PrefillSecondsPerToken is the time to prefill one prompt token, without decode steps.
 	PrefillSecondsPerToken float64
-	// StepSeconds is the time of a decode step of an empty batch.
+	// StepSeconds is the fixed time of a decode step.
 	StepSeconds float64
-	// StepSecondsPerSequence is added to a step per running sequence.
+	// StepSecondsPerSequence is the additional time of a decode step per sequence in the batch.
 	StepSecondsPerSequence float64
-	// ChunkTokens is the most prefill tokens in one step.
+	// ChunkTokens is the maximum number of prefill tokens processed in one step.
 	ChunkTokens float64
 }
 
@@ -51,13 +52,13 @@
 	return s
 }
 
-// Step returns the seconds of a decode step with the given number of sequences.
+// Step returns the duration in seconds of a decode step with the given number of sequences.
 func (s Speed) Step(sequences int) float64 {
 	return s.StepSeconds + s.StepSecondsPerSequence*float64(sequences)
 }
 
-// prefillTokenSeconds is the time per prefill token on an engine that decodes at the same time:
-// each step takes one chunk in addition to the running sequences.
+// prefillTokenSeconds returns the time in seconds to prefill one token on an engine that also
+// decodes the given number of sequences: each step processes one chunk besides the sequences.
 func (s Speed) prefillTokenSeconds(sequences int) float64 {
 	if sequences == 0 {
 		return s.PrefillSecondsPerToken
@@ -65,71 +66,77 @@
 	return s.PrefillSecondsPerToken + s.Step(sequences)/s.ChunkTokens
 }
 
-// Estimate is the load of a worker at one time.
+// Estimate is the estimated load of a worker at one point in time.
 type Estimate struct {
 	PrefillTokens float64
 	Sequences     int
 	FreePieces    int
 	TotalPieces   int
 	Speed         Speed
-	// Age is the age of the report behind the estimate. Known is false before the first report.
+	// Age is the age of the report that the estimate is based on. Known is false before the first
+	// report.
 	Age   time.Duration
 	Known bool
 }
 
-// FirstToken returns the expected seconds to the first token of one more request with the given
-// number of prompt tokens to prefill.
+// FirstToken returns the expected time in seconds to the first token of another request with the
+// given number of prompt tokens to prefill.
 func (e *Estimate) FirstToken(tokens float64) float64 {
 	return (e.PrefillTokens+tokens)*e.Speed.prefillTokenSeconds(e.Sequences) + e.Speed.StepSeconds
 }
 
-// interferenceSteps spreads the queued prefill over the steps of a typical answer.
-const interferenceSteps = 64
+// prefillSpreadSteps is the number of decode steps over which queued prefill is assumed to be
+// spread; it is the length of a typical answer.
+const prefillSpreadSteps = 64
 
-// BetweenTokens returns the expected seconds between tokens for one more sequence. Queued prefill
-// on the same engine lengthens the steps.
+// BetweenTokens returns the expected time in seconds between the tokens of another sequence.
+// Prefill queued on the same engine lengthens the steps.
 func (e *Estimate) BetweenTokens() float64 {
-	chunk := min(e.Speed.ChunkTokens, e.PrefillTokens/interferenceSteps)
+	chunk := min(e.Speed.ChunkTokens, e.PrefillTokens/prefillSpreadSteps)
 	return e.Speed.Step(e.Sequences+1) + chunk*e.Speed.PrefillSecondsPerToken
 }
 
-// Fits tells whether the given number of pieces is free. An engine that never reported a
-// total is taken to have room.
+// Fits reports whether the given number of KV cache pieces is free. An engine that hasn't reported
+// a total is assumed to have enough.
 func (e *Estimate) Fits(pieces int) bool {
 	return e.TotalPieces == 0 || e.FreePieces >= pieces
 }
 
-// learner keeps exponentially weighted averages of the observed speeds.
-type learner struct {
+// estimator keeps exponentially weighted moving averages of the observed speeds.
+type estimator struct {
 	initial Speed
 	speed   Speed
 }
 
-func newLearner(initial Speed) learner { return learner{initial: initial, speed: initial} }
+func newEstimator(initial Speed) estimator { return estimator{initial: initial, speed: initial} }
 
-func (l *learner) prefill(ahead float64, sequences int, elapsed float64) {
-	if ahead < minLearnTokens || elapsed <= 0 {
+// observePrefill takes the time in seconds in which an engine with the given number of sequences
+// prefilled tokensAhead tokens. The part that decode steps take is subtracted.
+func (e *estimator) observePrefill(tokensAhead float64, sequences int, elapsed float64) {
+	if tokensAhead < minObservedTokens || elapsed <= 0 {
 		return
 	}
-	perToken := elapsed/ahead - (l.speed.prefillTokenSeconds(sequences) - l.speed.PrefillSecondsPerToken)
-	l.speed.PrefillSecondsPerToken = average(l.speed.PrefillSecondsPerToken, perToken, l.initial.PrefillSecondsPerToken)
+	perToken := elapsed/tokensAhead - (e.speed.prefillTokenSeconds(sequences) - e.speed.PrefillSecondsPerToken)
+	e.speed.PrefillSecondsPerToken = updateAverage(e.speed.PrefillSecondsPerToken, perToken, e.initial.PrefillSecondsPerToken)
 }
 
-// step scales both parts of the step time by the same factor, because one observation cannot tell
-// them apart.
-func (l *learner) step(sequences int, seconds float64) {
+// observeStep takes the observed duration of a decode step. It scales the fixed part and the part
+// per sequence by the same factor, because one observation can't distinguish them.
+func (e *estimator) observeStep(sequences int, seconds float64) {
 	if seconds <= 0 {
 		return
 	}
-	factor := seconds / l.speed.Step(sequences)
-	l.speed.StepSeconds = average(l.speed.StepSeconds, factor*l.speed.StepSeconds, l.initial.StepSeconds)
-	l.speed.StepSecondsPerSequence = average(l.speed.StepSecondsPerSequence, factor*l.speed.StepSecondsPerSequence, l.initial.StepSecondsPerSequence)
+	factor := seconds / e.speed.Step(sequences)
+	e.speed.StepSeconds = updateAverage(e.speed.StepSeconds, factor*e.speed.StepSeconds, e.initial.StepSeconds)
+	e.speed.StepSecondsPerSequence = updateAverage(e.speed.StepSecondsPerSequence, factor*e.speed.StepSecondsPerSequence, e.initial.StepSecondsPerSequence)
 }
 
-func average(old, observed, initial float64) float64 {
-	observed = min(max(observed, initial/maxDrift), initial*maxDrift)
-	return old + learnRate*(observed-old)
+// updateAverage returns the moving average after an observation, which is first limited to
+// maxDriftFactor around the initial value.
+func updateAverage(old, observed, initial float64) float64 {
+	observed = min(max(observed, initial/maxDriftFactor), initial*maxDriftFactor)
+	return old + smoothingFactor*(observed-old)
 }
 
-// DefaultSpeed is the speed assumed of a worker that has not been observed.
+// DefaultSpeed returns the speed assumed of a worker that hasn't been observed.
 func DefaultSpeed() Speed { return Speed{}.withDefaults() }
