--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry bounds repeated attempts to a share of fresh traffic and spaces them.
+// Package retry limits retries to a share of the first attempts and computes the waits between them.
 package retry
 
 import (
@@ -7,24 +7,26 @@
 	"time"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	DefaultShare     = 0.10
-	DefaultMinPerSec = 1.0
-	DefaultBurst     = 20.0
-	DefaultBase      = 10 * time.Millisecond
-	DefaultMax       = 2 * time.Second
+	DefaultShare        = 0.10
+	DefaultMinPerSecond = 1.0
+	DefaultBurst        = 20.0
+	DefaultBase         = 10 * time.Millisecond
+	DefaultMax          = 2 * time.Second
 )
 
-// Config sets a budget and its back-off. Zero fields take the defaults.
+// Config holds the settings of a Budget and its back-off. Zero fields take the defaults.
 type Config struct {
-	// Share is the number of retries allowed per fresh request.
+	// Share is the number of retries allowed per first attempt.
 	Share float64
-	// MinPerSecond is allowed even without fresh traffic, so that a quiet service can retry.
+	// MinPerSecond is the number of retries per second that are allowed in addition, so that a
+	// service with little traffic can retry.
 	MinPerSecond float64
-	// Burst is the most retries that may be saved up.
+	// Burst is the maximum number of retries that can accumulate.
 	Burst float64
-	// Base is the upper bound of the first wait; it doubles with each attempt up to Max.
+	// Base is the upper bound of the wait before the first retry. The bound doubles with each
+	// further retry up to Max.
 	Base time.Duration
 	Max  time.Duration
 }
@@ -34,7 +36,7 @@
 		c.Share = DefaultShare
 	}
 	if c.MinPerSecond <= 0 {
-		c.MinPerSecond = DefaultMinPerSec
+		c.MinPerSecond = DefaultMinPerSecond
 	}
 	if c.Burst <= 0 {
 		c.Burst = DefaultBurst
@@ -48,16 +50,17 @@
 	return c
 }
 
-// Budget allows retries as a share of fresh requests. It is safe for concurrent use.
+// Budget is a token bucket that allows retries as a share of the first attempts. It is safe for
+// concurrent use.
 type Budget struct {
 	cfg Config
 
-	mu     sync.Mutex
-	tokens float64
-	at     time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewBudget returns a budget that starts with one retry per MinPerSecond.
+// NewBudget returns a budget that initially holds the retries of one second without traffic.
 func NewBudget(cfg Config) *Budget {
 	cfg = cfg.withDefaults()
 	return &Budget{cfg: cfg, tokens: min(cfg.Burst, cfg.MinPerSecond)}
@@ -71,7 +74,7 @@
 	b.tokens = min(b.cfg.Burst, b.tokens+b.cfg.Share)
 }
 
-// Take tells whether a retry is allowed, and spends it.
+// Take reports whether a retry is allowed. If so, the retry is taken from the budget.
 func (b *Budget) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,18 +86,19 @@
 	return true
 }
 
+// refill adds the retries that MinPerSecond allows for the time since the last refill.
 func (b *Budget) refill(now time.Time) {
-	if elapsed := now.Sub(b.at).Seconds(); !b.at.IsZero() && elapsed > 0 {
+	if elapsed := now.Sub(b.refilledAt).Seconds(); !b.refilledAt.IsZero() && elapsed > 0 {
 		b.tokens = min(b.cfg.Burst, b.tokens+elapsed*b.cfg.MinPerSecond)
 	}
-	if now.After(b.at) {
-		b.at = now
+	if now.After(b.refilledAt) {
+		b.refilledAt = now
 	}
 }
 
-// Backoff returns the wait before the given retry (1 is the first). The wait is drawn evenly
-// between zero and a bound that doubles, so that callers that failed together do not return
-// together. It is never shorter than retryAfter, which the refusing worker gave.
+// Backoff returns the wait before a retry; attempt 1 is the first retry. The wait is retryAfter,
+// which the worker that refused the request asked for, plus a uniformly random time up to a bound
+// that doubles with each retry. The random part spreads out requests that failed at the same time.
 func (b *Budget) Backoff(attempt int, retryAfter time.Duration, rnd *rand.Rand) time.Duration {
 	bound := b.cfg.Base
 	for i := 1; i < attempt && bound < b.cfg.Max; i++ {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -14,7 +14,8 @@
 
 var start = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// Guards against retry storms: retries never exceed the share of fresh traffic plus the minimum.
+// Guards against retry storms: retries never exceed their share of the first attempts plus the
+// minimum rate.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := retry.NewBudget(retry.Config{})
@@ -28,14 +29,14 @@
 				taken++
 			}
 		}
-		bound := 1 + retry.DefaultShare*float64(fresh) + retry.DefaultMinPerSec*now.Sub(start).Seconds()
+		bound := 1 + retry.DefaultShare*float64(fresh) + retry.DefaultMinPerSecond*now.Sub(start).Seconds()
 		if float64(taken) > bound+1e-6 {
 			t.Fatalf("%d retries, bound %.2f", taken, bound)
 		}
 	})
 }
 
-// Guards against a quiet service that may never retry.
+// Guards against a service with little traffic that can never retry.
 func TestMinimumWithoutTraffic(t *testing.T) {
 	b := retry.NewBudget(retry.Config{})
 	assert.True(t, b.Take(start))
@@ -43,7 +44,8 @@
 	assert.True(t, b.Take(start.Add(time.Second)))
 }
 
-// Guards against waits that overflow, ignore the refusing worker's request or come in step.
+// Guards against waits that overflow, are shorter than the worker asked for, or are equal for
+// requests that failed at the same time.
 func TestBackoff(t *testing.T) {
 	b := retry.NewBudget(retry.Config{})
 	rnd := rand.New(rand.NewPCG(1, 2))
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,103 +6,106 @@
 )
 
 const (
-	// windowBuckets divides the window.
+	// windowBuckets is the number of time buckets in a window.
 	windowBuckets = 20
-	// historyBuckets covers the window, the one before it, and the partial buckets at both ends.
+	// historyBuckets covers a window, the one before it, and the partial buckets at both ends.
 	historyBuckets = 2*windowBuckets + 2
 )
 
-// Window allows repeats as a share of the fresh requests of a sliding window. Because each process
-// counts only its own requests and repeats, the processes together keep the share without talking to
-// each other. It is safe for concurrent use.
+// Window is a retry budget that allows retries as a share of the first attempts in a sliding window.
+// Each process counts only its own first attempts and retries. All processes together then stay
+// within the share too, without communication. Window is safe for concurrent use.
 //
-// A window at any position may hold at most share x requests + slack repeats, where requests are those
-// of that window, of the one before it or of the one half a window before it, whichever are most.
-// Partial buckets count in full for repeats and not at all for requests, so that the bound holds
-// between bucket boundaries too.
+// A window at any position holds at most share x first attempts + slack retries. The first attempts
+// are those of this window, of the previous window or of the window that begins half a window
+// earlier, whichever are most. Partial buckets count in full for retries and not at all for first
+// attempts, so that the bound also holds for windows that don't start at a bucket boundary.
 type Window struct {
-	share  float64
-	slack  float64
-	bucket time.Duration
+	share        float64
+	slack        float64
+	bucketLength time.Duration
 
 	mu      sync.Mutex
 	fresh   [historyBuckets]int
-	repeats [historyBuckets]int
-	at      int64
+	retries [historyBuckets]int
+	current int64
 }
 
-// NewWindow returns a budget for windows of the given length.
+// NewWindow returns a budget for windows of the given length. It allows share retries per first
+// attempt and slack retries in addition.
 func NewWindow(length time.Duration, share, slack float64) *Window {
-	return &Window{share: share, slack: slack, bucket: max(length/windowBuckets, time.Millisecond)}
+	return &Window{share: share, slack: slack, bucketLength: max(length/windowBuckets, time.Millisecond)}
 }
 
-// Fresh counts a request.
+// Fresh records a first attempt.
 func (w *Window) Fresh(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fresh[w.advance(now)]++
 }
 
-// Take counts a repeat if the budget allows it.
+// Take reports whether a retry is allowed. If so, the retry is counted.
 func (w *Window) Take(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := w.advance(now)
-	if w.left() < 1 {
+	if w.remaining() < 1 {
 		return false
 	}
-	w.repeats[i]++
+	w.retries[i]++
 	return true
 }
 
-// Left returns the number of repeats that the budget allows now.
+// Left returns the number of retries that the budget allows now.
 func (w *Window) Left(now time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
-	return w.left()
+	return w.remaining()
 }
 
-// left is the least room of all windows that contain the present. No request to come is counted on.
-func (w *Window) left() float64 {
-	var fresh [historyBuckets + 1]int // fresh[n] are the requests of the last n buckets
+// remaining returns the smallest allowance of all windows that contain the current time. Future
+// first attempts are not counted on.
+func (w *Window) remaining() float64 {
+	var freshSums [historyBuckets + 1]int // freshSums[n] counts the first attempts in the n newest buckets
 	for age := range historyBuckets {
-		fresh[age+1] = fresh[age] + w.fresh[w.index(age)]
+		freshSums[age+1] = freshSums[age] + w.fresh[w.index(age)]
 	}
-	// between counts the requests of the buckets whose age is at least from and below to.
-	between := func(from, to int) int {
+	// countBetween returns the first attempts in the buckets of age from up to, but not including, to.
+	countBetween := func(from, to int) int {
 		from, to = max(from, 0), min(to, historyBuckets)
-		return max(0, fresh[to]-fresh[min(from, to)])
+		return max(0, freshSums[to]-freshSums[min(from, to)])
 	}
-	least, repeats := w.slack, 0
+	least, retries := w.slack, 0
 	for start := range windowBuckets + 1 {
-		repeats += w.repeats[w.index(start)]
+		retries += w.retries[w.index(start)]
 		requests := max(
-			between(0, start),
-			between(start+1, start+windowBuckets),
-			between(start-windowBuckets/2+1, start+windowBuckets/2),
+			countBetween(0, start),
+			countBetween(start+1, start+windowBuckets),
+			countBetween(start-windowBuckets/2+1, start+windowBuckets/2),
 		)
-		room := w.share*float64(requests) + w.slack - float64(repeats)
-		if start == 0 || room < least {
-			least = room
+		allowance := w.share*float64(requests) + w.slack - float64(retries)
+		if start == 0 || allowance < least {
+			least = allowance
 		}
 	}
 	return least
 }
 
-// index returns the bucket of the given age; the current one has age 0.
+// index returns the index of the bucket that is age buckets older than the current one.
 func (w *Window) index(age int) int {
-	return int(((w.at-int64(age))%historyBuckets + historyBuckets) % historyBuckets)
+	return int(((w.current-int64(age))%historyBuckets + historyBuckets) % historyBuckets)
 }
 
-// advance clears the buckets that have left the history and returns the current one.
+// advance makes the bucket of the given time the current one, clears the buckets that it reuses, and
+// returns its index. Time that goes backwards is ignored.
 func (w *Window) advance(now time.Time) int {
-	at := now.UnixNano() / int64(w.bucket)
-	for n := 0; w.at < at && n <= historyBuckets; n++ {
-		w.at++
+	current := now.UnixNano() / int64(w.bucketLength)
+	for n := 0; w.current < current && n <= historyBuckets; n++ {
+		w.current++
 		i := w.index(0)
-		w.fresh[i], w.repeats[i] = 0, 0
+		w.fresh[i], w.retries[i] = 0, 0
 	}
-	w.at = max(w.at, at)
+	w.current = max(w.current, current)
 	return w.index(0)
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,8 +10,9 @@
 	_ "github.com/quetzallug/quetzallug/internal/rapidseed" // fixes the seed
 )
 
-// Guards against a sliding window of any position that holds more repeats than its share. The users'
-// rule counts the fresh requests of that window, of the one before and of the one half a window before.
+// Guards against a window, at any position, with more retries than its share. As defined at Window,
+// the share is of the first attempts in that window, in the previous one or in the one that begins
+// half a window earlier.
 func TestWindowHoldsTheShareInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
@@ -19,14 +20,14 @@
 		slack := rapid.Float64Range(0, 5).Draw(t, "slack")
 		w := NewWindow(length, share, slack)
 		now := time.Unix(1000, 0)
-		var fresh, repeats []time.Time
+		var fresh, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "fresh") {
 				w.Fresh(now)
 				fresh = append(fresh, now)
 			} else if w.Take(now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
 		count := func(times []time.Time, from time.Time) (n int) {
@@ -37,16 +38,16 @@
 			}
 			return n
 		}
-		for _, start := range repeats {
+		for _, start := range retries {
 			requests := max(count(fresh, start), count(fresh, start.Add(-length)), count(fresh, start.Add(-length/2)))
-			if got := count(repeats, start); float64(got) > share*float64(requests)+slack {
-				t.Fatalf("%d repeats in the window from %s for %d requests", got, start, requests)
+			if got := count(retries, start); float64(got) > share*float64(requests)+slack {
+				t.Fatalf("%d retries in the window from %s with %d first attempts", got, start, requests)
 			}
 		}
 	})
 }
 
-// Guards against a budget that stays spent after its window has passed.
+// Guards against retries that still count against the budget after their window has passed.
 func TestWindowForgets(t *testing.T) {
 	w := NewWindow(10*time.Second, 0, 1)
 	now := time.Unix(1000, 0)
