--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// BlockTokens is the size of a prefix block.
+	// BlockTokens is the number of tokens in a prefix block.
 	BlockTokens = 256
-	// bytesPerToken converts between prompt bytes and tokens, because the router has no tokenizer.
+	// bytesPerToken is the assumed mean size of a token, since the router has no tokenizer.
 	bytesPerToken = 4
-	// MaxBlocks bounds the leading blocks that are hashed.
+	// MaxBlocks is the maximum number of leading blocks that are hashed.
 	MaxBlocks = 16
 )
 
-// BlockHashes appends the hashes of the prompt's leading blocks to dst. The hash of a block
-// covers all blocks before it, so equal hashes mean equal prefixes.
+// BlockHashes appends the hashes of the prompt's complete leading blocks to dst, up to MaxBlocks.
+// Each hash covers the block and all blocks before it, so that equal hashes mean equal prefixes.
 func BlockHashes(dst []uint64, prompt string) []uint64 {
 	const size = BlockTokens * bytesPerToken
 	h := uint64(0)
 	for len(prompt) >= size && len(dst) < MaxBlocks {
-		h = mix(h ^ xxhash.Sum64String(prompt[:size]))
+		h = mix64(h ^ xxhash.Sum64String(prompt[:size]))
 		dst = append(dst, h)
 		prompt = prompt[size:]
 	}
@@ -32,42 +32,49 @@
 }
 
 const (
-	// prefixSlots is the size of the prefix table (1 MB). Two prefixes on one slot displace each
-	// other, which costs a missed cache hit and nothing else.
+	// prefixSlots is the number of slots in the prefix table, which takes about 1 MB. Prefixes with
+	// the same slot replace each other, which only causes missed cache hits.
 	prefixSlots = 1 << 14
-	prefixWays  = 3
-	// prefixMemory is how long a prefix is believed to stay in a cache without news.
-	prefixMemory = 5 * time.Minute
-	// sentConfidence is the confidence that a prefix which this router sent is still cached.
+	// prefixWays is the number of workers recorded per prefix.
+	prefixWays = 3
+	// prefixTTL is how long a prefix is assumed to stay cached after the last event about it.
+	prefixTTL = 5 * time.Minute
+	// sentConfidence is the assumed probability that a worker has cached a prefix that this router
+	// sent to it.
 	sentConfidence = 0.8
-	// maxFound bounds the known blocks that are looked at, longest first: shorter prefixes rarely
-	// add a worker.
-	maxFound = 4
-	// gapFactor reduces the confidence in a worker's earlier events when events were lost.
-	gapFactor = 0.5
+	// maxMatchedBlocks is the maximum number of known prefixes examined per prompt, longest first.
+	// Shorter prefixes rarely add another worker.
+	maxMatchedBlocks = 4
+	// gapConfidenceFactor is applied to what is known of a worker's cache for each gap in its
+	// events, because the lost events may have been evictions.
+	gapConfidenceFactor = 0.5
 )
 
+// prefixWay records that a worker, given by its hash, has probably cached a prefix. gaps is the
+// number of gaps in the worker's events at that time.
 type prefixWay struct {
 	worker     uint64
-	at         time.Time
+	recordedAt time.Time
 	confidence float32
 	gaps       uint32
 }
 
+// prefixSlot holds the workers that have probably cached one prefix.
 type prefixSlot struct {
 	prefix uint64
 	ways   [prefixWays]prefixWay
 }
 
-// prefixTable remembers which workers probably cache a prefix. It informs a score only, because
-// cache events are late and have gaps.
+// prefixTable records which workers have probably cached which prefixes. Cache events arrive late and
+// with gaps, so the table is used for scores only and never for correctness.
 type prefixTable struct {
 	mu    sync.Mutex
 	slots []prefixSlot
-	// sequence and gaps are kept per worker hash.
+	// streams holds the state of each worker's cache events by the worker's hash.
 	streams map[uint64]*eventStream
 }
 
+// eventStream holds the last sequence number of a worker's cache events and the number of gaps.
 type eventStream struct {
 	sequence uint64
 	gaps     uint32
@@ -77,30 +84,33 @@
 	return &prefixTable{slots: make([]prefixSlot, prefixSlots), streams: make(map[uint64]*eventStream)}
 }
 
-func (t *prefixTable) note(prefix, worker uint64, confidence float32, now time.Time) {
-	s := &t.slots[mix(prefix)%prefixSlots]
+// record stores that a worker has cached a prefix. It replaces the worker's own way in the slot or
+// else the oldest. The caller holds mu.
+func (t *prefixTable) record(prefix, worker uint64, confidence float32, now time.Time) {
+	s := &t.slots[mix64(prefix)%prefixSlots]
 	if s.prefix != prefix {
 		*s = prefixSlot{prefix: prefix}
 	}
-	oldest := 0
+	target := 0
 	for i := range s.ways {
 		if s.ways[i].worker == worker {
-			oldest = i
+			target = i
 			break
 		}
-		if s.ways[i].at.Before(s.ways[oldest].at) {
-			oldest = i
+		if s.ways[i].recordedAt.Before(s.ways[target].recordedAt) {
+			target = i
 		}
 	}
 	gaps := uint32(0)
 	if st := t.streams[worker]; st != nil {
 		gaps = st.gaps
 	}
-	s.ways[oldest] = prefixWay{worker: worker, at: now, confidence: confidence, gaps: gaps}
+	s.ways[target] = prefixWay{worker: worker, recordedAt: now, confidence: confidence, gaps: gaps}
 }
 
+// evict removes a worker from the workers that have cached a prefix. The caller holds mu.
 func (t *prefixTable) evict(prefix, worker uint64) {
-	s := &t.slots[mix(prefix)%prefixSlots]
+	s := &t.slots[mix64(prefix)%prefixSlots]
 	if s.prefix != prefix {
 		return
 	}
@@ -111,7 +121,8 @@
 	}
 }
 
-// observe takes cache events of a worker in the order received.
+// observe applies cache events of a worker in the order in which they were received. A jump of the
+// sequence number, in either direction, counts as a gap.
 func (t *prefixTable) observe(worker uint64, events []external.CacheEvent, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,36 +142,37 @@
 		if e.Evicted {
 			t.evict(e.Prefix, worker)
 		} else {
-			t.note(e.Prefix, worker, 1, now)
+			t.record(e.Prefix, worker, 1, now)
 		}
 	}
 }
 
-// cached fills saved[i] with the expected number of prompt tokens that candidate i has cached.
-func (t *prefixTable) cached(blocks []uint64, candidates []*Worker, saved []float64, now time.Time) {
+// estimateCached raises cachedTokens[i] to the expected number of prompt tokens that candidate i has
+// cached. The expectation falls with the age of an entry and with each later gap in the events.
+func (t *prefixTable) estimateCached(blocks []uint64, candidates []*Worker, cachedTokens []float64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	found := 0
-	for n := len(blocks); n > 0 && found < maxFound; n-- {
-		s := &t.slots[mix(blocks[n-1])%prefixSlots]
+	matched := 0
+	for n := len(blocks); n > 0 && matched < maxMatchedBlocks; n-- {
+		s := &t.slots[mix64(blocks[n-1])%prefixSlots]
 		if s.prefix != blocks[n-1] {
 			continue
 		}
-		found++
+		matched++
 		for _, way := range s.ways {
-			age := now.Sub(way.at)
-			if way.worker == 0 || age > prefixMemory {
+			age := now.Sub(way.recordedAt)
+			if way.worker == 0 || age > prefixTTL {
 				continue
 			}
-			expected := float64(n*BlockTokens) * float64(way.confidence) * (1 - float64(age)/float64(prefixMemory))
+			expected := float64(n*BlockTokens) * float64(way.confidence) * (1 - float64(age)/float64(prefixTTL))
 			if st := t.streams[way.worker]; st != nil {
 				for range min(st.gaps-way.gaps, 4) {
-					expected *= gapFactor
+					expected *= gapConfidenceFactor
 				}
 			}
 			for i, c := range candidates {
-				if c.hash == way.worker {
-					saved[i] = max(saved[i], expected)
+				if c.idHash == way.worker {
+					cachedTokens[i] = max(cachedTokens[i], expected)
 				}
 			}
 		}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing chooses the engines of a request: which one prefills the prompt and which one
-// decodes the answer. A router considers a stable subset of the workers of a model, estimates the
-// time of each pair, and prefers workers that have cached the prompt's prefix. The package does no
-// I/O and takes the time as an argument.
+// Package routing chooses the engines of a request: the one that prefills the prompt and the one
+// that decodes the answer. A router considers a stable subset of the workers that serve the model,
+// estimates the cost of each pair, and prefers workers that have cached a prefix of the prompt. The
+// package does no I/O and takes the current time as an argument.
 package routing
 
 import (
@@ -12,53 +12,56 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	DefaultSubset       = 32
-	DefaultShortPrefill = 512
-	DefaultViewBound    = 2 * time.Second
-	DefaultKVTokenBytes = 160 << 10
-	DefaultBandwidth    = 10e9
-	DefaultFarBandwidth = 1e9
-	DefaultLatency      = 200 * time.Microsecond
-	DefaultFarLatency   = 1500 * time.Microsecond
-	DefaultLoadBound    = 1.25
-	DefaultInterference = 0.05
+	DefaultSubset          = 32
+	DefaultMaxShortPrefill = 512
+	DefaultMaxReportAge    = 2 * time.Second
+	DefaultKVTokenBytes    = 160 << 10
+	DefaultBandwidth       = 10e9
+	DefaultRemoteBandwidth = 1e9
+	DefaultLatency         = 200 * time.Microsecond
+	DefaultRemoteLatency   = 1500 * time.Microsecond
+	DefaultHomeLoadBound   = 1.25
+	DefaultInterference    = 0.05
 )
 
-// Config sets a Router. Zero fields take the defaults.
+// Config holds the settings of a Router. Zero fields take the defaults.
 type Config struct {
-	// Subset is the number of workers of a model above which a stable subset is used.
+	// Subset is the maximum number of workers that the router uses per model. If more serve the
+	// model, it uses a stable subset of this size.
 	Subset int
-	// ShortPrefill is the most prompt tokens that a decode engine prefills itself.
-	ShortPrefill int
-	// ViewBound is the age of a worker's report above which the worker should be probed.
-	ViewBound time.Duration
-	// KVTokenBytes is the size of the KV cache of one token.
+	// MaxShortPrefill is the maximum number of prompt tokens that a decode engine prefills itself.
+	MaxShortPrefill int
+	// MaxReportAge is the age of a worker's load report beyond which the worker should be probed.
+	MaxReportAge time.Duration
+	// KVTokenBytes is the size in bytes of the KV cache of one token.
 	KVTokenBytes float64
-	// Bandwidth and Latency are those of a KV transfer within a data centre, FarBandwidth and
-	// FarLatency those between data centres. Bandwidth is in bytes per second.
-	Bandwidth, FarBandwidth float64
-	Latency, FarLatency     time.Duration
-	// LoadBound is the load, relative to the mean, up to which a prefix stays on its home worker.
-	LoadBound float64
-	// Interference weighs the delay that a prefill causes to the sequences decoding on the same
-	// engine.
+	// Bandwidth and Latency apply to a KV cache transfer within a data centre, RemoteBandwidth and
+	// RemoteLatency to one between data centres. Bandwidths are in bytes per second.
+	Bandwidth, RemoteBandwidth float64
+	Latency, RemoteLatency     time.Duration
+	// HomeLoadBound is the maximum prefill queue of a prefix's home worker, relative to the mean
+	// queue. If the queue is longer, another worker becomes the home of the prefix.
+	HomeLoadBound float64
+	// Interference is the weight in the cost of the delay that a prefill causes to each sequence
+	// decoded on the same engine.
 	Interference float64
-	// Seed makes subsets differ between routers. It should be stable for one router.
+	// Seed selects the router's subsets. It should differ between routers and stay the same for one
+	// router.
 	Seed uint64
 }
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.Subset, DefaultSubset)
-	setDefault(&c.ShortPrefill, DefaultShortPrefill)
-	setDefault(&c.ViewBound, DefaultViewBound)
+	setDefault(&c.MaxShortPrefill, DefaultMaxShortPrefill)
+	setDefault(&c.MaxReportAge, DefaultMaxReportAge)
 	setDefault(&c.KVTokenBytes, DefaultKVTokenBytes)
 	setDefault(&c.Bandwidth, DefaultBandwidth)
-	setDefault(&c.FarBandwidth, DefaultFarBandwidth)
+	setDefault(&c.RemoteBandwidth, DefaultRemoteBandwidth)
 	setDefault(&c.Latency, DefaultLatency)
-	setDefault(&c.FarLatency, DefaultFarLatency)
-	setDefault(&c.LoadBound, DefaultLoadBound)
+	setDefault(&c.RemoteLatency, DefaultRemoteLatency)
+	setDefault(&c.HomeLoadBound, DefaultHomeLoadBound)
 	setDefault(&c.Interference, DefaultInterference)
 	return c
 }
@@ -69,88 +72,91 @@
 	}
 }
 
-// Request is what routing needs to know of a request.
+// Request holds the properties of a request that routing depends on.
 type Request struct {
 	Model string
-	// DataCentre is that of the router.
+	// DataCentre is the data centre of the router.
 	DataCentre   string
 	PromptTokens int
 	// OutputTokens is the expected length of the answer.
 	OutputTokens int
-	// Blocks are the hashes of the prompt's leading blocks.
+	// Blocks are the hashes of the prompt's leading blocks, from BlockHashes.
 	Blocks []uint64
-	// FirstToken and BetweenTokens are the latency targets; zero means none.
+	// FirstToken and BetweenTokens are the latency targets. Zero means none.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Exclude are workers that already failed this request. At most MaxExclude are looked at.
+	// Exclude holds the IDs of workers on which this request has already failed.
 	Exclude []string
 }
 
-// Pieces returns the pieces of KV cache that the request needs when its answer is complete.
+// Pieces returns the number of KV cache pieces that the request occupies once its answer is complete.
 func (r *Request) Pieces() int {
 	return (r.PromptTokens + r.OutputTokens + external.PieceTokens - 1) / external.PieceTokens
 }
 
-// Reasons of decisions.
+// Reasons for a decision.
 const (
-	ReasonNone   = "no worker serves the model"
-	ReasonSingle = "one engine: cheaper than moving the KV cache"
-	ReasonShort  = "one engine: short prefill on a decode engine"
-	ReasonPair   = "two engines: faster than one despite the KV transfer"
-	ReasonPrefix = "prefix cached on the prefill engine"
-	ReasonHome   = "home engine of the prefix"
+	ReasonNoWorker     = "no worker serves the model"
+	ReasonSingle       = "one engine: cheaper than moving the KV cache"
+	ReasonShortPrefill = "one engine: short prefill on a decode engine"
+	ReasonPair         = "two engines: faster than one despite the KV transfer"
+	ReasonPrefixCached = "prefix cached on the prefill engine"
+	ReasonHomeEngine   = "home engine of the prefix"
 )
 
-// maxProbes bounds the probes per decision.
+// maxProbes is the maximum number of workers to probe per decision.
 const maxProbes = 2
 
-// Decision is the choice for one request. It is a value without references to the fleet beyond
-// the chosen workers, so that it can be logged as one line.
+// Decision is the result of routing one request. It refers to no part of the fleet but the workers
+// that it names, so that it can be logged as one line.
 type Decision struct {
-	// Prefill and Decode are the chosen workers; they are equal if one engine does both. Both are
-	// nil if no worker can take the request.
+	// Prefill and Decode are the chosen workers, which are the same if one engine does both parts.
+	// Both are nil if no worker can take the request.
 	Prefill, Decode *Worker
-	// Considered is the number of candidates that were looked at.
+	// Considered is the number of candidate workers.
 	Considered int
 	Reason     string
-	// PrefillTokens is the expected prefill work after cache hits.
+	// PrefillTokens is the expected number of prompt tokens to prefill after cache hits.
 	PrefillTokens int
-	// FirstToken, BetweenTokens and Transfer are the expected times; Total includes the answer.
+	// Expected times: to the first token, between tokens, of the KV cache transfer, and until the
+	// answer is complete.
 	FirstToken, BetweenTokens, Transfer, Total time.Duration
-	// Probe lists workers with an old view, oldest first; the rest is nil.
+	// Probe holds the workers with the oldest load reports beyond MaxReportAge, oldest first. Unused
+	// elements are nil.
 	Probe [maxProbes]*Worker
 }
 
-// Single tells whether one engine does both parts.
+// Single reports whether one engine both prefills and decodes.
 func (d *Decision) Single() bool { return d.Prefill != nil && d.Prefill == d.Decode }
 
-// Router chooses workers. It is safe for concurrent use.
+// Router chooses the workers of requests. It is safe for concurrent use.
 type Router struct {
-	cfg    Config
-	prefix *prefixTable
-	pool   sync.Pool
+	cfg         Config
+	prefix      *prefixTable
+	scratchPool sync.Pool
 
 	mu      sync.Mutex
 	fleet   *Fleet
 	subsets map[string][]*Worker
 }
 
-// New returns a router.
+// New returns a Router with the given settings.
 func New(cfg Config) *Router {
 	return &Router{
-		cfg:     cfg.withDefaults(),
-		prefix:  newPrefixTable(),
-		pool:    sync.Pool{New: func() any { return &scratch{} }},
-		subsets: make(map[string][]*Worker),
+		cfg:         cfg.withDefaults(),
+		prefix:      newPrefixTable(),
+		scratchPool: sync.Pool{New: func() any { return &scratch{} }},
+		subsets:     make(map[string][]*Worker),
 	}
 }
 
-// CacheEvents takes a worker's cache events.
+// CacheEvents applies the cache events of a worker.
 func (r *Router) CacheEvents(w *Worker, events []external.CacheEvent, now time.Time) {
-	r.prefix.observe(w.hash, events, now)
+	r.prefix.observe(w.idHash, events, now)
 }
 
-// Sent tells that the request was sent as decided, so that its prefix will be cached.
+// Sent records that the request was sent to the workers of the decision, whose prefill worker will
+// therefore cache its prefix.
 func (r *Router) Sent(q *Request, d *Decision, now time.Time) {
 	if d.Prefill == nil {
 		return
@@ -158,7 +164,7 @@
 	r.prefix.mu.Lock()
 	defer r.prefix.mu.Unlock()
 	for _, b := range q.Blocks {
-		r.prefix.note(b, d.Prefill.hash, sentConfidence, now)
+		r.prefix.record(b, d.Prefill.idHash, sentConfidence, now)
 	}
 }
 
@@ -178,21 +184,21 @@
 	return s
 }
 
-// Choose decides on a request.
+// Choose returns the decision with the lowest expected cost for the request.
 func (r *Router) Choose(q *Request, f *Fleet, now time.Time) Decision {
 	candidates := r.Candidates(q.Model, f)
-	s := r.pool.Get().(*scratch)
-	defer r.pool.Put(s)
+	s := r.scratchPool.Get().(*scratch)
+	defer r.scratchPool.Put(s)
 	s.prepare(r, q, candidates, now)
-	d := Decision{Considered: len(s.candidates), Reason: ReasonNone}
-	s.bestDecodes(q)
+	d := Decision{Considered: len(s.candidates), Reason: ReasonNoWorker}
+	s.findBestDecodes(q)
 	best := math.Inf(1)
 	for i := range s.candidates {
-		s.considerPrefill(r, q, i, &best)
+		s.evaluatePrefill(r, q, i, &best)
 	}
 	if !math.IsInf(best, 1) {
-		s.fill(q, &d)
+		s.fillDecision(q, &d)
 	}
-	d.Probe = s.probes(r.cfg.ViewBound)
+	d.Probe = s.selectProbes(r.cfg.MaxReportAge)
 	return d
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-func fixed(prefill float64, sequences int) routing.FixedLoad {
+func fixedLoad(prefill float64, sequences int) routing.FixedLoad {
 	return routing.FixedLoad{
 		PrefillTokens: prefill, Sequences: sequences, Known: true,
 		Speed: load.Speed{PrefillSecondsPerToken: 1e-4, StepSeconds: 0.018, StepSecondsPerSequence: 6e-4, ChunkTokens: 1024},
@@ -29,26 +29,27 @@
 	return routing.Worker{ID: id, DataCentre: dc, Role: role, Load: l}
 }
 
-func fleet(n int) []routing.Worker {
+func newWorkers(n int) []routing.Worker {
 	roles := []external.Role{external.RolePrefill, external.RoleDecode, external.RoleDecode, external.RoleMixed}
 	ws := make([]routing.Worker, n)
 	for i := range ws {
-		ws[i] = worker(fmt.Sprint("w", i), fmt.Sprint("dc", i%5), roles[i%4], fixed(float64(i%7)*300, i%40))
+		ws[i] = worker(fmt.Sprint("w", i), fmt.Sprint("dc", i%5), roles[i%4], fixedLoad(float64(i%7)*300, i%40))
 	}
 	return ws
 }
 
-var long = routing.Request{Model: "m", PromptTokens: 3000, OutputTokens: 30, FirstToken: 730 * time.Millisecond, BetweenTokens: 71 * time.Millisecond}
+var longRequest = routing.Request{Model: "m", PromptTokens: 3000, OutputTokens: 30, FirstToken: 730 * time.Millisecond, BetweenTokens: 71 * time.Millisecond}
 
-// Guards against choices that ignore roles, distance, load, drain state or earlier failures.
+// Guards against a choice that ignores roles, data centres, load, models, draining workers or workers
+// on which the request has already failed.
 func TestChoose(t *testing.T) {
-	chat := long
-	chat.PromptTokens, chat.OutputTokens = 200, 300
-	retried := long
+	shortRequest := longRequest
+	shortRequest.PromptTokens, shortRequest.OutputTokens = 200, 300
+	retried := longRequest
 	retried.Exclude = []string{"p1"}
-	draining := worker("p1", "a", external.RolePrefill, fixed(0, 0))
+	draining := worker("p1", "a", external.RolePrefill, fixedLoad(0, 0))
 	draining.Draining = true
-	otherModel := worker("p1", "a", external.RolePrefill, fixed(0, 0))
+	otherModel := worker("p1", "a", external.RolePrefill, fixedLoad(0, 0))
 	otherModel.Models = []string{"x"}
 	p := external.RolePrefill
 	d := external.RoleDecode
@@ -59,21 +60,21 @@
 		prefill string
 		decode  string
 	}{
-		{"pair by role", long, []routing.Worker{worker("p1", "a", p, fixed(0, 0)), worker("d1", "a", d, fixed(0, 5))}, "p1", "d1"},
-		{"short prefill on the decode engine", chat, []routing.Worker{worker("p1", "a", p, fixed(9000, 0)), worker("d1", "a", d, fixed(0, 5))}, "d1", "d1"},
-		{"less loaded pair", long, []routing.Worker{worker("p1", "a", p, fixed(4000, 0)), worker("p2", "a", p, fixed(0, 0)), worker("d1", "a", d, fixed(0, 50)), worker("d2", "a", d, fixed(0, 5))}, "p2", "d2"},
-		{"no transfer between data centres", long, []routing.Worker{worker("p1", "a", p, fixed(0, 0)), worker("d1", "b", d, fixed(0, 0)), worker("d2", "a", d, fixed(0, 3))}, "p1", "d2"},
-		{"one engine when cheaper", long, []routing.Worker{worker("m1", "a", external.RoleMixed, fixed(0, 0)), worker("d1", "b", d, fixed(0, 0))}, "m1", "m1"},
-		{"draining engine", long, []routing.Worker{draining, worker("p2", "a", p, fixed(900, 0)), worker("d1", "a", d, fixed(0, 0))}, "p2", "d1"},
-		{"other model", long, []routing.Worker{otherModel, worker("p2", "a", p, fixed(900, 0)), worker("d1", "a", d, fixed(0, 0))}, "p2", "d1"},
-		{"failed engine excluded", retried, []routing.Worker{worker("p1", "a", p, fixed(0, 0)), worker("p2", "a", p, fixed(900, 0)), worker("d1", "a", d, fixed(0, 0))}, "p2", "d1"},
-		{"no worker", long, []routing.Worker{draining}, "", ""},
+		{"pair by role", longRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(0, 0)), worker("d1", "a", d, fixedLoad(0, 5))}, "p1", "d1"},
+		{"short prefill on the decode engine", shortRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(9000, 0)), worker("d1", "a", d, fixedLoad(0, 5))}, "d1", "d1"},
+		{"less loaded pair", longRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(4000, 0)), worker("p2", "a", p, fixedLoad(0, 0)), worker("d1", "a", d, fixedLoad(0, 50)), worker("d2", "a", d, fixedLoad(0, 5))}, "p2", "d2"},
+		{"no transfer between data centres", longRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(0, 0)), worker("d1", "b", d, fixedLoad(0, 0)), worker("d2", "a", d, fixedLoad(0, 3))}, "p1", "d2"},
+		{"one engine when cheaper", longRequest, []routing.Worker{worker("m1", "a", external.RoleMixed, fixedLoad(0, 0)), worker("d1", "b", d, fixedLoad(0, 0))}, "m1", "m1"},
+		{"draining engine", longRequest, []routing.Worker{draining, worker("p2", "a", p, fixedLoad(900, 0)), worker("d1", "a", d, fixedLoad(0, 0))}, "p2", "d1"},
+		{"other model", longRequest, []routing.Worker{otherModel, worker("p2", "a", p, fixedLoad(900, 0)), worker("d1", "a", d, fixedLoad(0, 0))}, "p2", "d1"},
+		{"failed engine excluded", retried, []routing.Worker{worker("p1", "a", p, fixedLoad(0, 0)), worker("p2", "a", p, fixedLoad(900, 0)), worker("d1", "a", d, fixedLoad(0, 0))}, "p2", "d1"},
+		{"no worker", longRequest, []routing.Worker{draining}, "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := routing.New(routing.Config{}).Choose(&c.request, routing.NewFleet(c.workers), start)
 			if c.prefill == "" {
 				assert.Nil(t, got.Prefill)
-				assert.Equal(t, routing.ReasonNone, got.Reason)
+				assert.Equal(t, routing.ReasonNoWorker, got.Reason)
 				return
 			}
 			require.NotNil(t, got.Prefill)
@@ -83,13 +84,14 @@
 	}
 }
 
-// Guards against a subset that is unstable, lacks a role, or moves when an unrelated worker leaves.
+// Guards against a subset of the wrong size or without one of the roles, and against one that changes
+// more than necessary when a worker leaves.
 func TestSubset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(33, 300).Draw(t, "workers")
-		ws := fleet(n)
+		ws := newWorkers(n)
 		r := routing.New(routing.Config{Seed: rapid.Uint64().Draw(t, "seed")})
-		ids := func(ws []routing.Worker) map[string]bool {
+		subsetIDs := func(ws []routing.Worker) map[string]bool {
 			out, roles := map[string]bool{}, map[external.Role]int{}
 			for _, w := range r.Candidates("m", routing.NewFleet(ws)) {
 				out[w.ID] = true
@@ -99,87 +101,88 @@
 			require.Len(t, roles, 3)
 			return out
 		}
-		before := ids(ws)
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
-		ws[gone].Ejected = true
-		after := ids(ws)
+		before := subsetIDs(ws)
+		ejected := rapid.IntRange(0, n-1).Draw(t, "gone")
+		ws[ejected].Ejected = true
+		after := subsetIDs(ws)
 		moved := 0
 		for id := range before {
 			if !after[id] {
 				moved++
 			}
 		}
-		// The worker itself and at most two that are exchanged to keep the roles.
+		// The ejected worker and at most two that are exchanged to keep minPerRole workers per role.
 		require.LessOrEqual(t, moved, 3)
 	})
 }
 
-// Guards against affinity that overrides load, or that trusts events after a gap as before.
+// Guards against prefix affinity that outweighs a long queue, and against full confidence in cached
+// prefixes after cache events were lost.
 func TestPrefixAffinity(t *testing.T) {
 	prompt := strings.Repeat("timetable of the line ", 600)
 	blocks := routing.BlockHashes(nil, prompt)
 	require.Len(t, blocks, 12)
 	require.Equal(t, blocks[:5], routing.BlockHashes(nil, prompt[:5*1024+10]))
 
-	q := long
+	q := longRequest
 	q.Blocks = blocks
-	build := func(queue float64) *routing.Fleet {
-		ws := []routing.Worker{worker("d1", "a", external.RoleDecode, fixed(0, 0))}
+	newFleet := func(queue float64) *routing.Fleet {
+		ws := []routing.Worker{worker("d1", "a", external.RoleDecode, fixedLoad(0, 0))}
 		for i := range 4 {
-			ws = append(ws, worker(fmt.Sprint("p", i), "a", external.RolePrefill, fixed(0, 0)))
+			ws = append(ws, worker(fmt.Sprint("p", i), "a", external.RolePrefill, fixedLoad(0, 0)))
 		}
-		ws[2].Load = fixed(queue, 0)
+		ws[2].Load = fixedLoad(queue, 0)
 		return routing.NewFleet(ws)
 	}
 	r := routing.New(routing.Config{})
-	f := build(0)
+	f := newFleet(0)
 	home := r.Choose(&q, f, start)
-	require.Equal(t, routing.ReasonHome, home.Reason)
-	cached := r.Candidates("m", f)[2]
+	require.Equal(t, routing.ReasonHomeEngine, home.Reason)
+	cachedWorker := r.Candidates("m", f)[2]
 	events := func(first uint64) (out []external.CacheEvent) {
 		for i, b := range blocks {
 			out = append(out, external.CacheEvent{Sequence: first + uint64(i), Prefix: b})
 		}
 		return out
 	}
-	r.CacheEvents(cached, events(1), start)
+	r.CacheEvents(cachedWorker, events(1), start)
 	got := r.Choose(&q, f, start)
-	assert.Equal(t, cached.ID, got.Prefill.ID)
+	assert.Equal(t, cachedWorker.ID, got.Prefill.ID)
 	assert.Less(t, got.PrefillTokens, 100)
-	r.CacheEvents(cached, []external.CacheEvent{{Sequence: 100, Prefix: 1}}, start)
+	r.CacheEvents(cachedWorker, []external.CacheEvent{{Sequence: 100, Prefix: 1}}, start)
 	assert.Greater(t, r.Choose(&q, f, start).PrefillTokens, 1000, "lost events may be evictions")
-	r.CacheEvents(cached, events(101), start)
-	assert.NotEqual(t, cached.ID, r.Choose(&q, build(50_000), start).Prefill.ID, "a long queue outweighs the cache")
+	r.CacheEvents(cachedWorker, events(101), start)
+	assert.NotEqual(t, cachedWorker.ID, r.Choose(&q, newFleet(50_000), start).Prefill.ID, "a long queue outweighs the cache")
 }
 
-// Guards against deciding on an old view without asking for a new one.
+// Guards against routing on old load reports without requesting probes of the workers concerned.
 func TestProbes(t *testing.T) {
-	ws := fleet(4)
+	ws := newWorkers(4)
 	for i, age := range []time.Duration{time.Second, 3 * time.Second, 9 * time.Second, 4 * time.Second} {
-		l := fixed(0, 0)
+		l := fixedLoad(0, 0)
 		l.Age = age
 		ws[i].Load = l
 	}
-	d := routing.New(routing.Config{}).Choose(&long, routing.NewFleet(ws), start)
+	d := routing.New(routing.Config{}).Choose(&longRequest, routing.NewFleet(ws), start)
 	require.NotNil(t, d.Probe[1])
 	assert.Equal(t, "w2", d.Probe[0].ID)
 	assert.Equal(t, "w3", d.Probe[1].ID)
 }
 
-// Target: under 5 microseconds at 640 workers, without allocations.
+// The target is under 5 microseconds with 640 workers, without allocations.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{11, 64, 640} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			now := time.Now() // the daemon's times have a monotonic part, which is cheaper to subtract
+			now := time.Now() // as in production, with a monotonic clock reading, which is cheaper to subtract
 			tracker := load.NewTracker(load.Speed{})
-			ws := fleet(n)
+			ws := newWorkers(n)
 			for i := range ws {
 				w := tracker.Worker(ws[i].ID)
 				w.Observe(load.Report{Sequence: 1, Load: external.EngineLoad{Running: i % 40, PrefillTokens: int64(i%7) * 300, FreePieces: 50, TotalPieces: 100}}, now)
 				ws[i].Load = w
 			}
 			f, r := routing.NewFleet(ws), routing.New(routing.Config{})
-			q := long
+			q := longRequest
 			q.Blocks = routing.BlockHashes(nil, strings.Repeat("timetable of the line ", 600))
 			d := r.Choose(&q, f, now)
 			r.Sent(&q, &d, now)
--- a/routing/score.go
+++ b/routing/score.go
@@ -9,76 +9,82 @@
 )
 
 const (
-	// lateFactor weighs each second beyond a latency target against a second within it, so that a
-	// choice that is on time beats a faster one that misses a target.
-	lateFactor = 20
-	// noRoomSeconds is added for an engine without free pieces: the request would wait for others
-	// to finish.
-	noRoomSeconds = 5
-	// homeShare is the part of the prefix that is expected to be cached on its home worker when
-	// nothing is known about it.
-	homeShare = 0.25
-	// minKeptTokens is the least prefill that remains after cache hits.
-	minKeptTokens = 1
+	// latenessWeight is the cost of each second by which a latency target is exceeded, so that a
+	// choice within its targets is preferred to one that is faster overall but misses a target.
+	latenessWeight = 20
+	// fullEnginePenaltySeconds is added to the cost of an engine without enough free KV cache pieces,
+	// where the request would wait until others finish.
+	fullEnginePenaltySeconds = 5
+	// homeCachedShare is the share of a prefix that is assumed to be cached on its home worker if
+	// nothing else is known.
+	homeCachedShare = 0.25
+	// minPrefillTokens is the number of prompt tokens that are prefilled even if all are cached.
+	minPrefillTokens = 1
 )
 
-type scored struct {
-	worker   *Worker
-	estimate load.Estimate
-	between  float64
-	saved    float64
-	decode   float64 // cost of decoding here
+// candidate is a worker with the estimates for one request.
+type candidate struct {
+	worker        *Worker
+	estimate      load.Estimate
+	betweenTokens float64
+	cachedTokens  float64
+	decodeCost    float64 // cost in seconds of decoding the answer
 }
 
-type choice struct {
-	prefill, decode int
-	first, transfer float64
+// enginePair is a choice of prefill and decode engine, given by index, with the expected times in
+// seconds to the first token and of the KV cache transfer.
+type enginePair struct {
+	prefill, decode      int
+	firstToken, transfer float64
 }
 
-// scratch is the working memory of one decision. It is reused and grows with the subset at most.
+// scratch holds the buffers of one decision. They are reused to avoid allocations and grow to at
+// most the size of the subset.
 type scratch struct {
-	candidates []scored
-	workers    []*Worker
-	saved      []float64
-	home       int
-	// Per request: the targets in seconds and the transfer times within and between data centres.
-	first, between float64
-	transfer       [2]float64
-	chosen         choice
-	// near is the index of the best decode engine per data centre; -1 if there is none.
-	near [maxCentres]int
+	candidates   []candidate
+	workers      []*Worker
+	cachedTokens []float64
+	home         int
+	// Latency targets, and KV cache transfer times within and between data centres, in seconds.
+	firstTarget, betweenTarget float64
+	transferSeconds            [2]float64
+	chosen                     enginePair
+	// bestDecode is the index of the cheapest decode engine in each data centre, or -1.
+	bestDecode [maxDataCentres]int
 }
 
+// prepare resets the buffers and collects the candidates, their load and their cached prefixes.
 func (s *scratch) prepare(r *Router, q *Request, candidates []*Worker, now time.Time) {
 	s.candidates, s.workers = s.candidates[:0], s.workers[:0]
-	s.first, s.between = q.FirstToken.Seconds(), q.BetweenTokens.Seconds()
+	s.firstTarget, s.betweenTarget = q.FirstToken.Seconds(), q.BetweenTokens.Seconds()
 	bytes := float64(q.PromptTokens) * r.cfg.KVTokenBytes
-	s.transfer = [2]float64{
+	s.transferSeconds = [2]float64{
 		bytes/r.cfg.Bandwidth + r.cfg.Latency.Seconds(),
-		bytes/r.cfg.FarBandwidth + r.cfg.FarLatency.Seconds(),
+		bytes/r.cfg.RemoteBandwidth + r.cfg.RemoteLatency.Seconds(),
 	}
 	for _, w := range candidates {
 		if len(q.Exclude) > 0 && slices.Contains(q.Exclude, w.ID) {
 			continue
 		}
 		s.workers = append(s.workers, w)
-		s.candidates = append(s.candidates, scored{worker: w, estimate: w.Load.Estimate(now)})
+		s.candidates = append(s.candidates, candidate{worker: w, estimate: w.Load.Estimate(now)})
 	}
 	s.home = -1
 	if len(q.Blocks) == 0 {
 		return
 	}
-	s.saved = append(s.saved[:0], make([]float64, len(s.workers))...)
-	r.prefix.cached(q.Blocks, s.workers, s.saved, now)
-	for i, v := range s.saved {
-		s.candidates[i].saved = min(v, float64(q.PromptTokens-minKeptTokens))
+	s.cachedTokens = append(s.cachedTokens[:0], make([]float64, len(s.workers))...)
+	r.prefix.estimateCached(q.Blocks, s.workers, s.cachedTokens, now)
+	for i, v := range s.cachedTokens {
+		s.candidates[i].cachedTokens = min(v, float64(q.PromptTokens-minPrefillTokens))
 	}
-	s.findHome(q, r.cfg.LoadBound)
+	s.findHomeWorker(q, r.cfg.HomeLoadBound)
 }
 
-// findHome sets the home of the prefix by bounded-load rendezvous hashing: the highest score
-// among the workers whose prefill queue is at most the bound times the mean.
-func (s *scratch) findHome(q *Request, bound float64) {
+// findHomeWorker determines the home worker of the prefix by rendezvous hashing with bounded loads:
+// the worker with the highest score among those whose prefill queue is at most bound times the mean.
+// Requests with the same prefix thus reach the same worker before any cache events are known.
+func (s *scratch) findHomeWorker(q *Request, bound float64) {
 	total, count := 0.0, 0
 	for i := range s.candidates {
 		if s.candidates[i].worker.Role != external.RoleDecode {
@@ -90,123 +96,128 @@
 		return
 	}
 	limit := bound * (total + float64(q.PromptTokens)) / float64(count)
-	first := q.Blocks[0]
-	var top uint64
+	firstBlock := q.Blocks[0]
+	var topScore uint64
 	for i := range s.candidates {
 		c := &s.candidates[i]
 		if c.worker.Role == external.RoleDecode || c.estimate.PrefillTokens > limit {
 			continue
 		}
-		if score := mix(c.worker.hash ^ first); score >= top {
-			top, s.home = score, i
+		if score := mix64(c.worker.idHash ^ firstBlock); score >= topScore {
+			topScore, s.home = score, i
 		}
 	}
 	if s.home >= 0 {
 		c := &s.candidates[s.home]
-		c.saved = max(c.saved, homeShare*float64(min(len(q.Blocks)*BlockTokens, q.PromptTokens-minKeptTokens)))
+		c.cachedTokens = max(c.cachedTokens, homeCachedShare*float64(min(len(q.Blocks)*BlockTokens, q.PromptTokens-minPrefillTokens)))
 	}
 }
 
-// bestDecodes finds the cheapest decode engine of each data centre.
-func (s *scratch) bestDecodes(q *Request) {
-	for i := range s.near {
-		s.near[i] = -1
+// findBestDecodes computes the cost of decoding on each candidate and finds the cheapest decode engine
+// in each data centre.
+func (s *scratch) findBestDecodes(q *Request) {
+	for i := range s.bestDecode {
+		s.bestDecode[i] = -1
 	}
 	pieces := q.Pieces()
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		c.between = c.estimate.BetweenTokens()
-		c.decode = float64(q.OutputTokens)*c.between + late(c.between, s.between)*float64(max(q.OutputTokens, 1))
+		c.betweenTokens = c.estimate.BetweenTokens()
+		c.decodeCost = float64(q.OutputTokens)*c.betweenTokens + latenessCost(c.betweenTokens, s.betweenTarget)*float64(max(q.OutputTokens, 1))
 		if !c.estimate.Fits(pieces) {
-			c.decode += noRoomSeconds
+			c.decodeCost += fullEnginePenaltySeconds
 		}
 		if c.worker.Role == external.RolePrefill {
 			continue
 		}
-		if n := s.near[c.worker.dc]; n < 0 || c.decode < s.candidates[n].decode {
-			s.near[c.worker.dc] = i
+		if n := s.bestDecode[c.worker.dcIndex]; n < 0 || c.decodeCost < s.candidates[n].decodeCost {
+			s.bestDecode[c.worker.dcIndex] = i
 		}
 	}
 }
 
-// late is the cost of exceeding a target.
-func late(seconds, target float64) float64 {
+// latenessCost returns the additional cost of exceeding a latency target. A target of zero means none.
+func latenessCost(seconds, target float64) float64 {
 	if target <= 0 || seconds <= target {
 		return 0
 	}
-	return lateFactor * (seconds - target)
+	return latenessWeight * (seconds - target)
 }
 
-// considerPrefill compares the pairs that prefill on candidate i with the best so far.
-func (s *scratch) considerPrefill(r *Router, q *Request, i int, best *float64) {
+// evaluatePrefill compares the choices that prefill on candidate i with the best one so far: decoding
+// on the same engine, and on the cheapest decode engine of each data centre.
+func (s *scratch) evaluatePrefill(r *Router, q *Request, i int, best *float64) {
 	c := &s.candidates[i]
-	tokens := float64(q.PromptTokens) - c.saved
-	if c.worker.Role == external.RoleDecode && tokens > float64(r.cfg.ShortPrefill) {
+	tokens := float64(q.PromptTokens) - c.cachedTokens
+	if c.worker.Role == external.RoleDecode && tokens > float64(r.cfg.MaxShortPrefill) {
 		return
 	}
-	first := c.estimate.FirstToken(tokens)
+	firstToken := c.estimate.FirstToken(tokens)
 	if q.DataCentre != "" && c.worker.DataCentre != q.DataCentre {
-		first += r.cfg.FarLatency.Seconds()
+		firstToken += r.cfg.RemoteLatency.Seconds()
 	}
-	cost := first + late(first, s.first)
-	work := tokens * c.estimate.Speed.PrefillSecondsPerToken
+	cost := firstToken + latenessCost(firstToken, s.firstTarget)
+	prefillSeconds := tokens * c.estimate.Speed.PrefillSecondsPerToken
 	if c.worker.Role != external.RolePrefill {
-		// Each running sequence is delayed by the time of the prefill.
-		cost += r.cfg.Interference * work * float64(c.estimate.Sequences)
-		s.consider(i, i, first, cost, best)
+		// The prefill delays each sequence that the engine decodes.
+		cost += r.cfg.Interference * prefillSeconds * float64(c.estimate.Sequences)
+		s.evaluatePair(i, i, firstToken, cost, best)
 	}
 	if c.worker.Role == external.RoleDecode {
 		return
 	}
-	for _, n := range s.near {
+	for _, n := range s.bestDecode {
 		if n >= 0 && n != i {
-			s.consider(i, n, first, cost, best)
+			s.evaluatePair(i, n, firstToken, cost, best)
 		}
 	}
 }
 
-func (s *scratch) consider(p, n int, first, cost float64, best *float64) {
-	prefill, decode := &s.candidates[p], &s.candidates[n]
+// evaluatePair compares one pair with the best one so far, and keeps it if its cost is lower. The
+// given cost covers the prefill.
+func (s *scratch) evaluatePair(prefillIndex, decodeIndex int, firstToken, cost float64, best *float64) {
+	prefill, decode := &s.candidates[prefillIndex], &s.candidates[decodeIndex]
 	transfer := 0.0
-	if p != n {
-		transfer = s.transfer[0]
-		if prefill.worker.dc != decode.worker.dc {
-			transfer = s.transfer[1]
+	if prefillIndex != decodeIndex {
+		transfer = s.transferSeconds[0]
+		if prefill.worker.dcIndex != decode.worker.dcIndex {
+			transfer = s.transferSeconds[1]
 		}
 	}
-	cost += transfer + decode.decode
+	cost += transfer + decode.decodeCost
 	if cost >= *best {
 		return
 	}
 	*best = cost
-	s.chosen = choice{prefill: p, decode: n, first: first, transfer: transfer}
+	s.chosen = enginePair{prefill: prefillIndex, decode: decodeIndex, firstToken: firstToken, transfer: transfer}
 }
 
-// fill writes the best choice into the decision.
-func (s *scratch) fill(q *Request, d *Decision) {
-	p, n, first, transfer := s.chosen.prefill, s.chosen.decode, s.chosen.first, s.chosen.transfer
-	prefill, decode := &s.candidates[p], &s.candidates[n]
+// fillDecision writes the chosen pair into the decision.
+func (s *scratch) fillDecision(q *Request, d *Decision) {
+	prefillIndex, decodeIndex, firstToken, transfer := s.chosen.prefill, s.chosen.decode, s.chosen.firstToken, s.chosen.transfer
+	prefill, decode := &s.candidates[prefillIndex], &s.candidates[decodeIndex]
 	d.Prefill, d.Decode = prefill.worker, decode.worker
-	d.PrefillTokens = int(float64(q.PromptTokens) - prefill.saved)
-	d.FirstToken, d.Transfer = seconds(first), seconds(transfer)
-	d.BetweenTokens = seconds(decode.between)
-	d.Total = seconds(first + transfer + float64(q.OutputTokens)*decode.between)
+	d.PrefillTokens = int(float64(q.PromptTokens) - prefill.cachedTokens)
+	d.FirstToken, d.Transfer = seconds(firstToken), seconds(transfer)
+	d.BetweenTokens = seconds(decode.betweenTokens)
+	d.Total = seconds(firstToken + transfer + float64(q.OutputTokens)*decode.betweenTokens)
 	switch {
-	case p == n && prefill.worker.Role == external.RoleDecode:
-		d.Reason = ReasonShort
-	case p == s.home && prefill.saved > 0:
-		d.Reason = ReasonHome
-	case prefill.saved > 0:
-		d.Reason = ReasonPrefix
-	case p == n:
+	case prefillIndex == decodeIndex && prefill.worker.Role == external.RoleDecode:
+		d.Reason = ReasonShortPrefill
+	case prefillIndex == s.home && prefill.cachedTokens > 0:
+		d.Reason = ReasonHomeEngine
+	case prefill.cachedTokens > 0:
+		d.Reason = ReasonPrefixCached
+	case prefillIndex == decodeIndex:
 		d.Reason = ReasonSingle
 	default:
 		d.Reason = ReasonPair
 	}
 }
 
-// probes returns the workers with the oldest views beyond the bound.
-func (s *scratch) probes(bound time.Duration) (out [maxProbes]*Worker) {
+// selectProbes returns the workers with the oldest load reports beyond maxAge, oldest first. Workers
+// that haven't reported yet come first.
+func (s *scratch) selectProbes(maxAge time.Duration) (out [maxProbes]*Worker) {
 	var ages [maxProbes]time.Duration
 	for i := range s.candidates {
 		c := &s.candidates[i]
@@ -214,7 +225,7 @@
 		if !c.estimate.Known {
 			age = 1<<63 - 1
 		}
-		if age <= bound {
+		if age <= maxAge {
 			continue
 		}
 		for k := range out {
