--- a/admission/admission.go
+++ b/admission/admission.go
@@ -42,9 +42,9 @@
 type Config struct {
 	// Queue is the maximum number of waiting requests.
 	Queue int
-	// YieldStep is how much lower the maximum pressure of a rank is than 1, the pressure at which
-	// rank 1 is refused, if half of the recent requests have the next higher rank.
-	// MinYieldPressure is the pressure up to which no rank is refused in favour of a higher one.
+	// A rank has a maximum pressure while there are recent requests of higher ranks. It falls with
+	// their share: it is 1 less YieldStep if half of the requests have the next higher rank, and
+	// never below MinYieldPressure.
 	YieldStep        float64
 	MinYieldPressure float64
 	// GuaranteedShare is the number of requests of a rank that may run above the rank's maximum
