--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
-// fullSize is the instance list at the target size: 640 sidecars of 8 services and 340 entries.
-func fullSize() external.InstanceSnapshot {
+// fullSizeList returns an instance list of the target size: 640 sidecars of 8 services and 340 entries.
+func fullSizeList() external.InstanceSnapshot {
 	s := external.InstanceSnapshot{Version: 1}
 	for i := range 640 {
 		s.Instances = append(s.Instances, external.Instance{
@@ -30,16 +30,16 @@
 	return s
 }
 
-func fullView(b *testing.B) *membership.View {
+func fullSizeView(b *testing.B) *membership.View {
 	v, err := membership.NewView(membership.DefaultSettings(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(b, err)
-	require.True(b, v.ApplyList(time.Now(), fullSize()))
+	require.True(b, v.ApplyList(time.Now(), fullSizeList()))
 	return v
 }
 
-// BenchmarkSnapshot reads the snapshot, as each routing decision does.
+// BenchmarkSnapshot measures the read of the snapshot that each routing decision makes.
 func BenchmarkSnapshot(b *testing.B) {
-	v := fullView(b)
+	v := fullSizeView(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if len(v.Snapshot().Usable("model-3")) != 80 {
@@ -48,9 +48,9 @@
 	}
 }
 
-// BenchmarkObserve takes an answer of a member that changes nothing visible, as each attempt does.
+// BenchmarkObserve measures an answer that changes no exported state, the usual outcome of an attempt.
 func BenchmarkObserve(b *testing.B) {
-	v := fullView(b)
+	v := fullSizeView(b)
 	e := membership.Evidence{ID: "worker-77", Address: "10.0.0.77:8000", Incarnation: "1", Kind: membership.Answered}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -60,9 +60,9 @@
 	}
 }
 
-// BenchmarkApplyList joins a list in which one instance has changed.
+// BenchmarkApplyList measures merging a list in which one instance has changed.
 func BenchmarkApplyList(b *testing.B) {
-	v, s := fullView(b), fullSize()
+	v, s := fullSizeView(b), fullSizeList()
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Version++
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// absentProbes is the number of probes that an idle member gets before it is dropped because the
-// list no longer names it.
-const absentProbes = 4
+// probesBeforeRemoval is the number of probes that an idle member gets before it is removed because it is
+// absent from the list.
+const probesBeforeRemoval = 4
 
-// Kind is the kind of an observation.
+// Kind is the kind of an observation about a member.
 type Kind uint8
 
 // Kinds of observations.
 const (
-	// Answered means that a frame or a probe response arrived.
+	// Answered means that a stream frame or a probe response arrived.
 	Answered Kind = iota + 1
-	// Draining means that the member refused with "draining" or sent a drain notice.
+	// Draining means that the member refused a request as "draining" or sent a drain notice.
 	Draining
 	// Refused means that the connection was refused.
 	Refused
-	// Silent means that an attempt or probe had no frame at all for Settings.SilenceAfter.
+	// Silent means that an attempt or probe got no response within Settings.ResponseTimeout.
 	Silent
 )
 
@@ -30,15 +30,15 @@
 	Kind Kind
 	// Address is the address that was contacted.
 	Address string
-	// Incarnation is that of the process that answered, empty if not known. A refusal because of the
-	// wrong incarnation is an answer; this is how an entry learns the incarnation at its first request.
+	// Incarnation identifies the process that answered, empty if unknown. A refusal because of a wrong
+	// incarnation counts as an answer: it is how an entry learns the incarnation at its first request.
 	Incarnation string
 	// Started is the time at which the attempt or probe was sent. An answer to something sent before
-	// a drain notice does not undo the notice.
+	// a drain notice arrived does not cancel the notice.
 	Started time.Time
 }
 
-// Observe joins an observation. Observations about unknown members have no effect.
+// Observe applies an observation. Observations about unknown members have no effect.
 func (v *View) Observe(now time.Time, e Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -48,40 +48,40 @@
 	}
 	switch e.Kind {
 	case Answered:
-		if !v.answered(m, now, &e) {
+		if !v.handleAnswer(m, now, &e) {
 			return
 		}
 	case Draining:
-		m.heard(now)
+		m.recordAnswer(now)
 		if m.drainingSince.IsZero() {
 			m.drainingSince = now
-			v.schedule(m, now)
+			v.scheduleProbe(m, now)
 		}
 	case Refused:
 		if e.Started.Before(m.lastAnswer) {
 			return
 		}
 		m.refused = true
-		v.schedule(m, now)
-		m.followList()
+		v.scheduleProbe(m, now)
+		m.useListAddress()
 	case Silent:
 		if e.Started.Before(m.lastAnswer) {
 			return
 		}
-		if m.silent == 0 {
-			m.silentSince = e.Started
+		if m.timeouts == 0 {
+			m.unresponsiveSince = e.Started
 		}
-		m.silent++
-		v.schedule(m, now)
-		if m.silent >= v.set.EjectAttempts {
-			m.followList()
+		m.timeouts++
+		v.scheduleProbe(m, now)
+		if m.timeouts >= v.settings.EjectAfterTimeouts {
+			m.useListAddress()
 		}
 	}
 	v.recompute(now)
 }
 
-// isCurrent reports whether the evidence is about the process that holds the slot. A higher
-// incarnation takes the slot over; evidence about a lower one is dropped.
+// isCurrent reports whether the evidence is about the process that currently has the member's ID. A
+// higher incarnation replaces a lower one; evidence about a lower one is discarded.
 func (v *View) isCurrent(m *member, now time.Time, e *Evidence) bool {
 	if e.Incarnation == "" {
 		return e.Address == "" || e.Address == m.inst.Address
@@ -90,20 +90,20 @@
 	switch {
 	case order < 0:
 		if e.Address != "" && m.incarnationAddress != "" && e.Address != m.incarnationAddress {
-			m.loserAddress = e.Address
+			m.supersededAddress = e.Address
 		}
-		if m.inst.Address == m.loserAddress {
-			// The list names a process that has lost the slot.
+		if m.inst.Address == m.supersededAddress {
+			// The list contains the address of the superseded process.
 			m.inst.Address = m.incarnationAddress
 			v.recompute(now)
 		}
 		return false
 	case order > 0:
 		if e.Address != m.incarnationAddress {
-			m.loserAddress = m.incarnationAddress
+			m.supersededAddress = m.incarnationAddress
 		}
 		m.incarnation = e.Incarnation
-		m.drainingSince, m.refused, m.silent = time.Time{}, false, 0
+		m.drainingSince, m.refused, m.timeouts = time.Time{}, false, 0
 	}
 	if e.Address != "" {
 		m.incarnationAddress = e.Address
@@ -112,65 +112,66 @@
 	return true
 }
 
-// answered returns whether the member's state may have changed.
-func (v *View) answered(m *member, now time.Time, e *Evidence) bool {
-	m.heard(now)
+// handleAnswer reports whether the member's exported state may have changed.
+func (v *View) handleAnswer(m *member, now time.Time, e *Evidence) bool {
+	m.recordAnswer(now)
 	if !m.drainingSince.IsZero() && e.Started.After(m.drainingSince) {
 		m.drainingSince = time.Time{}
 	}
-	if m.view != StateLive {
-		m.healthyAt = now
+	if m.state != StateLive {
+		m.recoveredAt = now
 		return true
 	}
-	if snapshotMember, ok := v.Snapshot().Member(m.inst.ID); ok &&
-		(snapshotMember.Incarnation != m.incarnation || snapshotMember.Address != m.inst.Address) {
+	if published, ok := v.Snapshot().Member(m.inst.ID); ok &&
+		(published.Incarnation != m.incarnation || published.Address != m.inst.Address) {
 		return true
 	}
 	return false
 }
 
-// followList returns to the address in the list when the process that won the slot from it is gone.
-func (m *member) followList() {
+// useListAddress returns to the address in the list after the process that superseded it has gone.
+func (m *member) useListAddress() {
 	if m.inst.Address != m.listAddress {
-		m.inst.Address, m.loserAddress = m.listAddress, ""
+		m.inst.Address, m.supersededAddress = m.listAddress, ""
 	}
 }
 
-func (m *member) heard(now time.Time) {
+// recordAnswer clears the evidence of failures.
+func (m *member) recordAnswer(now time.Time) {
 	m.lastAnswer = now
-	m.refused, m.silent = false, 0
+	m.refused, m.timeouts = false, 0
 }
 
-// schedule sets the time of the next probe with jittered exponential back-off.
-func (v *View) schedule(m *member, now time.Time) {
+// scheduleProbe sets the time of the next probe with jittered exponential back-off.
+func (v *View) scheduleProbe(m *member, now time.Time) {
 	switch {
-	case m.probeWait == 0, !m.healthyAt.IsZero() && m.view == StateLive && now.Sub(m.healthyAt) >= v.set.ProbeReset:
-		m.probeWait = v.set.ProbeMin
+	case m.probeWait == 0, !m.recoveredAt.IsZero() && m.state == StateLive && now.Sub(m.recoveredAt) >= v.settings.ProbeBackoffReset:
+		m.probeWait = v.settings.ProbeBackoffMin
 	case now.Before(m.nextProbe):
-		// More evidence of the same failure does not lengthen the wait.
+		// Several reports of one failure must not increase the back-off.
 		return
 	default:
-		m.probeWait = min(2*m.probeWait, v.set.ProbeMax)
+		m.probeWait = min(2*m.probeWait, v.settings.ProbeBackoffMax)
 	}
 	m.nextProbe = now.Add(m.probeWait/2 + time.Duration(v.rng.Int64N(int64(m.probeWait))))
-	if latest := now.Add(v.set.KeepAbsent / absentProbes); !m.inList && m.nextProbe.After(latest) {
-		// A longer wait would let a member that has recovered be dropped.
+	if latest := now.Add(v.settings.AbsentTimeout / probesBeforeRemoval); !m.inList && m.nextProbe.After(latest) {
+		// With a longer wait, a member that has recovered would be removed before it is probed.
 		m.nextProbe = latest
 	}
 }
 
-// ProbesDue returns the members to probe now, those that have waited longest first, and sets the time
-// of their next probe. Members that get no work, and members that the list no longer names, are probed.
+// ProbesDue returns the members to probe now, the most overdue first, and schedules their next probes.
+// It covers members that are not live and members that are absent from the list.
 func (v *View) ProbesDue(now time.Time) []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var due []*member
-	for _, m := range v.sorted() {
-		if m.view == StateLive && m.inList || now.Before(m.nextProbe) {
+	for _, m := range v.sortedMembers() {
+		if m.state == StateLive && m.inList || now.Before(m.nextProbe) {
 			continue
 		}
-		if m.view == StateLeaving && m.drainingSince.IsZero() {
-			// The list says so; only the list can take it back.
+		if m.state == StateLeaving && m.drainingSince.IsZero() {
+			// Leaving according to the list, which a probe cannot change.
 			continue
 		}
 		due = append(due, m)
@@ -179,23 +180,23 @@
 	due = due[:min(len(due), v.takeProbeTokens(now, len(due)))]
 	probes := make([]Member, 0, len(due))
 	for _, m := range due {
-		if m.view == StateLive {
-			m.nextProbe = now.Add(v.set.KeepAbsent / absentProbes)
+		if m.state == StateLive {
+			m.nextProbe = now.Add(v.settings.AbsentTimeout / probesBeforeRemoval)
 		} else {
-			v.schedule(m, now)
+			v.scheduleProbe(m, now)
 		}
 		probes = append(probes, m.export())
 	}
 	return probes
 }
 
-// takeProbeTokens returns how many of n probes may be sent now.
+// takeProbeTokens takes up to n tokens from the probe bucket and returns how many it took.
 func (v *View) takeProbeTokens(now time.Time, n int) int {
-	burst := max(1, v.set.ProbesPerSecond)
+	burst := max(1, v.settings.ProbesPerSecond)
 	if v.probeTokensAt.IsZero() {
 		v.probeTokens = burst
 	} else {
-		v.probeTokens = min(burst, v.probeTokens+now.Sub(v.probeTokensAt).Seconds()*v.set.ProbesPerSecond)
+		v.probeTokens = min(burst, v.probeTokens+now.Sub(v.probeTokensAt).Seconds()*v.settings.ProbesPerSecond)
 	}
 	v.probeTokensAt = now
 	n = min(n, int(v.probeTokens))
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -20,80 +20,84 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
-// measureAll runs the whole table of docs/membership.md: go test ./membership -run Measure -v -measure
+// measureAll measures the whole table of docs/membership.md:
+//
+//	go test ./membership -run Measure -v -measure
 var measureAll = flag.Bool("measure", false, "run the whole table of docs/membership.md")
 
 const (
-	perPool   = 10
-	bad       = "a-00"
-	warmUp    = 10 * time.Second
-	observed  = 60 * time.Second
-	listDelay = 5 * time.Second
-	blipTime  = 3 * time.Second
+	workersPerPool = 10
+	faultyWorker   = "a-00"
+	warmUp         = 10 * time.Second
+	measureTime    = 60 * time.Second
+	listLag        = 5 * time.Second
+	pauseTime      = 3 * time.Second
 )
 
-// fleet is the truth about two pools of workers, and what the list says about them.
-type fleet struct {
+// simulation models two pools of workers, and the instance list that describes them.
+type simulation struct {
 	mu      sync.Mutex
 	event   string
 	list    string
 	eventAt time.Time
 	view    *membership.View
-	// lastWork is the time of the last attempt that was sent to the bad worker. A leaving worker has
-	// refused it.
+	// lastWork is the time at which the last attempt after the event was sent to the faulty worker. A
+	// leaving worker refuses such attempts.
 	lastWork time.Time
 	attempts int
 	probes   int
 }
 
-// condition is what happens to a worker now: "", "leaving", "dead" or "paused".
-func (f *fleet) condition(id string) string {
-	since := time.Since(f.eventAt)
+// condition returns the present condition of a worker: "" (healthy), "leaving", "dead" or "paused".
+func (s *simulation) condition(id string) string {
+	since := time.Since(s.eventAt)
 	switch {
 	case since < 0:
 		return ""
-	case f.event == "pool silent 3 s":
-		if id[0] == 'a' && since < blipTime {
+	case s.event == "pool silent 3 s":
+		if id[0] == 'a' && since < pauseTime {
 			return "paused"
 		}
 		return ""
-	case id == bad:
-		return f.event
+	case id == faultyWorker:
+		return s.event
 	}
 	return ""
 }
 
 // Instances implements external.InstanceList.
-func (f *fleet) Instances(_ context.Context, after uint64) (external.InstanceSnapshot, error) {
-	since := time.Since(f.eventAt)
-	if f.list == "lagging 5 s" {
-		since -= listDelay
+func (s *simulation) Instances(_ context.Context, after uint64) (external.InstanceSnapshot, error) {
+	since := time.Since(s.eventAt)
+	if s.list == "lagging 5 s" {
+		since -= listLag
 	}
-	instances := workers(perPool, "a", "b")
+	instances := workers(workersPerPool, "a", "b")
 	if since < 0 {
-		return news(snapshot(1, instances), after)
+		return newerThan(snapshot(1, instances), after)
 	}
-	switch f.list {
+	switch s.list {
 	case "unreachable":
 		return external.InstanceSnapshot{}, errors.New("instance list is down")
 	case "empty":
-		return news(snapshot(2, nil), after)
+		return newerThan(snapshot(2, nil), after)
 	case "wrong":
-		// The bad worker stays live and two good ones are missing.
-		return news(snapshot(2, slices.DeleteFunc(instances, func(in external.Instance) bool {
+		// The faulty worker stays live in the list and two healthy ones are missing.
+		return newerThan(snapshot(2, slices.DeleteFunc(instances, func(in external.Instance) bool {
 			return in.ID == "a-05" || in.ID == "b-05"
 		})), after)
 	}
-	switch f.event {
+	switch s.event {
 	case "leaving":
 		instances[0].State = external.InstanceLeaving
 	case "dead":
 		instances = instances[1:]
 	}
-	return news(snapshot(2, instances), after)
+	return newerThan(snapshot(2, instances), after)
 }
 
-func news(s external.InstanceSnapshot, after uint64) (external.InstanceSnapshot, error) {
+// newerThan returns s, or an empty list of version after if s is not newer: the list service answers
+// a request for later versions this way.
+func newerThan(s external.InstanceSnapshot, after uint64) (external.InstanceSnapshot, error) {
 	if s.Version <= after {
 		return snapshot(after, nil), nil
 	}
@@ -101,11 +105,11 @@
 }
 
 // Probe implements membership.Prober.
-func (f *fleet) Probe(ctx context.Context, m membership.Member) (membership.ProbeResult, error) {
-	f.mu.Lock()
-	f.probes++
-	f.mu.Unlock()
-	switch f.condition(m.ID) {
+func (s *simulation) Probe(ctx context.Context, m membership.Member) (membership.ProbeResult, error) {
+	s.mu.Lock()
+	s.probes++
+	s.mu.Unlock()
+	switch s.condition(m.ID) {
 	case "paused":
 		<-ctx.Done()
 		return membership.ProbeResult{}, ctx.Err()
@@ -117,19 +121,19 @@
 	return membership.ProbeResult{Incarnation: "1"}, nil
 }
 
-// attempt sends work to a worker and reports what came back, as an entry does.
-func (f *fleet) attempt(m membership.Member) {
+// attempt sends work to a worker and reports the outcome to the view, as an entry does.
+func (s *simulation) attempt(m membership.Member) {
 	started := time.Now()
-	f.mu.Lock()
-	f.attempts++
-	if m.ID == bad && started.After(f.eventAt) {
-		f.lastWork = started
+	s.mu.Lock()
+	s.attempts++
+	if m.ID == faultyWorker && started.After(s.eventAt) {
+		s.lastWork = started
 	}
-	f.mu.Unlock()
+	s.mu.Unlock()
 	e := membership.Evidence{ID: m.ID, Kind: membership.Answered, Address: m.Address, Incarnation: "1", Started: started}
-	switch f.condition(m.ID) {
+	switch s.condition(m.ID) {
 	case "paused":
-		time.Sleep(membership.DefaultSettings().SilenceAfter)
+		time.Sleep(membership.DefaultSettings().ResponseTimeout)
 		e.Kind, e.Incarnation = membership.Silent, ""
 	case "dead":
 		time.Sleep(time.Millisecond)
@@ -140,72 +144,74 @@
 	default:
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.view.Observe(time.Now(), e)
+	s.view.Observe(time.Now(), e)
 }
 
-// usableGood counts the workers that could serve and that may get work.
-func (f *fleet) usableGood() (usable, good int) {
-	for _, in := range workers(perPool, "a", "b") {
-		if f.event != "pool silent 3 s" && f.condition(in.ID) != "" {
+// countUsable counts the healthy workers, and those of them that may get work.
+func (s *simulation) countUsable() (usable, healthy int) {
+	for _, in := range workers(workersPerPool, "a", "b") {
+		if s.event != "pool silent 3 s" && s.condition(in.ID) != "" {
 			continue
 		}
-		good++
-		if m, ok := f.view.Snapshot().Member(in.ID); ok && m.Usable {
+		healthy++
+		if m, ok := s.view.Snapshot().Member(in.ID); ok && m.Usable {
 			usable++
 		}
 	}
-	return usable, good
+	return usable, healthy
 }
 
-// result is one cell of the table.
+// result holds the figures of one run.
 type result struct {
-	event     string
-	noNewWork time.Duration
-	// lostShare is the part of the good worker-seconds that got no work, lostMost the largest part at
-	// any moment.
-	lostShare, lostMost float64
-	probes              int
+	event string
+	// lastWorkDelay is the time from the event to the last attempt that was sent to the faulty worker.
+	lastWorkDelay time.Duration
+	// lostFraction is the fraction of the healthy worker-seconds that got no work, lostMax the largest
+	// such fraction at any moment.
+	lostFraction, lostMax float64
+	probes                int
 }
 
+// measure runs the workers, the list and the load for one event, and returns the figures.
 func measure(t *testing.T, event, list string, perSecond float64, seed uint64) result {
 	ctx, cancel := context.WithCancel(t.Context())
-	f := &fleet{event: event, list: list, eventAt: time.Now().Add(warmUp), view: seededView(t, seed)}
+	s := &simulation{event: event, list: list, eventAt: time.Now().Add(warmUp), view: seededView(t, seed)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var wg sync.WaitGroup
-	wg.Go(func() { membership.NewRunner(f.view, f, f, log).Run(ctx) })
+	wg.Go(func() { membership.NewRunner(s.view, s, s, log).Run(ctx) })
 	wg.Go(func() {
 		rng := rand.New(rand.NewPCG(5, seed))
 		for ctx.Err() == nil {
 			time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
-			if candidates := f.view.Snapshot().Usable(service); len(candidates) > 0 && ctx.Err() == nil {
+			if candidates := s.view.Snapshot().Usable(service); len(candidates) > 0 && ctx.Err() == nil {
 				m := candidates[rng.IntN(len(candidates))]
-				wg.Go(func() { f.attempt(m) })
+				wg.Go(func() { s.attempt(m) })
 			}
 		}
 	})
 	time.Sleep(warmUp)
 	r := result{event: event}
 	ticks := 0
-	for end := time.Now().Add(observed); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		usable, good := f.usableGood()
-		lost := float64(good-usable) / float64(good)
-		r.lostShare += lost
-		r.lostMost = max(r.lostMost, lost)
+	for end := time.Now().Add(measureTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		usable, healthy := s.countUsable()
+		lost := float64(healthy-usable) / float64(healthy)
+		r.lostFraction += lost
+		r.lostMax = max(r.lostMax, lost)
 		ticks++
 	}
 	cancel()
 	wg.Wait()
-	r.lostShare /= float64(ticks)
-	r.probes = f.probes
-	if f.lastWork.After(f.eventAt) {
-		r.noNewWork = f.lastWork.Sub(f.eventAt)
+	r.lostFraction /= float64(ticks)
+	r.probes = s.probes
+	if s.lastWork.After(s.eventAt) {
+		r.lastWorkDelay = s.lastWork.Sub(s.eventAt)
 	}
 	return r
 }
 
-// Guards against new work for a leaving, dead or paused worker after 3 s (I7), and against good
-// capacity that is taken away, for each condition of the list; prints docs/membership.md's figures.
+// Guards against new work for a leaving, dead or paused worker after 3 s (I7), and against healthy
+// workers that get no work, for each condition of the list. Prints the figures of docs/membership.md.
 func TestMeasureMembership(t *testing.T) {
 	rates, seeds := []float64{100}, uint64(2)
 	if *measureAll {
@@ -220,10 +226,10 @@
 					synctest.Test(t, func(t *testing.T) { all = append(all, measure(t, event, list, perSecond, seed)) })
 				}
 				for _, r := range all {
-					require.LessOrEqual(t, r.lostMost, membership.DefaultSettings().MaxEjectedShare, name)
+					require.LessOrEqual(t, r.lostMax, membership.DefaultSettings().MaxEjectedFraction, name)
 					if perSecond >= 100 && event != "pool silent 3 s" {
-						require.Less(t, r.noNewWork, 3*time.Second, name)
-						require.Zero(t, r.lostShare, name)
+						require.Less(t, r.lastWorkDelay, 3*time.Second, name)
+						require.Zero(t, r.lostFraction, name)
 					}
 				}
 				t.Logf("%s: %s", name, summary(all))
@@ -232,23 +238,23 @@
 	}
 }
 
-// summary gives the mean over the seeds, and the largest value.
+// summary formats the mean and the largest value over the seeds.
 func summary(all []result) string {
 	var sum, most result
 	for _, r := range all {
-		sum.noNewWork += r.noNewWork
-		sum.lostShare += r.lostShare
+		sum.lastWorkDelay += r.lastWorkDelay
+		sum.lostFraction += r.lostFraction
 		sum.probes += r.probes
-		most.noNewWork = max(most.noNewWork, r.noNewWork)
-		most.lostMost = max(most.lostMost, r.lostMost)
+		most.lastWorkDelay = max(most.lastWorkDelay, r.lastWorkDelay)
+		most.lostMax = max(most.lostMax, r.lostMax)
 	}
 	n := float64(len(all))
 	lost := fmt.Sprintf("good capacity without work %.2f%% (at most %.0f%%), %.0f probes",
-		100*sum.lostShare/n, 100*most.lostMost, float64(sum.probes)/n)
+		100*sum.lostFraction/n, 100*most.lostMax, float64(sum.probes)/n)
 	if all[0].event == "pool silent 3 s" {
 		return lost
 	}
-	return fmt.Sprintf("last new work %.2f s (at most %.2f s), ", sum.noNewWork.Seconds()/n, most.noNewWork.Seconds()) + lost
+	return fmt.Sprintf("last new work %.2f s (at most %.2f s), ", sum.lastWorkDelay.Seconds()/n, most.lastWorkDelay.Seconds()) + lost
 }
 
 func seededView(t *testing.T, seed uint64) *membership.View {
--- a/membership/recompute.go
+++ b/membership/recompute.go
@@ -7,79 +7,81 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// pool is the members of one service and role in one data centre.
+// poolKey identifies the members of one service and role in one data centre.
 type poolKey struct{ role, service, dataCentre string }
 
 type serviceKey struct{ role, service string }
 
-// recompute derives all states and publishes a new snapshot if anything visible has changed.
+// recompute removes expired members, derives all states, and publishes a new snapshot if any exported
+// state has changed.
 func (v *View) recompute(now time.Time) {
 	for id, m := range v.members {
-		if !m.inList && v.isDropped(m, now) {
+		if !m.inList && v.isExpired(m, now) {
 			delete(v.members, id)
-			v.order = nil
+			v.sortedCache = nil
 		}
 	}
-	all := v.sorted()
+	all := v.sortedMembers()
 	v.assignStates(all)
 	v.publish(all)
 }
 
-// assignStates derives the state of each member from its evidence. Members that have been silent for
-// longest are ejected first, up to the bound of their pool. Other suspects are spared new work up to
-// the same bound of their service, which includes the ejected ones and is at least one: in a pool of
-// one to three workers none can be ejected, but a service can do without one of several.
+// assignStates derives the state of each member from its evidence. Members that have gone without a
+// response for longest are ejected first, up to the limit of their pool. New work is withheld from
+// further suspects up to the same limit applied to the whole service. That limit includes the ejected
+// members and is at least one if the service has several members: the pool limit of one to three
+// workers rounds down to zero, but a service with several workers can do without one.
 func (v *View) assignStates(all []*member) {
 	pools, services := map[poolKey]int{}, map[serviceKey]int{}
-	var silent []*member
+	var suspects []*member
 	for _, m := range all {
 		pools[m.pool()]++
 		services[m.service()]++
-		m.view = v.stateOf(m)
-		m.usable = m.view == StateLive
-		if m.view == StateSuspect {
-			silent = append(silent, m)
+		m.state = v.stateOf(m)
+		m.usable = m.state == StateLive
+		if m.state == StateSuspect {
+			suspects = append(suspects, m)
 		}
 	}
-	slices.SortStableFunc(silent, func(a, b *member) int { return a.silentSince.Compare(b.silentSince) })
-	ejected, spared := map[poolKey]int{}, map[serviceKey]int{}
-	for _, m := range silent {
-		if m.silent >= v.set.EjectAttempts && ejected[m.pool()] < v.share(pools[m.pool()]) {
-			m.view = StateEjected
+	slices.SortStableFunc(suspects, func(a, b *member) int { return a.unresponsiveSince.Compare(b.unresponsiveSince) })
+	ejected, withheld := map[poolKey]int{}, map[serviceKey]int{}
+	for _, m := range suspects {
+		if m.timeouts >= v.settings.EjectAfterTimeouts && ejected[m.pool()] < v.maxEjected(pools[m.pool()]) {
+			m.state = StateEjected
 			ejected[m.pool()]++
-			spared[m.service()]++
+			withheld[m.service()]++
 		}
 	}
-	for _, m := range silent {
-		bound := v.share(services[m.service()])
+	for _, m := range suspects {
+		limit := v.maxEjected(services[m.service()])
 		if services[m.service()] > 1 {
-			bound = max(1, bound)
+			limit = max(1, limit)
 		}
 		switch {
-		case m.view == StateEjected:
-		case spared[m.service()] < bound:
-			spared[m.service()]++
+		case m.state == StateEjected:
+		case withheld[m.service()] < limit:
+			withheld[m.service()]++
 		default:
 			m.usable = true
 		}
 	}
 }
 
-// stateOf returns the state without the bounds on ejection.
+// stateOf returns the state before the limits on ejection are applied.
 func (v *View) stateOf(m *member) State {
 	switch {
 	case m.inst.State == external.InstanceLeaving || !m.drainingSince.IsZero():
 		return StateLeaving
 	case m.refused:
 		return StateEjected
-	case m.silent > 0:
+	case m.timeouts > 0:
 		return StateSuspect
 	}
 	return StateLive
 }
 
-// share returns how many of n members may be ejected for silence.
-func (v *View) share(n int) int { return int(v.set.MaxEjectedShare*float64(n) + 1e-9) }
+// maxEjected returns how many of n members may be ejected for missing responses.
+func (v *View) maxEjected(n int) int { return int(v.settings.MaxEjectedFraction*float64(n) + 1e-9) }
 
 func (m *member) pool() poolKey {
 	return poolKey{m.inst.Role, m.inst.Service, m.inst.DataCentre}
@@ -88,9 +90,10 @@
 func (m *member) service() serviceKey { return serviceKey{m.inst.Role, m.inst.Service} }
 
 func (m *member) export() Member {
-	return Member{Instance: m.inst, View: m.view, Incarnation: m.incarnation, Usable: m.usable}
+	return Member{Instance: m.inst, View: m.state, Incarnation: m.incarnation, Usable: m.usable}
 }
 
+// publish stores a new snapshot if it differs from the last one.
 func (v *View) publish(all []*member) {
 	if !v.isChanged(all) {
 		return
@@ -119,7 +122,7 @@
 	v.snapshot.Store(s)
 }
 
-// isChanged reports whether the snapshot differs from the members.
+// isChanged reports whether the members differ from the published snapshot.
 func (v *View) isChanged(all []*member) bool {
 	published := v.Snapshot().Members
 	if len(all) != len(published) {
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -20,13 +20,13 @@
 	Draining    bool
 }
 
-// Prober asks a member for a sign of life. It returns an error that wraps ErrConnectionRefused if
-// nothing listens at the address; any other error counts as silence.
+// Prober checks whether a member responds. Probe returns an error that wraps ErrConnectionRefused if
+// nothing listens at the address; any other error counts as a missing response.
 type Prober interface {
 	Probe(ctx context.Context, m Member) (ProbeResult, error)
 }
 
-// Runner polls the instance list and probes members.
+// Runner keeps a View up to date: it polls the instance list and probes members.
 type Runner struct {
 	view   *View
 	list   external.InstanceList
@@ -34,17 +34,17 @@
 	log    logrus.FieldLogger
 }
 
-// NewRunner returns a runner for the view.
+// NewRunner returns a Runner for the view.
 func NewRunner(v *View, list external.InstanceList, p Prober, log logrus.FieldLogger) *Runner {
 	return &Runner{view: v, list: list, prober: p, log: log}
 }
 
-// Run polls and probes until ctx ends, and returns after all probes have ended.
+// Run polls and probes until ctx is done, and returns after all probes have finished.
 func (r *Runner) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { r.pollLoop(ctx) })
-	ticker := time.NewTicker(r.view.set.ProbeTick)
+	ticker := time.NewTicker(r.view.settings.ProbeTick)
 	defer ticker.Stop()
 	for {
 		select {
@@ -62,8 +62,8 @@
 
 func (r *Runner) pollLoop(ctx context.Context) {
 	for n := 0; ; n++ {
-		r.Poll(ctx, n%r.view.set.FullEvery == 0)
-		t := time.NewTimer(r.view.jitter(r.view.set.PollInterval))
+		r.Poll(ctx, n%r.view.settings.FullPollEvery == 0)
+		t := time.NewTimer(r.view.jitter(r.view.settings.PollInterval))
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -73,35 +73,35 @@
 	}
 }
 
-// Poll reads the list once. With full set it asks for the whole list, otherwise for news only.
+// Poll reads the list once: the whole list if full is set, otherwise only if it has changed.
 func (r *Runner) Poll(ctx context.Context, full bool) {
-	ctx, cancel := context.WithTimeout(ctx, r.view.set.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, r.view.settings.PollTimeout)
 	defer cancel()
 	after := uint64(0)
-	if !full && !r.view.Doubtful() {
+	if !full && !r.view.ListUnconfirmed() {
 		after = r.view.ListVersion()
 	}
 	s, err := r.list.Instances(ctx, after)
 	switch {
 	case err != nil:
-		r.log.WithError(err).Info("instance list is unreachable; the last one is kept")
+		r.log.WithError(err).Info("instance list unreachable; keeping the last one")
 	case s.Version == after && len(s.Instances) == 0:
 		r.view.ConfirmUnchanged()
 	case !r.view.ApplyList(time.Now(), s):
 		r.log.WithFields(logrus.Fields{"version": s.Version, "instances": len(s.Instances)}).
-			Warn("instance list is empty or older than the last one; it is not believed yet")
+			Warn("instance list empty or older than the last one; not yet accepted")
 	}
 }
 
 func (r *Runner) probe(ctx context.Context, m Member) {
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, r.view.set.SilenceAfter)
+	ctx, cancel := context.WithTimeout(ctx, r.view.settings.ResponseTimeout)
 	defer cancel()
 	res, err := r.prober.Probe(ctx, m)
 	r.view.ObserveProbe(m, started, res, err)
 }
 
-// ObserveProbe joins the outcome of a probe. A probe that this process has cancelled says nothing.
+// ObserveProbe applies the outcome of a probe. A probe that this process cancelled is ignored.
 func (v *View) ObserveProbe(m Member, started time.Time, res ProbeResult, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -118,7 +118,7 @@
 	v.Observe(time.Now(), e)
 }
 
-// jitter returns a time between half and one and a half of d.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func (v *View) jitter(d time.Duration) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,13 +1,16 @@
-// Package membership joins the platform's lagging instance list with direct evidence about the
-// members: answers, refusals, refused connections, silence and drain notices.
+// Package membership combines the platform's instance list, which lags behind reality, with direct
+// observations of the members: answers, refusals, refused connections, missing responses and drain
+// notices.
 //
 // Invariants:
 //
-//   - A member that said that it is draining, or that the list gives as leaving, gets no new work.
-//   - At most a set share of a pool is ejected for silence, so that the rest is not overloaded.
-//   - A list that is empty, unreachable or older than the last one changes nothing until it has been
-//     seen for a set time.
-//   - Evidence from a lower incarnation of a slot has no effect.
+//   - A member that reports that it is draining, or that is leaving according to the list, gets no new
+//     work.
+//   - At most Settings.MaxEjectedFraction of a pool is ejected for missing responses, so that the
+//     remaining members are not overloaded.
+//   - An unreachable list changes nothing. An empty list, or one older than the last, changes nothing
+//     until it has been returned for Settings.ListConfirmTime.
+//   - Evidence from a lower incarnation of an instance ID has no effect.
 package membership
 
 import (
@@ -21,10 +24,11 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// State is the state of a member.
+// State is the state of a member as derived from the list and from direct evidence.
 type State string
 
-// States of a member.
+// States of a member. A suspect has not responded lately. An ejected member gets no work until it
+// answers a probe.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -32,21 +36,21 @@
 	StateEjected State = "ejected"
 )
 
-// Member is one slot of the instance list as this process sees it.
+// Member is one instance ID of the list, with the state that this process has derived for it.
 type Member struct {
 	external.Instance
-	// View replaces the state of the list.
+	// View is the derived state. It takes precedence over the state in the list.
 	View State
-	// Incarnation is the highest one that has answered, empty if none has.
+	// Incarnation is the highest incarnation that has answered, empty if none has.
 	Incarnation string
-	// Usable says that the member may get new work.
+	// Usable reports whether the member may get new work.
 	Usable bool
 }
 
-// Snapshot is the view at one version. It must not be changed.
+// Snapshot is a copy of the view at one version. Callers must not modify it.
 type Snapshot struct {
 	Version uint64
-	// Members holds all members in the order of their IDs.
+	// Members holds all members, sorted by ID.
 	Members []Member
 
 	usable  map[string][]Member
@@ -54,13 +58,13 @@
 	byID    map[string]int
 }
 
-// Usable returns the members of a service that may get new work, in the order of their IDs.
+// Usable returns the sidecars of a service that may get new work, sorted by ID.
 func (s *Snapshot) Usable(service string) []Member { return s.usable[service] }
 
-// Entries returns the entries that are live.
+// Entries returns the live entries, sorted by ID.
 func (s *Snapshot) Entries() []external.Instance { return s.entries }
 
-// Member returns a member by its ID.
+// Member looks up a member by ID.
 func (s *Snapshot) Member(id string) (Member, bool) {
 	i, ok := s.byID[id]
 	if !ok {
@@ -69,126 +73,130 @@
 	return s.Members[i], true
 }
 
-// View is the joined state. Methods that change it are guarded by a mutex; Snapshot takes no lock.
+// View holds the current state of all members. It is safe for concurrent use; Snapshot takes no lock.
 type View struct {
-	set Settings
+	settings Settings
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	members map[string]*member
-	// order holds the members in the order of their IDs; nil after members came or went.
-	order   []*member
-	list    listState
-	version uint64
-	// probeTokens is the number of probes that may be sent at once, as of probeTokensAt.
+	// sortedCache holds the members sorted by ID. It is nil after a member was added or removed.
+	sortedCache []*member
+	list        listState
+	version     uint64
+	// probeTokens is the fill of the token bucket for probes, as of probeTokensAt.
 	probeTokens   float64
 	probeTokensAt time.Time
 
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// listState is what is known of the platform's list.
+// listState describes the last accepted list.
 type listState struct {
 	version uint64
 	size    int
-	// doubtfulSince is the time at which the list first became empty or older.
-	doubtfulSince time.Time
+	// unconfirmedSince is the time at which an empty or older list was first seen, zero if none is
+	// waiting for confirmation.
+	unconfirmedSince time.Time
 }
 
-// member is the mutable state of one slot.
+// member is the mutable state of one instance ID.
 type member struct {
 	inst        external.Instance
-	view        State
+	state       State
 	usable      bool
 	inList      bool
 	absentSince time.Time
-	// incarnation is the highest one seen, at address inst.Address unless the list names a newer one.
+	// incarnation is the highest one seen, and incarnationAddress its address. inst.Address is the same
+	// unless the list contains a newer address.
 	incarnation        string
 	incarnationAddress string
-	// loserAddress is the address of a process that has lost the slot to a higher incarnation.
-	loserAddress string
-	// listAddress is the address in the list.
-	listAddress string
+	// supersededAddress is the address of a process with the same ID and a lower incarnation.
+	supersededAddress string
+	listAddress       string
 
 	drainingSince time.Time
 	refused       bool
-	silent        int
-	silentSince   time.Time
-	lastAnswer    time.Time
-
-	probeWait time.Duration
-	nextProbe time.Time
-	healthyAt time.Time
+	// timeouts counts the attempts and probes without a response since the last answer.
+	timeouts int
+	// unresponsiveSince is the time at which the first of them was sent.
+	unresponsiveSince time.Time
+	lastAnswer        time.Time
+
+	probeWait   time.Duration
+	nextProbe   time.Time
+	recoveredAt time.Time
 }
 
-// NewView returns an empty view. The random source is used for the jitter of probes.
-func NewView(set Settings, rng *rand.Rand) (*View, error) {
-	if err := set.Validate(); err != nil {
+// NewView returns an empty view. rng provides the jitter of polls and probes.
+func NewView(settings Settings, rng *rand.Rand) (*View, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	v := &View{set: set, rng: rng, members: map[string]*member{}}
+	v := &View{settings: settings, rng: rng, members: map[string]*member{}}
 	v.snapshot.Store(&Snapshot{})
 	return v, nil
 }
 
-// Snapshot returns the present snapshot without a lock or an allocation.
+// Snapshot returns the current snapshot without a lock or an allocation.
 func (v *View) Snapshot() *Snapshot { return v.snapshot.Load() }
 
-// ListVersion returns the version of the last list that was believed.
+// ListVersion returns the version of the last list that was accepted.
 func (v *View) ListVersion() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.list.version
 }
 
-// ApplyList joins a list that has been read. It returns false if the list is not believed yet.
+// ApplyList merges a list into the view. It returns false if the list still needs confirmation.
 func (v *View) ApplyList(now time.Time, s external.InstanceSnapshot) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	doubtful := len(s.Instances) == 0 && v.list.size > 0 || s.Version < v.list.version
-	if doubtful {
-		if v.list.doubtfulSince.IsZero() {
-			v.list.doubtfulSince = now
+	regressed := len(s.Instances) == 0 && v.list.size > 0 || s.Version < v.list.version
+	if regressed {
+		if v.list.unconfirmedSince.IsZero() {
+			v.list.unconfirmedSince = now
 		}
-		if now.Sub(v.list.doubtfulSince) < v.set.ConfirmList || len(s.Instances) == 0 && v.anyAnswers(now) {
+		if now.Sub(v.list.unconfirmedSince) < v.settings.ListConfirmTime || len(s.Instances) == 0 && v.anyRecentAnswer(now) {
 			return false
 		}
 	}
 	v.list = listState{version: s.Version, size: len(s.Instances)}
-	v.join(now, s.Instances)
+	v.mergeList(now, s.Instances)
 	v.recompute(now)
 	return true
 }
 
-// anyAnswers reports whether a member has answered lately.
-func (v *View) anyAnswers(now time.Time) bool {
+// anyRecentAnswer reports whether any member has answered within AbsentTimeout.
+func (v *View) anyRecentAnswer(now time.Time) bool {
 	for _, m := range v.members {
-		if !m.lastAnswer.IsZero() && now.Sub(m.lastAnswer) < v.set.KeepAbsent {
+		if !m.lastAnswer.IsZero() && now.Sub(m.lastAnswer) < v.settings.AbsentTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Doubtful reports whether the last list that was read is not believed yet.
-func (v *View) Doubtful() bool {
+// ListUnconfirmed reports whether the last list that was read still needs confirmation.
+func (v *View) ListUnconfirmed() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.list.doubtfulSince.IsZero()
+	return !v.list.unconfirmedSince.IsZero()
 }
 
-// ConfirmUnchanged records that the list service reported no change of the last list.
+// ConfirmUnchanged records that the list service reported no change since the last accepted list.
 func (v *View) ConfirmUnchanged() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.list.doubtfulSince = time.Time{}
+	v.list.unconfirmedSince = time.Time{}
 }
 
-func (v *View) join(now time.Time, instances []external.Instance) {
+// mergeList updates the members from a list and marks those that it no longer contains.
+func (v *View) mergeList(now time.Time, instances []external.Instance) {
 	listed := map[string]external.Instance{}
 	for _, in := range instances {
 		if old, ok := listed[in.ID]; ok {
-			in = v.choose(old, in)
+			in = v.resolveDuplicate(old, in)
 		}
 		listed[in.ID] = in
 	}
@@ -196,10 +204,10 @@
 		m := v.members[id]
 		if m == nil {
 			v.members[id] = &member{inst: in, listAddress: in.Address, inList: true}
-			v.order = nil
+			v.sortedCache = nil
 			continue
 		}
-		m.list(in)
+		m.updateFromList(in)
 	}
 	for id, m := range v.members {
 		if _, ok := listed[id]; !ok && m.inList {
@@ -208,9 +216,9 @@
 	}
 }
 
-// choose returns which of two list entries of one slot counts: the one at the address of the highest
-// incarnation that has answered, otherwise the one that is not leaving, otherwise the later one.
-func (v *View) choose(a, b external.Instance) external.Instance {
+// resolveDuplicate chooses between two list entries with the same ID: the one at the address of the
+// highest incarnation that has answered, else the one that is not leaving, else the later one.
+func (v *View) resolveDuplicate(a, b external.Instance) external.Instance {
 	if m := v.members[a.ID]; m != nil && m.incarnationAddress != "" {
 		switch m.incarnationAddress {
 		case a.Address:
@@ -225,22 +233,22 @@
 	return b
 }
 
-// list takes over what the list says. A new address is a new process: the evidence about the old one
-// no longer counts, but its incarnation still has to be exceeded.
-func (m *member) list(in external.Instance) {
+// updateFromList applies a list entry. A new address means a new process, so the evidence about the
+// old one is discarded. The old incarnation is kept, and the new process must exceed it.
+func (m *member) updateFromList(in external.Instance) {
 	m.inList, m.listAddress = true, in.Address
-	if in.Address == m.loserAddress && m.incarnationAddress != "" {
+	if in.Address == m.supersededAddress && m.incarnationAddress != "" {
 		in.Address = m.incarnationAddress
 	}
 	if in.Address != m.inst.Address && in.Address != m.incarnationAddress {
-		m.drainingSince, m.refused, m.silent = time.Time{}, false, 0
+		m.drainingSince, m.refused, m.timeouts = time.Time{}, false, 0
 		m.probeWait, m.nextProbe = 0, time.Time{}
 	}
 	m.inst = in
 }
 
-// compareIncarnations orders incarnations. Decimal numbers are compared by value, others as text,
-// which fits time-ordered identifiers.
+// compareIncarnations orders incarnations: decimal numbers by value, anything else as text, which is
+// right for time-ordered identifiers.
 func compareIncarnations(a, b string) int {
 	if isDecimal(a) && isDecimal(b) {
 		a, b = strings.TrimLeft(a, "0"), strings.TrimLeft(b, "0")
@@ -255,35 +263,36 @@
 	return s != "" && strings.Trim(s, "0123456789") == ""
 }
 
-// Advance applies the passing of time: it drops members that the list no longer names and that have
-// not answered for a while.
+// Advance removes the members that are absent from the list and have not answered for
+// Settings.AbsentTimeout.
 func (v *View) Advance(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, m := range v.members {
-		if !m.inList && v.isDropped(m, now) {
+		if !m.inList && v.isExpired(m, now) {
 			v.recompute(now)
 			return
 		}
 	}
 }
 
-func (v *View) isDropped(m *member, now time.Time) bool {
+// isExpired reports whether a member that is absent from the list is to be removed.
+func (v *View) isExpired(m *member, now time.Time) bool {
 	since := m.absentSince
 	if m.lastAnswer.After(since) {
 		since = m.lastAnswer
 	}
-	return now.Sub(since) >= v.set.KeepAbsent || m.refused || !m.drainingSince.IsZero()
+	return now.Sub(since) >= v.settings.AbsentTimeout || m.refused || !m.drainingSince.IsZero()
 }
 
-// sorted returns the members in the order of their IDs.
-func (v *View) sorted() []*member {
-	if v.order == nil {
-		v.order = make([]*member, 0, len(v.members))
+// sortedMembers returns the members sorted by ID.
+func (v *View) sortedMembers() []*member {
+	if v.sortedCache == nil {
+		v.sortedCache = make([]*member, 0, len(v.members))
 		for _, m := range v.members {
-			v.order = append(v.order, m)
+			v.sortedCache = append(v.sortedCache, m)
 		}
-		slices.SortFunc(v.order, func(a, b *member) int { return strings.Compare(a.inst.ID, b.inst.ID) })
+		slices.SortFunc(v.sortedCache, func(a, b *member) int { return strings.Compare(a.inst.ID, b.inst.ID) })
 	}
-	return v.order
+	return v.sortedCache
 }
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -51,10 +51,10 @@
 	return membership.Evidence{ID: id, Kind: k, Address: id + ":1", Incarnation: incarnation, Started: at}
 }
 
-// Guards against an empty, older or shrunk list that takes good members away, and against one that is
-// never believed.
+// Guards against an empty, older or shorter list that removes healthy members, and against one that is
+// never accepted.
 func TestDoubtfulLists(t *testing.T) {
-	set := membership.DefaultSettings()
+	settings := membership.DefaultSettings()
 	for name, list := range map[string]external.InstanceSnapshot{
 		"empty": snapshot(6, nil),
 		"older": snapshot(4, workers(1, "a")),
@@ -63,30 +63,30 @@
 		require.True(t, v.ApplyList(start, snapshot(5, workers(4, "a"))))
 		require.False(t, v.ApplyList(start.Add(time.Second), list), name)
 		v.ConfirmUnchanged()
-		require.False(t, v.ApplyList(start.Add(set.ConfirmList+time.Second), list), "%s: the doubt starts again", name)
+		require.False(t, v.ApplyList(start.Add(settings.ListConfirmTime+time.Second), list), "%s: an unchanged list restarts the confirmation time", name)
 		require.Len(t, v.Snapshot().Usable(service), 4)
-		now := start.Add(2*set.ConfirmList + 2*time.Second)
+		now := start.Add(2*settings.ListConfirmTime + 2*time.Second)
 		if name == "empty" {
 			v.Observe(now, evidence("a-03", membership.Answered, "1", now))
 			require.False(t, v.ApplyList(now, list), "a member answers")
-			now = now.Add(set.KeepAbsent)
+			now = now.Add(settings.AbsentTimeout)
 		}
 		require.True(t, v.ApplyList(now, list), name)
 
-		// A member that answers stays although the list no longer names it.
+		// A member that answers stays although it is absent from the list.
 		now = now.Add(time.Second)
 		v.Observe(now, evidence("a-03", membership.Answered, "1", now))
-		v.Advance(now.Add(set.KeepAbsent - time.Second))
+		v.Advance(now.Add(settings.AbsentTimeout - time.Second))
 		require.Equal(t, membership.StateLive, state(v, "a-03"))
 		require.Empty(t, state(v, "a-02"))
-		require.NotEmpty(t, v.ProbesDue(now.Add(set.KeepAbsent/2)))
-		v.Advance(now.Add(set.KeepAbsent))
+		require.NotEmpty(t, v.ProbesDue(now.Add(settings.AbsentTimeout/2)))
+		v.Advance(now.Add(settings.AbsentTimeout))
 		require.Empty(t, state(v, "a-03"))
 	}
 }
 
-// Guards against new work for a leaving member, and against a drain notice that is undone by an
-// answer to something sent before it.
+// Guards against new work for a leaving member, and against a drain notice that is cancelled by an
+// answer to an attempt sent before the notice.
 func TestLeaving(t *testing.T) {
 	v := newView(t)
 	list := workers(3, "a")
@@ -98,7 +98,7 @@
 	v.Observe(at(3), evidence("a-00", membership.Answered, "1", at(1)))
 	require.Equal(t, membership.StateLeaving, state(v, "a-00"), "an answer to an attempt from before the notice")
 	v.Observe(at(4), evidence("a-00", membership.Answered, "1", at(3)))
-	require.Equal(t, membership.StateLive, state(v, "a-00"), "the drain was undone")
+	require.Equal(t, membership.StateLive, state(v, "a-00"), "an answer to a later attempt cancels the notice")
 	v.Observe(at(5), evidence("a-00", membership.Draining, "1", at(4)))
 	v.Observe(at(6), evidence("a-00", membership.Answered, "2", at(4)))
 	require.Equal(t, membership.StateLive, state(v, "a-00"), "a new incarnation is not draining")
@@ -106,19 +106,20 @@
 	list[1].State = external.InstanceLeaving
 	v.ApplyList(at(7), snapshot(2, list))
 	v.Observe(at(8), evidence("a-01", membership.Answered, "1", at(8)))
-	require.Equal(t, membership.StateLeaving, state(v, "a-01"), "only the list takes it back")
+	require.Equal(t, membership.StateLeaving, state(v, "a-01"), "an answer does not override the list")
 	require.Len(t, v.Snapshot().Usable(service), 2)
 }
 
-// Guards against evidence of a process that has lost its slot, in any order of arrival.
+// Guards against evidence from a process whose ID has been taken over by a higher incarnation, in any
+// order of arrival.
 func TestTwoProcessesClaimOneSlot(t *testing.T) {
 	for _, order := range [][]string{{"9", "10"}, {"10", "9"}} {
 		v := newView(t)
 		in := workers(1, "a")[0]
-		other := in
-		other.Address = "other:1"
-		v.ApplyList(start, snapshot(1, []external.Instance{in, other}))
-		address := map[string]string{"9": in.Address, "10": other.Address}
+		duplicate := in
+		duplicate.Address = "other:1"
+		v.ApplyList(start, snapshot(1, []external.Instance{in, duplicate}))
+		address := map[string]string{"9": in.Address, "10": duplicate.Address}
 		for range 2 {
 			for _, incarnation := range order {
 				v.Observe(start, membership.Evidence{
@@ -126,40 +127,40 @@
 				})
 			}
 			m, _ := v.Snapshot().Member(in.ID)
-			require.Equal(t, other.Address, m.Address)
+			require.Equal(t, duplicate.Address, m.Address)
 			require.Equal(t, "10", m.Incarnation)
-			// The list names the loser only.
+			// The list contains only the superseded process.
 			v.ApplyList(start, snapshot(2, []external.Instance{in}))
 			m, _ = v.Snapshot().Member(in.ID)
-			require.Equal(t, other.Address, m.Address)
+			require.Equal(t, duplicate.Address, m.Address)
 		}
 		v.Observe(start, membership.Evidence{ID: in.ID, Kind: membership.Draining, Address: in.Address, Incarnation: "9", Started: start})
 		m, _ := v.Snapshot().Member(in.ID)
-		require.Equal(t, membership.StateLive, m.View, "a drain notice of the loser")
-		require.Equal(t, other.Address, m.Address)
+		require.Equal(t, membership.StateLive, m.View, "a drain notice from the superseded process")
+		require.Equal(t, duplicate.Address, m.Address)
 
-		// The winner has ended, and a third process starts at the listed address.
-		gone := start.Add(time.Second)
-		v.Observe(gone, membership.Evidence{ID: in.ID, Kind: membership.Refused, Address: other.Address, Started: gone})
+		// The current process has ended, and a third one starts at the listed address.
+		afterEnd := start.Add(time.Second)
+		v.Observe(afterEnd, membership.Evidence{ID: in.ID, Kind: membership.Refused, Address: duplicate.Address, Started: afterEnd})
 		m, _ = v.Snapshot().Member(in.ID)
 		require.Equal(t, in.Address, m.Address)
-		v.Observe(gone, evidence(in.ID, membership.Answered, "11", gone))
+		v.Observe(afterEnd, evidence(in.ID, membership.Answered, "11", afterEnd))
 		m, _ = v.Snapshot().Member(in.ID)
 		require.Equal(t, membership.StateLive, m.View)
 		require.Equal(t, in.Address, m.Address)
 	}
 }
 
-// Guards against an ejected member that never gets work again, and against probes without back-off.
+// Guards against an ejected member that never gets work again, and against probing without back-off.
 func TestProbingBack(t *testing.T) {
-	set := membership.DefaultSettings()
+	settings := membership.DefaultSettings()
 	v := newView(t)
 	v.ApplyList(start, snapshot(1, workers(4, "a")))
 	now := start
 	v.Observe(now, evidence("a-00", membership.Refused, "", now))
-	require.Equal(t, membership.StateEjected, state(v, "a-00"), "a refused connection counts at once")
+	require.Equal(t, membership.StateEjected, state(v, "a-00"), "a refused connection ejects at once")
 	probes := 0
-	for ; now.Before(start.Add(5 * time.Minute)); now = now.Add(set.ProbeTick) {
+	for ; now.Before(start.Add(5 * time.Minute)); now = now.Add(settings.ProbeTick) {
 		for _, m := range v.ProbesDue(now) {
 			require.Equal(t, "a-00", m.ID)
 			probes++
@@ -171,14 +172,14 @@
 	v.Observe(now, evidence("a-00", membership.Answered, "2", now))
 	require.Equal(t, membership.StateLive, state(v, "a-00"))
 	v.Observe(now.Add(time.Second), evidence("a-00", membership.Refused, "", now.Add(-time.Second)))
-	require.Equal(t, membership.StateLive, state(v, "a-00"), "a refusal from before the answer")
+	require.Equal(t, membership.StateLive, state(v, "a-00"), "a refusal of an attempt sent before the answer")
 	require.Empty(t, v.ProbesDue(now.Add(time.Hour)))
 }
 
-// Guards against probes beyond the control traffic of a node when many members fail at once, and
-// against members that wait without end for their probe.
+// Guards against probes that exceed the control traffic allowed for a node when many members fail at
+// once, and against members that are never probed.
 func TestProbeRateIsBounded(t *testing.T) {
-	set := membership.DefaultSettings()
+	settings := membership.DefaultSettings()
 	v := newView(t)
 	list := workers(128, "a", "b")
 	v.ApplyList(start, snapshot(1, list))
@@ -187,20 +188,20 @@
 	}
 	probed := map[string]int{}
 	total := 0
-	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(set.ProbeTick) {
+	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(settings.ProbeTick) {
 		for _, m := range v.ProbesDue(now) {
 			probed[m.ID]++
 			total++
 		}
 	}
-	require.LessOrEqual(t, float64(total), 61*set.ProbesPerSecond)
+	require.LessOrEqual(t, float64(total), 61*settings.ProbesPerSecond)
 	require.Len(t, probed, len(list))
 }
 
-// Guards against silence that ejects more than the bound of a pool or spares more than the bound of
-// a service, and against snapshots that contradict the evidence.
+// Guards against missing responses that eject more members than the limit of a pool or withhold work
+// from more than the limit of a service, and against snapshots that contradict the evidence.
 func TestBoundsHoldForAnyEvidence(t *testing.T) {
-	set := membership.DefaultSettings()
+	settings := membership.DefaultSettings()
 	rapid.Check(t, func(t *rapid.T) {
 		v := newView(t)
 		n := rapid.IntRange(1, 12).Draw(t, "workers per pool")
@@ -224,14 +225,14 @@
 				refused[id] = true
 			}
 			v.ProbesDue(now)
-			checkSnapshot(t, v.Snapshot(), set, n, draining, refused)
+			requireConsistentSnapshot(t, v.Snapshot(), settings, n, draining, refused)
 		}
 	})
 }
 
-func checkSnapshot(t *rapid.T, s *membership.Snapshot, set membership.Settings, n int, draining, refused map[string]bool) {
+func requireConsistentSnapshot(t *rapid.T, s *membership.Snapshot, settings membership.Settings, n int, draining, refused map[string]bool) {
 	ejected := map[string]int{}
-	spared, usable := 0, 0
+	withheld, usable := 0, 0
 	for _, m := range s.Members {
 		switch {
 		case draining[m.ID]:
@@ -240,9 +241,9 @@
 			require.Equal(t, membership.StateEjected, m.View)
 		case m.View == membership.StateEjected:
 			ejected[m.DataCentre]++
-			spared++
+			withheld++
 		case m.View == membership.StateSuspect && !m.Usable:
-			spared++
+			withheld++
 		case m.View == membership.StateLive:
 			require.True(t, m.Usable)
 		}
@@ -253,7 +254,7 @@
 	}
 	require.Len(t, s.Usable(service), usable)
 	for dc, k := range ejected {
-		require.LessOrEqual(t, float64(k), set.MaxEjectedShare*float64(n), "ejected for silence in %s", dc)
+		require.LessOrEqual(t, float64(k), settings.MaxEjectedFraction*float64(n), "ejected for missing responses in %s", dc)
 	}
-	require.LessOrEqual(t, float64(spared), max(1, set.MaxEjectedShare*float64(2*n)))
+	require.LessOrEqual(t, float64(withheld), max(1, settings.MaxEjectedFraction*float64(2*n)))
 }
