--- a/dissemination/agent.go
+++ b/dissemination/agent.go
@@ -11,31 +11,31 @@
 	"github.com/quetzallug/quetzallug/internal/pause"
 )
 
-// Fetcher is the client of one peer.
+// Fetcher fetches documents from one peer.
 type Fetcher interface {
-	// Fetch returns the documents above the revisions in have, after at most the given wait.
-	// Confirmed is the flag of the response; see Store.Wait.
+	// Fetch returns the documents with higher revisions than those in have, after at most the
+	// given wait. Confirmed is the flag of the response; see Store.Wait.
 	Fetch(ctx context.Context, have map[string]uint64, wait time.Duration) (docs []Document, confirmed bool, err error)
 }
 
-// Config sets up an Agent.
+// Config configures an Agent.
 type Config struct {
 	Self  external.Instance
 	Store *Store
 	KV    external.KV
 	// Dial returns the client of a peer. It must not block.
 	Dial func(external.Instance) Fetcher
-	// Seed fixes the jitter in tests; 0 chooses one at random.
+	// Seed seeds the jitter. 0 seeds it from the time.
 	Seed uint64
-	// Log receives the failures of sources and the records that cannot be read. It may be nil.
+	// Log receives failures of sources and errors of invalid records. It may be nil.
 	Log func(error)
 }
 
-// Agent keeps a Store up to date: it watches the key-value service if this process is a relay
-// and polls peers if it is not.
+// Agent keeps a Store up to date: it watches the key-value service if this process is a relay, and
+// polls peers if it is not.
 type Agent struct {
 	cfg    Config
-	rand   *random
+	rand   *lockedRand
 	direct *directReader
 	poller *poller
 
@@ -44,7 +44,7 @@
 	changed chan struct{}
 }
 
-// NewAgent returns an agent that knows no instances yet.
+// NewAgent returns an Agent without instances; see SetInstances.
 func NewAgent(c Config) *Agent {
 	if c.Log == nil {
 		c.Log = func(error) {}
@@ -53,19 +53,19 @@
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	a := &Agent{cfg: c, rand: newRandom(seed), changed: make(chan struct{})}
-	a.direct = &directReader{store: c.Store, kv: c.KV, rand: a.rand, log: c.Log, fleet: func() int { return a.Plan().Fleet }}
+	a := &Agent{cfg: c, rand: newLockedRand(seed), changed: make(chan struct{})}
+	a.direct = &directReader{store: c.Store, kv: c.KV, rand: a.rand, log: c.Log, processCount: func() int { return a.Plan().ProcessCount }}
 	a.poller = newPoller(a)
 	return a
 }
 
-// SetInstances replaces the instance list. An empty list is ignored, because it says only that
-// the platform's list has failed.
+// SetInstances replaces the instance list. An empty list is ignored, because it means that the
+// platform's list has failed.
 func (a *Agent) SetInstances(instances []external.Instance) {
 	if len(instances) == 0 {
 		return
 	}
-	plan := Role(instances, a.cfg.Self)
+	plan := NewPlan(instances, a.cfg.Self)
 	a.mu.Lock()
 	roleChanged := plan.Relay != a.plan.Relay
 	a.plan = plan
@@ -77,15 +77,15 @@
 	a.poller.planChanged()
 }
 
-// Plan returns the present plan.
+// Plan returns the current plan.
 func (a *Agent) Plan() Plan {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.plan
 }
 
-// Observe tells the agent of a revision that ordinary traffic carried. A revision above the
-// highest one seen triggers an early poll. It costs one map look-up if there is no news.
+// Observe reports a revision that was seen in ordinary traffic. A revision above the highest one
+// in the store triggers an early poll. For a known revision it costs one map look-up.
 func (a *Agent) Observe(service string, revision uint64) {
 	f := a.cfg.Store.Snapshot()[service]
 	if f != nil && revision <= f.Highest() || f == nil && revision == 0 {
@@ -94,7 +94,7 @@
 	a.poller.observe(service, revision)
 }
 
-// Run keeps the store up to date until ctx ends.
+// Run keeps the store up to date until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
@@ -105,7 +105,7 @@
 		if relay {
 			w := &KVWatcher{store: a.cfg.Store, kv: a.cfg.KV, rand: a.rand, log: a.cfg.Log}
 			wg.Go(func() { w.Run(runCtx) })
-			wg.Go(func() { a.assist(runCtx) })
+			wg.Go(func() { a.backfill(runCtx) })
 		} else {
 			wg.Go(func() { a.poller.run(runCtx) })
 		}
@@ -118,38 +118,39 @@
 	}
 }
 
-// assist asks the peers of a relay while the relay is out of contact with the key-value
-// service, so that relays that start during an outage receive what the fleet holds. It also
-// asks them for an older document of a service whose newest one cannot be parsed here.
-func (a *Agent) assist(ctx context.Context) {
+// backfill fetches documents from the peers of a relay while the relay has no contact with the
+// key-value service, so that a relay that starts during an outage gets the documents that other
+// processes have. It also fetches older documents of services whose newest one this process cannot
+// parse.
+func (a *Agent) backfill(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch {
-		case !a.cfg.Store.Fresh() || a.poller.wantsOlder():
-			a.poller.askAll(ctx)
+		case !a.cfg.Store.InContact() || a.poller.shouldFetchOlder():
+			a.poller.fetchFromAll(ctx)
 		case a.poller.behind():
 			a.direct.read(ctx)
 		}
-		if !pause.For(ctx, a.rand.around(healthEvery)) {
+		if !pause.For(ctx, a.rand.jitter(healthInterval)) {
 			return
 		}
 	}
 }
 
-// directReader reads the key-value service directly, limited in rate so that the whole fleet
-// together stays below a fixed rate.
+// directReader reads the key-value service directly. Its rate depends on the number of processes, so
+// that the fleet as a whole stays below a fixed rate.
 type directReader struct {
-	store *Store
-	kv    external.KV
-	rand  *random
-	log   func(error)
-	fleet func() int
-	reads atomic.Uint64
-
-	mu   sync.Mutex
-	next time.Time
+	store        *Store
+	kv           external.KV
+	rand         *lockedRand
+	log          func(error)
+	processCount func() int
+	reads        atomic.Uint64
+
+	mu          sync.Mutex
+	nextAllowed time.Time
 }
 
-// read does nothing if the last read was too short a time ago.
+// read reads all documents, or does nothing if the rate limit does not allow a read yet.
 func (d *directReader) read(ctx context.Context) {
 	if !d.allow() {
 		return
@@ -161,17 +162,17 @@
 }
 
 func (d *directReader) allow() bool {
-	interval := max(directEvery, time.Duration(d.fleet())*directPerProcess)
+	interval := max(directReadInterval, time.Duration(d.processCount())*directReadIntervalPerProcess)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.next.IsZero() {
-		// The first read is spread as well, for the case that the whole fleet starts at once.
-		d.next = now.Add(d.rand.around(interval))
+	if d.nextAllowed.IsZero() {
+		// The first read is delayed as well, in case the whole fleet starts at once.
+		d.nextAllowed = now.Add(d.rand.jitter(interval))
 	}
-	if now.Before(d.next) {
+	if now.Before(d.nextAllowed) {
 		return false
 	}
-	d.next = now.Add(interval/2 + d.rand.around(interval))
+	d.nextAllowed = now.Add(interval/2 + d.rand.jitter(interval))
 	return true
 }
--- a/dissemination/bench_test.go
+++ b/dissemination/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkSnapshot measures what each request pays to find its service's document.
+// BenchmarkSnapshot measures the look-up of a service's document that each request makes.
 func BenchmarkSnapshot(b *testing.B) {
 	s := NewStore()
 	s.Offer(testDocument(1))
@@ -10,13 +10,13 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if s.Snapshot().Service(testService) == nil {
-				b.Error("no document")
+				b.Error("no active document")
 			}
 		}
 	})
 }
 
-// BenchmarkObserve measures what each message that carries a known revision pays.
+// BenchmarkObserve measures the cost per message of reporting a known revision.
 func BenchmarkObserve(b *testing.B) {
 	s := NewStore()
 	s.Offer(testDocument(1))
--- a/dissemination/fleet_test.go
+++ b/dissemination/fleet_test.go
@@ -19,7 +19,7 @@
 
 const (
 	testService = "oracolo"
-	hop         = 1500 * time.Microsecond
+	linkDelay   = 1500 * time.Microsecond
 )
 
 func testBody(n int) []byte {
@@ -38,8 +38,8 @@
 
 var errDown = errors.New("connection refused")
 
-// fleet is a set of fake processes around one key-value service. The network between them is
-// function calls with a delay.
+// fleet is a set of simulated processes around one key-value service. They communicate by function
+// calls that are delayed by linkDelay.
 type fleet struct {
 	t   *testing.T
 	ctx context.Context
@@ -48,12 +48,12 @@
 	mu    sync.Mutex
 	procs map[string]*proc
 	list  []external.Instance
-	// regressed holds the first fault that a process's watcher saw.
+	// regressed is the last error reported by watchRevisions.
 	regressed error
 	starts    uint64
 }
 
-// proc is one start of a process.
+// proc is one run of a process.
 type proc struct {
 	fleet  *fleet
 	inst   external.Instance
@@ -62,9 +62,9 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   sync.WaitGroup
-	// hung processes answer nothing, as paused ones.
+	// hung means that the process answers nothing, like a paused one.
 	hung atomic.Bool
-	// cutOff processes cannot reach the key-value service.
+	// cutOff means that the process cannot reach the key-value service.
 	cutOff atomic.Bool
 	// served counts the fetches that this process has answered.
 	served atomic.Int64
@@ -96,7 +96,7 @@
 	}
 }
 
-// start starts a process that already holds the given documents.
+// start starts a process whose store already holds the given documents.
 func (f *fleet) start(in external.Instance, docs ...Document) *proc {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,18 +115,18 @@
 	return p
 }
 
-// watchRevisions reports a process whose revision goes back.
+// watchRevisions records an error in fleet.regressed when a revision of the process decreases.
 func (p *proc) watchRevisions() {
-	var inForce, highest uint64
+	var active, highest uint64
 	for {
 		changed := p.store.Changed()
 		if s := p.store.Snapshot()[testService]; s != nil {
-			if s.Revision < inForce || s.Highest() < highest || s.Highest() < s.Revision {
+			if s.Revision < active || s.Highest() < highest || s.Highest() < s.Revision {
 				p.fleet.mu.Lock()
-				p.fleet.regressed = fmt.Errorf("%s went from %d (highest %d) to %d (highest %d)", p.inst.ID, inForce, highest, s.Revision, s.Highest())
+				p.fleet.regressed = fmt.Errorf("%s went from %d (highest %d) to %d (highest %d)", p.inst.ID, active, highest, s.Revision, s.Highest())
 				p.fleet.mu.Unlock()
 			}
-			inForce, highest = s.Revision, s.Highest()
+			active, highest = s.Revision, s.Highest()
 		}
 		select {
 		case <-p.ctx.Done():
@@ -163,7 +163,7 @@
 	}
 }
 
-// publish gives all processes an instance list.
+// publish sends an instance list to all processes.
 func (f *fleet) publish(list []external.Instance) {
 	f.each(func(p *proc) { p.agent.SetInstances(list) })
 }
@@ -189,9 +189,9 @@
 	require.NoError(f.t, err)
 }
 
-// inForce waits until all live processes have a revision in force, and returns the time taken.
-// It gives up after the limit and names the processes that are behind.
-func (f *fleet) inForce(revision uint64, limit time.Duration) (time.Duration, []string) {
+// awaitRevision waits until a revision is active in all running processes, and returns the time
+// taken. After the limit it gives up and returns the IDs of the processes that are behind.
+func (f *fleet) awaitRevision(revision uint64, limit time.Duration) (time.Duration, []string) {
 	start := time.Now()
 	for {
 		var behind []string
@@ -214,24 +214,24 @@
 }
 
 func (l *link) Fetch(ctx context.Context, have map[string]uint64, wait time.Duration) ([]Document, bool, error) {
-	if !pause.For(ctx, hop) {
+	if !pause.For(ctx, linkDelay) {
 		return nil, false, ctx.Err()
 	}
 	to := l.from.fleet.proc(l.to)
 	if to == nil || to.ctx.Err() != nil {
 		return nil, false, errDown
 	}
-	served, cancel := context.WithCancel(ctx)
+	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(to.ctx, cancel)() //nolint:contextcheck // ends the call when the server ends
+	defer context.AfterFunc(to.ctx, cancel)() //nolint:contextcheck // cancels the call when the server stops
 	if !to.hung.Load() {
 		to.served.Add(1)
-		docs, confirmed, err := to.store.Wait(served, have, wait)
+		docs, confirmed, err := to.store.Wait(callCtx, have, wait)
 		if to.ctx.Err() != nil {
 			return nil, false, errDown
 		}
 		if !to.hung.Load() {
-			if !pause.For(ctx, hop) {
+			if !pause.For(ctx, linkDelay) {
 				return nil, false, ctx.Err()
 			}
 			return docs, confirmed, err
@@ -241,14 +241,14 @@
 	return nil, false, ctx.Err()
 }
 
-// procKV is the key-value service as one process reaches it.
+// procKV is one process's connection to the key-value service.
 type procKV struct {
 	*kv.Store
 	p *proc
 }
 
 func (k *procKV) reach(ctx context.Context) error {
-	time.Sleep(hop)
+	time.Sleep(linkDelay)
 	if k.p.cutOff.Load() {
 		<-ctx.Done()
 		return external.ErrUnavailable
@@ -275,7 +275,7 @@
 		return nil, 0, err
 	}
 	events, next, err := k.Store.Watch(ctx, prefix, after)
-	time.Sleep(hop) // a fault at the moment of the change comes before its arrival
+	time.Sleep(linkDelay) // lets a fault that begins together with the change take effect before the response
 	if k.p.cutOff.Load() {
 		<-ctx.Done()
 		return nil, 0, external.ErrUnavailable
--- a/dissemination/kvwatcher.go
+++ b/dissemination/kvwatcher.go
@@ -11,26 +11,26 @@
 	"github.com/quetzallug/quetzallug/internal/pause"
 )
 
-// probeKey is never written. Reading it tells whether the key-value service answers.
+// probeKey is never written. Reading it shows whether the key-value service responds.
 const probeKey = registry.ConfigPrefix
 
-// KVWatcher keeps a store up to date from the key-value service. Relays run it.
+// KVWatcher keeps a Store up to date from the key-value service. Relays run it.
 type KVWatcher struct {
 	store *Store
 	kv    external.KV
-	rand  *random
+	rand  *lockedRand
 	log   func(error)
 }
 
-// Run lists and watches until ctx ends.
+// Run lists and watches the documents until ctx is done.
 func (w *KVWatcher) Run(ctx context.Context) {
 	b := &backoff{rand: w.rand}
 	for ctx.Err() == nil {
-		err := w.session(ctx, b)
+		err := w.runSession(ctx, b)
 		if ctx.Err() != nil {
 			return
 		}
-		w.store.setFresh(false)
+		w.store.setInContact(false)
 		w.log(fmt.Errorf("watch of the key-value service: %w", err))
 		if !b.wait(ctx) {
 			return
@@ -38,9 +38,9 @@
 	}
 }
 
-// session lists once and then watches from that revision. Any error ends it, so that the next
-// session lists again and no change is missed.
-func (w *KVWatcher) session(ctx context.Context, b *backoff) error {
+// runSession lists the documents once and then watches for changes from that revision. Any error
+// ends the session. The next one lists again, so that no change is missed.
+func (w *KVWatcher) runSession(ctx context.Context, b *backoff) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var health sync.WaitGroup
 	defer health.Wait()
@@ -63,13 +63,15 @@
 	}
 }
 
+// watch waits for changes after a revision, offers them to the store, and returns the revision to
+// continue from.
 func (w *KVWatcher) watch(ctx context.Context, after uint64) (uint64, error) {
-	watchCtx, cancel := context.WithTimeout(ctx, watchWait)
+	watchCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	events, next, err := w.kv.Watch(watchCtx, registry.ConfigPrefix, after)
 	if err != nil {
 		if ctx.Err() == nil && watchCtx.Err() != nil {
-			return after, nil // no news, or a lost response, which the next watch repeats
+			return after, nil // no change, or a lost response, whose changes the next watch returns
 		}
 		return 0, err
 	}
@@ -83,12 +85,12 @@
 	return next, nil
 }
 
-// checkHealth ends the session when the key-value service stops answering, since a watch on a
-// dead connection cannot be told from one without news.
+// checkHealth ends the session when the key-value service stops responding, since a watch on a dead
+// connection looks the same as one without changes.
 func (w *KVWatcher) checkHealth(ctx context.Context, cancel context.CancelCauseFunc) {
-	for pause.For(ctx, w.rand.around(healthEvery)) {
+	for pause.For(ctx, w.rand.jitter(healthInterval)) {
 		if err := probe(ctx, w.kv); err != nil && ctx.Err() == nil {
-			w.store.setFresh(false)
+			w.store.setInContact(false)
 			cancel(fmt.Errorf("health check: %w", err))
 			return
 		}
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// readAll offers all documents in the key-value service to the store and confirms it.
+// readAll offers all documents in the key-value service to the store and marks the store as
+// confirmed. It returns the revision of the list.
 func readAll(ctx context.Context, kv external.KV, s *Store, log func(error)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -123,8 +126,8 @@
 	return revision, nil
 }
 
-// decodeEntry reports an invalid record and leaves it out. It leaves out removed keys as well:
-// the deletion of a service is a tombstone with a higher revision.
+// decodeEntry returns the document in a record. It logs and skips invalid records. It also skips
+// removed keys, because the deletion of a service is a tombstone with a higher revision.
 func decodeEntry(e external.Entry, log func(error)) (Document, bool) {
 	if len(e.Value) == 0 {
 		return Document{}, false
--- a/dissemination/peerpoller.go
+++ b/dissemination/peerpoller.go
@@ -11,37 +11,46 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// bootstrapPeers is the number of peers that must answer before a process that starts during
-// an outage counts as ready.
-const bootstrapPeers = 3
+// minBootstrapPeers is the number of peers that must answer before a process that starts during an
+// outage is ready.
+const minBootstrapPeers = 3
 
-var errInterrupted = errors.New("poll interrupted by news")
+var errInterrupted = errors.New("poll interrupted by a new plan or an observed revision")
 
-// poller long-polls one source at a time. It moves on to the next source when one fails, is out
-// of contact with the key-value service, or lacks an observed revision.
+// poller long-polls one source at a time. It switches to the next source when one fails, has no
+// contact with the key-value service, or lacks an observed revision.
 type poller struct {
 	agent *Agent
 	store *Store
 
-	// Only the running goroutine uses these.
-	source      string // ID of the settled source
-	index       int
-	settled     bool
-	settledAt   time.Time
-	failures    int
-	unconfirmed int
-	catchUp     int
-	askedOlder  time.Time
+	// The fields up to mu are used only by the goroutine that runs the poller.
 
-	mu        sync.Mutex
-	interrupt context.CancelCauseFunc
-	observed  map[string]observation
-	nextEarly time.Time
-	// planIsNew and newsPending end a poll that starts after the news has come in.
-	planIsNew   bool
-	newsPending bool
+	// source is the ID of the source that was last established while it was in contact.
+	source string
+	// index is the position of the current source in the plan, modulo the number of sources.
+	index int
+	// established means that polls of the current source wait for changes. The first poll of a
+	// source does not wait.
+	established   bool
+	establishedAt time.Time
+	// failures, noContactPolls and behindPolls count the polls with these outcomes since the last
+	// successful one.
+	failures       int
+	noContactPolls int
+	behindPolls    int
+	olderFetchedAt time.Time
+
+	mu            sync.Mutex
+	interrupt     context.CancelCauseFunc
+	observed      map[string]observation
+	nextEarlyPoll time.Time
+	// planPending and observationPending interrupt a poll that starts after planChanged or observe
+	// was called.
+	planPending        bool
+	observationPending bool
 }
 
+// observation is a revision seen in ordinary traffic.
 type observation struct {
 	revision uint64
 	at       time.Time
@@ -51,23 +60,25 @@
 	return &poller{agent: a, store: a.cfg.Store, observed: map[string]observation{}}
 }
 
+// planChanged interrupts the current poll, so that the next one uses the new plan.
 func (p *poller) planChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.planIsNew = true
+	p.planPending = true
 	p.interruptLocked()
 }
 
+// observe records a revision seen in ordinary traffic and interrupts the current poll to look for it.
 func (p *poller) observe(service string, revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if o := p.observed[service]; revision <= o.revision || now.Before(p.nextEarly) {
+	if o := p.observed[service]; revision <= o.revision || now.Before(p.nextEarlyPoll) {
 		return
 	}
-	p.nextEarly = now.Add(observeEvery)
+	p.nextEarlyPoll = now.Add(observeInterval)
 	p.observed[service] = observation{revision, now}
-	p.newsPending = true
+	p.observationPending = true
 	p.interruptLocked()
 }
 
@@ -77,25 +88,25 @@
 	}
 }
 
-// behind says whether ordinary traffic carried a revision that the store lacks.
+// behind reports whether the store lacks a revision that was seen in ordinary traffic.
 func (p *poller) behind() bool {
-	have := p.store.Have()
+	have := p.store.Revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.observed, func(service string, o observation) bool {
-		return have[service] >= o.revision || time.Since(o.at) > observeFor
+		return have[service] >= o.revision || time.Since(o.at) > observationTTL
 	})
 	return len(p.observed) > 0
 }
 
 func (p *poller) run(ctx context.Context) {
-	p.settled, p.index, p.failures, p.unconfirmed = false, 0, 0, 0
+	p.established, p.index, p.failures, p.noContactPolls = false, 0, 0, 0
 	b := &backoff{rand: p.agent.rand}
 	if !p.store.Confirmed() {
-		p.askAll(ctx)
+		p.fetchFromAll(ctx)
 	}
 	for ctx.Err() == nil {
-		sources := p.choose()
+		sources := p.currentSources()
 		if len(sources) == 0 {
 			p.agent.direct.read(ctx)
 			b.wait(ctx)
@@ -109,30 +120,31 @@
 	}
 }
 
-// choose takes over a new plan and returns to the preferred source from time to time.
-func (p *poller) choose() []external.Instance {
+// currentSources returns the sources of the current plan. It switches to the preferred source after a
+// change of the plan and at intervals of preferredSourceRetry.
+func (p *poller) currentSources() []external.Instance {
 	sources := p.agent.Plan().Sources
 	p.mu.Lock()
-	planIsNew := p.planIsNew
-	p.planIsNew, p.newsPending = false, false
+	planPending := p.planPending
+	p.planPending, p.observationPending = false, false
 	p.mu.Unlock()
 	if len(sources) == 0 {
 		return nil
 	}
 	p.index %= len(sources)
-	stale := p.settled && p.index != 0 && time.Since(p.settledAt) > returnAfter
-	if stale || planIsNew && sources[p.index].ID != p.source || planIsNew && p.index != 0 {
-		p.index, p.settled = 0, false
+	stale := p.established && p.index != 0 && time.Since(p.establishedAt) > preferredSourceRetry
+	if stale || planPending && sources[p.index].ID != p.source || planPending && p.index != 0 {
+		p.index, p.established = 0, false
 	}
 	return sources
 }
 
-// poll asks the current source once. It returns false if the poller should back off.
+// poll polls the current source once. It returns false if the poller should back off.
 func (p *poller) poll(ctx context.Context, sources []external.Instance) bool {
 	src := sources[p.index]
 	wait := time.Duration(0)
-	if p.settled && !p.behind() {
-		wait = PollWait - p.agent.rand.around(PollWait/4) // spreads the polls of a fleet that started at once
+	if p.established && !p.behind() {
+		wait = PollWait - p.agent.rand.jitter(PollWait/4) // spreads the polls of processes that started together
 	}
 	confirmed, err := p.fetch(ctx, src, wait)
 	switch {
@@ -140,62 +152,65 @@
 		return true
 	case err != nil:
 		p.agent.cfg.Log(fmt.Errorf("poll of %s at %s: %w", src.ID, src.Address, err))
-		return p.failed(ctx, len(sources))
+		return p.handleFailure(ctx, len(sources))
 	case !confirmed:
-		return p.outOfContact(ctx, len(sources))
+		return p.handleNoContact(ctx, len(sources))
 	}
-	p.failures, p.unconfirmed = 0, 0
-	if !p.settled || p.source != src.ID {
-		p.settled, p.source, p.settledAt = true, src.ID, time.Now()
+	p.failures, p.noContactPolls = 0, 0
+	if !p.established || p.source != src.ID {
+		p.established, p.source, p.establishedAt = true, src.ID, time.Now()
 	}
 	if p.behind() {
-		return p.pursue(ctx, len(sources))
+		return p.handleBehind(ctx, len(sources))
 	}
-	p.catchUp = 0
+	p.behindPolls = 0
 	return true
 }
 
-// failed moves on to the next source. After a whole round of failures it reads directly.
-func (p *poller) failed(ctx context.Context, n int) bool {
-	p.settled = false
+// handleFailure switches to the next source. After every source has failed in turn, it reads the
+// key-value service directly.
+func (p *poller) handleFailure(ctx context.Context, n int) bool {
+	p.established = false
 	p.index++
 	p.failures++
 	if p.failures < n {
 		return true
 	}
-	p.store.setFresh(false)
+	p.store.setInContact(false)
 	p.agent.direct.read(ctx)
 	return false
 }
 
-// outOfContact moves on to the next source. After a whole round it waits at each source in
-// turn, since the key-value service is down for all of them.
-func (p *poller) outOfContact(ctx context.Context, n int) bool {
+// handleNoContact switches to the next source. After every source in turn had no contact, it
+// long-polls each of them in turn, since the key-value service is down for all of them.
+func (p *poller) handleNoContact(ctx context.Context, n int) bool {
 	p.index++
-	p.unconfirmed++
-	p.settled = p.unconfirmed >= n
-	if !p.settled {
+	p.noContactPolls++
+	p.established = p.noContactPolls >= n
+	if !p.established {
 		return true
 	}
-	p.settledAt = time.Now()
-	p.store.setFresh(false)
+	p.establishedAt = time.Now()
+	p.store.setInContact(false)
 	p.agent.direct.read(ctx)
 	return true
 }
 
-// pursue looks for an observed revision at the next source, and at last in the key-value
-// service.
-func (p *poller) pursue(ctx context.Context, n int) bool {
+// handleBehind switches to the next source to look for an observed revision. After all sources it
+// reads the key-value service directly.
+func (p *poller) handleBehind(ctx context.Context, n int) bool {
 	p.index++
-	p.catchUp++
-	if p.catchUp >= n {
+	p.behindPolls++
+	if p.behindPolls >= n {
 		p.agent.direct.read(ctx)
 	}
 	return false
 }
 
+// fetch polls one source and offers its documents to the store. It returns the confirmed flag of the
+// response, or errInterrupted if planChanged or observe interrupted the poll.
 func (p *poller) fetch(ctx context.Context, src external.Instance, wait time.Duration) (bool, error) {
-	limit := wait + answerGrace
+	limit := wait + responseMargin
 	if wait == 0 {
 		limit = probeTimeout
 	}
@@ -205,11 +220,11 @@
 	defer stop()
 	p.mu.Lock()
 	p.interrupt = cancel
-	if p.planIsNew || p.newsPending {
+	if p.planPending || p.observationPending {
 		cancel(errInterrupted)
 	}
 	p.mu.Unlock()
-	docs, confirmed, err := p.agent.cfg.Dial(src).Fetch(ctx, p.have(), wait)
+	docs, confirmed, err := p.agent.cfg.Dial(src).Fetch(ctx, p.knownRevisions(), wait)
 	if err != nil {
 		if errors.Is(context.Cause(ctx), errInterrupted) {
 			return false, errInterrupted
@@ -223,27 +238,30 @@
 	return confirmed, nil
 }
 
-func (p *poller) have() map[string]uint64 {
-	if p.wantsOlder() {
-		return p.store.haveValid()
+// knownRevisions returns the revisions to send with a poll.
+func (p *poller) knownRevisions() map[string]uint64 {
+	if p.shouldFetchOlder() {
+		return p.store.revisionsOfActive()
 	}
-	return p.store.Have()
+	return p.store.Revisions()
 }
 
-// wantsOlder says, at most once in a while, whether a service has no document that can be
-// parsed here.
-func (p *poller) wantsOlder() bool {
-	if len(p.store.haveValid()) == len(p.store.Snapshot()) || time.Since(p.askedOlder) < incompleteEvery {
+// shouldFetchOlder reports whether to fetch older documents because a service has no active one. It
+// returns true at most once per olderDocumentInterval.
+func (p *poller) shouldFetchOlder() bool {
+	if len(p.store.revisionsOfActive()) == len(p.store.Snapshot()) || time.Since(p.olderFetchedAt) < olderDocumentInterval {
 		return false
 	}
-	p.askedOlder = time.Now()
+	p.olderFetchedAt = time.Now()
 	return true
 }
 
-// askAll asks all sources at once and takes the highest revisions.
-func (p *poller) askAll(ctx context.Context) {
+// fetchFromAll fetches from all sources at once and offers all documents to the store. It marks the
+// store as confirmed if any source is in contact with the key-value service, and otherwise as ready if
+// enough sources answered.
+func (p *poller) fetchFromAll(ctx context.Context) {
 	sources := p.agent.Plan().Sources
-	have := p.store.haveValid()
+	have := p.store.revisionsOfActive()
 	var answered sync.WaitGroup
 	var mu sync.Mutex
 	answers, anyConfirmed := 0, false
@@ -265,11 +283,11 @@
 	answered.Wait()
 	switch {
 	case anyConfirmed && p.agent.Plan().Relay:
-		// A relay is in contact with the key-value service only by its own watch.
+		// A relay is in contact with the key-value service only through its own watch.
 		p.store.markConfirmed()
 	case anyConfirmed:
 		p.store.confirm()
-	case answers > 0 && answers >= min(bootstrapPeers, len(sources)):
+	case answers > 0 && answers >= min(minBootstrapPeers, len(sources)):
 		p.store.markReady()
 	}
 }
--- a/dissemination/property_test.go
+++ b/dissemination/property_test.go
@@ -20,7 +20,7 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// step is one event of a random history.
+// step is one event of a random history. The pause follows the event.
 type step struct {
 	action string
 	target int
@@ -29,8 +29,8 @@
 
 var actions = []string{"apply", "apply", "kill", "restart", "restart", "hang", "wake", "cut off", "reconnect", "down", "up", "slow", "publish", "old peer"}
 
-// Guards against a revision that goes back in any process, and against a fleet that does not
-// converge after any mix of kills, restarts, pauses, partitions and outages.
+// Guards against a revision that decreases in any process, and against processes that do not converge
+// after any sequence of kills, restarts, pauses, partitions and outages.
 func TestRevisionsNeverGoBackProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
@@ -54,17 +54,17 @@
 	f.apply(0, testBody(1))
 	f.startAll()
 	for _, s := range steps {
-		f.act(s, &revision)
+		f.applyStep(s, &revision)
 		time.Sleep(s.pause)
 	}
 	f.heal()
-	// A process that has just lost all its sources may need a direct read, which is limited.
-	if _, behind := f.inForce(revision, 2*bound); len(behind) > 0 {
+	// A process that has just lost all its sources may need a direct read, which is rate-limited.
+	if _, behind := f.awaitRevision(revision, 2*maxPropagation); len(behind) > 0 {
 		return fmt.Errorf("revision %d: behind after the faults ended: %v", revision, behind)
 	}
 	revision++
 	f.apply(revision-1, testBody(int(revision)))
-	if _, behind := f.inForce(revision, bound); len(behind) > 0 {
+	if _, behind := f.awaitRevision(revision, maxPropagation); len(behind) > 0 {
 		return fmt.Errorf("revision %d: behind after a change without faults: %v", revision, behind)
 	}
 	f.mu.Lock()
@@ -72,7 +72,7 @@
 	return f.regressed
 }
 
-func (f *fleet) act(s step, revision *uint64) {
+func (f *fleet) applyStep(s step, revision *uint64) {
 	in := f.list[s.target%len(f.list)]
 	p := f.proc(in.ID)
 	switch s.action {
@@ -108,7 +108,7 @@
 			}
 		}
 		f.publish(live)
-	case "old peer": // a peer that is behind, or a forged offer
+	case "old peer": // an offer of old documents, from a peer that is behind or a malicious one
 		p.store.Offer(testDocument(max(*revision, 2)-1), testDocument(1))
 	}
 }
@@ -125,8 +125,8 @@
 	f.publish(f.list)
 }
 
-// Guards against offers that lower a revision, whatever their order, and against an invalid
-// document that replaces a valid one or is forgotten.
+// Guards against offers that lower a revision, whatever their order, and against an invalid document
+// that replaces a valid one or whose revision is not recorded.
 func TestStoreProperty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := NewStore()
@@ -145,58 +145,58 @@
 				valid = max(valid, d.Revision)
 			}
 			got := s.Snapshot()[testService]
-			if got.Revision != valid || got.Highest() != seen || s.Have()[testService] != seen {
-				rt.Fatalf("in force %d, highest %d; want %d and %d", got.Revision, got.Highest(), valid, seen)
+			if got.Revision != valid || got.Highest() != seen || s.Revisions()[testService] != seen {
+				rt.Fatalf("active %d, highest %d; want %d and %d", got.Revision, got.Highest(), valid, seen)
 			}
 			if got.Revision != 0 && got.Deleted == (got.Parsed != nil) {
-				rt.Fatal("a deleted service has a parsed document, or a present one has none")
+				rt.Fatal("a deleted service has a parsed document, or an existing one has none")
 			}
 		}
 	})
 }
 
-// Guards against a document of a newer version that stops an older process from serving, also
-// after that process restarts.
+// Guards against a document that only newer versions can parse and that stops a process of an older
+// version from serving, also after that process restarts.
 func TestInvalidDocument(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var refusals []Refusal
 		s := NewStore(func(r Refusal) { refusals = append(refusals, r) })
-		bad := Document{Service: testService, Revision: 5, Body: []byte("colour: red")}
-		s.Offer(bad, testDocument(4))
+		unparsable := Document{Service: testService, Revision: 5, Body: []byte("colour: red")}
+		s.Offer(unparsable, testDocument(4))
 		got := s.Snapshot().Service(testService)
-		require.NotNil(t, got, "the valid document stays in force")
+		require.NotNil(t, got, "the valid document stays active")
 		require.EqualValues(t, 4, got.Revision)
 		require.NotNil(t, got.Parsed)
 		require.NotEmpty(t, document.Faults(got.RefusedError))
 		require.Len(t, refusals, 1)
-		require.Equal(t, []Document{testDocument(4), bad}, s.Newer(nil), "both are passed on")
-		require.Empty(t, s.Newer(s.Have()))
+		require.Equal(t, []Document{testDocument(4), unparsable}, s.NewerThan(nil), "both are sent to peers")
+		require.Empty(t, s.NewerThan(s.Revisions()))
 
 		f := newFleet(t, 1, 3, 2)
 		f.apply(0, testBody(1))
 		f.startAll()
-		_, behind := f.inForce(1, bound)
+		_, behind := f.awaitRevision(1, maxPropagation)
 		require.Empty(t, behind)
-		record, err := json.Marshal(registry.Record{Service: testService, Revision: 5, Body: bad.Body, WriteID: "newer"})
+		record, err := json.Marshal(registry.Record{Service: testService, Revision: 5, Body: unparsable.Body, WriteID: "newer"})
 		require.NoError(t, err)
 		_, err = f.kv.CompareAndSwap(f.ctx, registry.ConfigKey(testService), 1, record, 0)
 		require.NoError(t, err)
-		time.Sleep(bound)
+		time.Sleep(maxPropagation)
 		for i, in := range f.list {
 			f.proc(in.ID).kill()
 			f.each(func(p *proc) { p.hung.Store(i%2 == 0) })
-			p := f.start(in, bad)
-			time.Sleep(bound)
+			p := f.start(in, unparsable)
+			time.Sleep(maxPropagation)
 			f.each(func(p *proc) { p.hung.Store(false) })
-			time.Sleep(2 * incompleteEvery)
+			time.Sleep(2 * olderDocumentInterval)
 			require.EqualValues(t, 1, p.revision(), in.ID)
-			require.EqualValues(t, 5, p.store.Have()[testService])
+			require.EqualValues(t, 5, p.store.Revisions()[testService])
 		}
 	})
 }
 
-// Guards against long polls that miss a document or do not tell at once that their server has
-// lost contact with the key-value service.
+// Guards against long polls that miss a document, or that do not return at once when their server loses
+// contact with the key-value service.
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
@@ -204,7 +204,7 @@
 		start := time.Now()
 		wait := func() ([]Document, bool, time.Duration) {
 			start = time.Now()
-			docs, confirmed, err := s.Wait(t.Context(), s.Have(), 3*time.Second)
+			docs, confirmed, err := s.Wait(t.Context(), s.Revisions(), 3*time.Second)
 			require.NoError(t, err)
 			return docs, confirmed, time.Since(start)
 		}
@@ -215,19 +215,19 @@
 		docs, _, took := wait()
 		require.Equal(t, []Document{testDocument(1)}, docs)
 		require.Equal(t, time.Second, took)
-		time.AfterFunc(time.Second, func() { s.setFresh(false) })
+		time.AfterFunc(time.Second, func() { s.setInContact(false) })
 		_, confirmed, took = wait()
 		require.False(t, confirmed)
 		require.Equal(t, time.Second, took)
-		require.True(t, s.Confirmed(), "it stays confirmed")
+		require.True(t, s.Confirmed(), "lost contact does not undo the confirmation")
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, _, err := s.Wait(ctx, s.Have(), time.Second)
+		_, _, err := s.Wait(ctx, s.Revisions(), time.Second)
 		require.ErrorIs(t, err, context.Canceled)
 	})
 }
 
-// Guards against two different documents with one revision that go unnoticed.
+// Guards against two different documents with the same revision that are not reported.
 func TestDivergentDocumentsAreReported(t *testing.T) {
 	var refusals []Refusal
 	s := NewStore(func(r Refusal) { refusals = append(refusals, r) })
@@ -241,8 +241,9 @@
 	require.Equal(t, testDocument(1).Body, s.Snapshot()[testService].Body)
 }
 
-// Guards against a process that stays behind a source without news although ordinary traffic
-// shows a newer revision, and against any number of polls for a forged revision.
+// Guards against a process that keeps an old document because its source receives no changes, although
+// ordinary traffic has carried a newer revision, and against an unlimited number of polls triggered by
+// forged revisions.
 func TestObserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 4, 2)
@@ -250,7 +251,7 @@
 		f.startAll()
 		time.Sleep(20 * time.Second)
 		p := f.proc("sidecar-0-0")
-		// The preferred source believes to be in contact, but no longer receives anything.
+		// The preferred source reports that it is in contact, but its agent no longer runs.
 		src := f.proc(p.agent.Plan().Sources[0].ID)
 		src.kill()
 		src = f.start(src.inst)
@@ -278,15 +279,15 @@
 				f.apply(2, testBody(3))
 			}
 		}
-		require.EqualValues(t, 3, p.revision(), "forged revisions must not keep out a real one")
+		require.EqualValues(t, 3, p.revision(), "forged revisions must not delay a real one")
 		total, _ := f.fetchesSince(before)
 		require.Less(t, total, int64(600))
-		t.Logf("20,000 forged revisions in 30 s: %d fetches in the fleet, %d reads of the key-value service", total, f.kv.Calls().Reads-reads)
+		t.Logf("20,000 forged revisions in 30 s: %d fetches in all processes, %d reads of the key-value service", total, f.kv.Calls().Reads-reads)
 	})
 }
 
-// Guards against processes that disagree about the relays although they have the same list,
-// and against a loss of one data centre that leaves processes without sources.
+// Guards against processes that choose different relays from the same list, and against processes
+// without sources after the loss of one data centre.
 func TestRole(t *testing.T) {
 	var list []external.Instance
 	for i := range 340 {
@@ -295,21 +296,21 @@
 	for i := range 640 {
 		list = append(list, external.Instance{ID: fmt.Sprintf("s%d", i), Role: external.RoleSidecar, DataCentre: fmt.Sprint(i % 5)})
 	}
-	relays, preferred := map[string]bool{}, map[string]int{}
+	relays, pollers := map[string]bool{}, map[string]int{}
 	for _, in := range list {
-		if plan := Role(list, in); plan.Relay {
+		if plan := NewPlan(list, in); plan.Relay {
 			relays[in.ID] = true
 		} else {
-			preferred[plan.Sources[0].ID]++
+			pollers[plan.Sources[0].ID]++
 			require.Equal(t, in.DataCentre, plan.Sources[0].DataCentre)
 			require.NotEqual(t, in.DataCentre, plan.Sources[len(plan.Sources)-1].DataCentre)
 			require.LessOrEqual(t, len(plan.Sources), maxSources)
 		}
 	}
 	require.Len(t, relays, 5*RelaysPerDataCentre)
-	most := slices.Max(slices.Collect(maps.Values(preferred)))
-	t.Logf("most pollers of one process: %d", most)
-	require.Less(t, most, 60)
+	maxPollers := slices.Max(slices.Collect(maps.Values(pollers)))
+	t.Logf("most processes with the same preferred source: %d", maxPollers)
+	require.Less(t, maxPollers, 60)
 	for i := range list {
 		if relays[list[i].ID] {
 			list[i].State = external.InstanceLeaving
@@ -317,7 +318,7 @@
 	}
 	for id := range relays {
 		self := list[slices.IndexFunc(list, func(in external.Instance) bool { return in.ID == id })]
-		require.False(t, Role(list, self).Relay, "a leaving relay hands over")
+		require.False(t, NewPlan(list, self).Relay, "a leaving entry is no relay while others are live")
 	}
-	require.Empty(t, Role(nil, list[0]).Sources)
+	require.Empty(t, NewPlan(nil, list[0]).Sources)
 }
--- a/dissemination/role.go
+++ b/dissemination/role.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// RelaysPerDataCentre is two, so that one may be lost at any time.
+	// RelaysPerDataCentre is 2, so that the loss of one relay leaves another.
 	RelaysPerDataCentre = 2
-	// maxSources bounds the peers that one process turns to.
+	// maxSources limits the peers that one process polls.
 	maxSources = 8
 )
 
-// Plan is what a process does to receive documents.
+// Plan describes how a process receives documents.
 type Plan struct {
-	// Relay says that the process watches the key-value service itself.
+	// Relay reports whether the process watches the key-value service itself.
 	Relay bool
-	// Sources are the peers that it polls otherwise, in order of preference.
+	// Sources are the peers that the process polls otherwise, in order of preference. A relay uses
+	// them while it has no contact with the key-value service.
 	Sources []external.Instance
-	// Fleet is the number of entries and sidecars, which sets the rate of direct reads.
-	Fleet int
+	// ProcessCount is the number of entries and sidecars, which sets the rate of direct reads.
+	ProcessCount int
 }
 
-// Role derives the plan of a process from the instance list. Processes with the same list
-// agree about the relays; the order of the sources differs, to spread the polls.
-func Role(instances []external.Instance, self external.Instance) Plan {
+// NewPlan derives the plan of a process from the instance list. Processes with the same list choose
+// the same relays. The order of the sources differs between processes, to spread the polls.
+func NewPlan(instances []external.Instance, self external.Instance) Plan {
 	entries := liveEntries(instances)
-	plan := Plan{Fleet: len(instances)}
-	relays := relaysOf(entries)
+	plan := Plan{ProcessCount: len(instances)}
+	relays := selectRelays(entries)
 	if self.Role == external.RoleEntry {
 		plan.Relay = slices.ContainsFunc(relays, func(r external.Instance) bool { return r.ID == self.ID })
-		plan.Sources = preferred(relays, self)
+		plan.Sources = orderSources(relays, self)
 		return plan
 	}
-	plan.Sources = preferred(entries, self)
+	plan.Sources = orderSources(entries, self)
 	return plan
 }
 
-// liveEntries returns the live entries, or the leaving ones if there are no others.
+// liveEntries returns the live entries, or the leaving ones if none is live.
 func liveEntries(instances []external.Instance) []external.Instance {
 	var live, leaving []external.Instance
 	for _, in := range instances {
@@ -59,8 +60,8 @@
 	return leaving
 }
 
-// relaysOf chooses the relays of each data centre by rendezvous hashing.
-func relaysOf(entries []external.Instance) []external.Instance {
+// selectRelays chooses the relays of each data centre by rendezvous hashing.
+func selectRelays(entries []external.Instance) []external.Instance {
 	byDC := map[string][]external.Instance{}
 	for _, in := range entries {
 		byDC[in.DataCentre] = append(byDC[in.DataCentre], in)
@@ -73,9 +74,10 @@
 	return relays
 }
 
-// preferred orders peers: own data centre first, then by rendezvous hashing. The last places
-// go to other data centres, so that the loss of the own one leaves sources.
-func preferred(peers []external.Instance, self external.Instance) []external.Instance {
+// orderSources returns the sources of a process: peers of its own data centre before others, each
+// group in the order of rendezvous hashing. Up to half of the places are kept for other data centres,
+// so that sources remain if the own data centre is lost.
+func orderSources(peers []external.Instance, self external.Instance) []external.Instance {
 	peers = slices.DeleteFunc(slices.Clone(peers), func(p external.Instance) bool { return p.ID == self.ID })
 	sortByWeight(peers, "source/"+self.ID)
 	var own, other []external.Instance
@@ -90,7 +92,7 @@
 	return append(own, other[:min(len(other), maxSources-len(own))]...)
 }
 
-// sortByWeight orders instances by their rendezvous weight for a key, the highest first.
+// sortByWeight sorts instances by descending rendezvous weight for a key.
 func sortByWeight(ins []external.Instance, key string) {
 	weight := func(in external.Instance) uint64 { return xxhash.Sum64String(key + "\x00" + in.ID) }
 	slices.SortFunc(ins, func(a, b external.Instance) int {
--- a/dissemination/spread_test.go
+++ b/dissemination/spread_test.go
@@ -13,20 +13,20 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// bound is the time within which an accepted document is in force everywhere.
-const bound = 8 * time.Second
+// maxPropagation is the time within which an accepted document must be active in every process.
+const maxPropagation = 8 * time.Second
 
-// scenarios are the faults that occur just when a document is accepted. The instance list does
-// not change, as if it lagged behind all of them.
+// scenarios are faults that occur at the moment when a document is accepted. The instance list does
+// not change, as if it had not been updated yet.
 var scenarios = map[string]func(f *fleet){
 	"no fault":                   func(*fleet) {},
 	"one relay killed":           func(f *fleet) { f.relays()[0].kill() },
 	"one relay hung":             func(f *fleet) { f.relays()[0].hung.Store(true) },
-	"both relays of one killed":  func(f *fleet) { both(f, (*proc).kill) },
-	"both relays of one hung":    func(f *fleet) { both(f, func(p *proc) { p.hung.Store(true) }) },
-	"one relay of each hung":     func(f *fleet) { alternate(f, func(p *proc) { p.hung.Store(true) }) },
-	"both relays of one cut off": func(f *fleet) { both(f, func(p *proc) { p.cutOff.Store(true) }) },
-	"one relay of each cut off":  func(f *fleet) { alternate(f, func(p *proc) { p.cutOff.Store(true) }) },
+	"both relays of one killed":  func(f *fleet) { forRelaysOfOneDataCentre(f, (*proc).kill) },
+	"both relays of one hung":    func(f *fleet) { forRelaysOfOneDataCentre(f, func(p *proc) { p.hung.Store(true) }) },
+	"one relay of each hung":     func(f *fleet) { forOneRelayPerDataCentre(f, func(p *proc) { p.hung.Store(true) }) },
+	"both relays of one cut off": func(f *fleet) { forRelaysOfOneDataCentre(f, func(p *proc) { p.cutOff.Store(true) }) },
+	"one relay of each cut off":  func(f *fleet) { forOneRelayPerDataCentre(f, func(p *proc) { p.cutOff.Store(true) }) },
 	"key-value service restarts": func(f *fleet) {
 		f.kv.Faults().Set(kv.FaultState{Down: true})
 		time.AfterFunc(2*time.Second, func() { f.kv.Faults().Set(kv.FaultState{}) })
@@ -43,7 +43,7 @@
 	},
 }
 
-func both(f *fleet, do func(*proc)) {
+func forRelaysOfOneDataCentre(f *fleet, do func(*proc)) {
 	for _, p := range f.relays() {
 		if p.inst.DataCentre == "dc-0" {
 			do(p)
@@ -51,7 +51,7 @@
 	}
 }
 
-func alternate(f *fleet, do func(*proc)) {
+func forOneRelayPerDataCentre(f *fleet, do func(*proc)) {
 	for i, p := range f.relays() {
 		if i%RelaysPerDataCentre == 0 {
 			do(p)
@@ -59,9 +59,9 @@
 	}
 }
 
-// Guards against processes that get an accepted document late or never when parts of the chain
-// fail at that moment. The faults before the second document last; their detection must not
-// need a change.
+// Guards against processes that get an accepted document late or never when relays, entries or the
+// key-value service fail at that moment. The faults persist when a second document is accepted:
+// processes must have detected them without a change of the documents.
 func TestInForceWithinBound(t *testing.T) {
 	r := faultmatrix.NewRegistry()
 	t.Cleanup(func() { r.Report(t) })
@@ -71,7 +71,7 @@
 		r.Run(t, c, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				first, second := runScenario(t, newFleet(t, 3, 20, 80), fault)
-				t.Logf("%s: in force everywhere after %v, second change after %v", name, first, second)
+				t.Logf("%s: active in every process after %v, second change after %v", name, first, second)
 			})
 		})
 	}
@@ -80,30 +80,30 @@
 func runScenario(t *testing.T, f *fleet, fault func(*fleet)) (first, second time.Duration) {
 	f.apply(0, testBody(1))
 	f.startAll()
-	_, behind := f.inForce(1, bound)
+	_, behind := f.awaitRevision(1, maxPropagation)
 	require.Empty(t, behind, "start")
 	time.Sleep(time.Minute)
 	require.Len(t, f.relays(), 6)
 	f.apply(1, testBody(2))
 	fault(f)
-	first, behind = f.inForce(2, bound)
+	first, behind = f.awaitRevision(2, maxPropagation)
 	require.Empty(t, behind)
 	time.Sleep(30 * time.Second)
-	// A service slower than the health check's limit counts as out of contact for everyone.
+	// If the service is slower than the health check's timeout, no process is in contact with it.
 	reachable := time.Duration(f.kv.Faults().Get().SlowMS)*time.Millisecond < healthTimeout
 	f.each(func(p *proc) {
 		if reachable && p.ctx.Err() == nil && !p.hung.Load() && !p.cutOff.Load() {
-			require.True(t, p.store.Fresh(), "%s stays with a source that is out of contact", p.inst.ID)
+			require.True(t, p.store.InContact(), "%s keeps polling a source that has no contact with the key-value service", p.inst.ID)
 		}
 	})
 	f.apply(2, testBody(3))
-	second, behind = f.inForce(3, bound)
+	second, behind = f.awaitRevision(3, maxPropagation)
 	require.Empty(t, behind, "second change")
 	return first, second
 }
 
-// Guards against a load on the key-value service that grows with the fleet, at rest, with a
-// change, and after all processes start at once.
+// Guards against a load on the key-value service that grows with the number of processes: without
+// changes, with changes, and after all processes start at once.
 func TestKeyValueServiceLoad(t *testing.T) {
 	counts := map[int]kv.Calls{}
 	for _, sidecars := range []int{10, 80} {
@@ -112,28 +112,28 @@
 			f.apply(0, testBody(1))
 			before := f.kv.Calls()
 			f.startAll()
-			took, behind := f.inForce(1, bound)
+			took, behind := f.awaitRevision(1, maxPropagation)
 			require.Empty(t, behind)
 			time.Sleep(10 * time.Second)
-			start := minus(f.kv.Calls(), before)
-			t.Logf("%d processes: start: in force after %v, calls in the first 10 s: %+v", len(f.list), took, start)
+			start := callsSince(f.kv.Calls(), before)
+			t.Logf("%d processes: start: active after %v, calls in the first 10 s: %+v", len(f.list), took, start)
 
 			before = f.kv.Calls()
 			fetches := f.fetches()
 			time.Sleep(time.Minute)
-			rest := minus(f.kv.Calls(), before)
+			rest := callsSince(f.kv.Calls(), before)
 			total, most := f.fetchesSince(fetches)
-			t.Logf("%d processes: at rest for 60 s: %+v; fetches served: %d in all, %d by the busiest process", len(f.list), rest, total, most)
+			t.Logf("%d processes: 60 s without changes: %+v; fetches served: %d in total, %d by the busiest process", len(f.list), rest, total, most)
 
 			before = f.kv.Calls()
 			for i := range uint64(10) {
 				f.apply(i+1, testBody(int(i)+2))
-				_, behind := f.inForce(i+2, bound)
+				_, behind := f.awaitRevision(i+2, maxPropagation)
 				require.Empty(t, behind)
 			}
-			change := minus(f.kv.Calls(), before)
+			change := callsSince(f.kv.Calls(), before)
 			t.Logf("%d processes: 10 changes in a row: %+v", len(f.list), change)
-			require.LessOrEqual(t, change.Watches, uint64(10*6+6), "one watch per relay and change")
+			require.LessOrEqual(t, change.Watches, uint64(10*6+6), "one watch per relay and change, and one more per relay")
 
 			before = f.kv.Calls()
 			f.kv.Faults().Set(kv.FaultState{Down: true})
@@ -142,23 +142,23 @@
 			time.Sleep(20 * time.Second)
 			direct := uint64(0)
 			f.each(func(p *proc) { direct += p.agent.direct.reads.Load() })
-			t.Logf("%d processes: direct reads tried in the 20 s of the outage: %d", len(f.list), direct)
-			require.LessOrEqual(t, direct, uint64(len(f.list)+20*20), "one per process, then 20 per second in all")
+			t.Logf("%d processes: direct reads attempted in the 20 s of the outage: %d", len(f.list), direct)
+			require.LessOrEqual(t, direct, uint64(len(f.list)+20*20), "one per process, then 20 per second in total")
 			f.kv.Faults().Set(kv.FaultState{})
-			took, behind = f.inForce(11, bound)
+			took, behind = f.awaitRevision(11, maxPropagation)
 			require.Empty(t, behind)
 			time.Sleep(10 * time.Second)
-			restart := minus(f.kv.Calls(), before)
-			t.Logf("%d processes: restart of all during an outage of 20 s: in force %v after its end; calls: %+v", len(f.list), took, restart)
+			restart := callsSince(f.kv.Calls(), before)
+			t.Logf("%d processes: restart of all during an outage of 20 s: active %v after its end; calls: %+v", len(f.list), took, restart)
 			require.Zero(t, restart.Rejected)
 			counts[sidecars] = rest
 		})
 	}
-	require.InDelta(t, counts[10].Reads, counts[80].Reads, 60, "reads at rest")
-	require.InDelta(t, counts[10].Watches, counts[80].Watches, 12, "watches at rest")
+	require.InDelta(t, counts[10].Reads, counts[80].Reads, 60, "reads without changes")
+	require.InDelta(t, counts[10].Watches, counts[80].Watches, 12, "watches without changes")
 }
 
-func minus(a, b kv.Calls) kv.Calls {
+func callsSince(a, b kv.Calls) kv.Calls {
 	return kv.Calls{Reads: a.Reads - b.Reads, Writes: a.Writes - b.Writes, Watches: a.Watches - b.Watches, Rejected: a.Rejected - b.Rejected}
 }
 
@@ -176,8 +176,9 @@
 	return total, most
 }
 
-// Guards against processes that start during an outage with an old document although a peer
-// has a newer one, and against unconfirmed processes that count as confirmed.
+// Guards against processes that start during an outage of the key-value service and keep an old
+// document although a peer has a newer one, and against processes that report themselves as confirmed
+// without having read the key-value service or a peer in contact with it.
 func TestStartDuringOutage(t *testing.T) {
 	r := faultmatrix.NewRegistry()
 	t.Cleanup(func() { r.Report(t) })
@@ -190,9 +191,9 @@
 	f := newFleet(t, 3, 6, 6)
 	f.apply(0, testBody(1))
 	f.startAll()
-	_, behind := f.inForce(1, bound)
+	_, behind := f.awaitRevision(1, maxPropagation)
 	require.Empty(t, behind)
-	// Half of the entries do not get the second document.
+	// Half of the entries are stopped and miss the second document.
 	n := 0
 	f.each(func(p *proc) {
 		if n++; p.inst.Role == external.RoleEntry && n%2 == 0 {
@@ -200,7 +201,7 @@
 		}
 	})
 	f.apply(1, testBody(2))
-	_, behind = f.inForce(2, bound)
+	_, behind = f.awaitRevision(2, maxPropagation)
 	require.Empty(t, behind)
 	f.kv.Faults().Set(kv.FaultState{Down: true})
 	n = 0
@@ -228,7 +229,7 @@
 		}
 	}
 	f.kv.Faults().Set(kv.FaultState{})
-	time.Sleep(bound)
+	time.Sleep(maxPropagation)
 	f.each(func(p *proc) {
 		require.True(t, p.store.Confirmed(), p.inst.ID)
 		require.EqualValues(t, 2, p.revision(), p.inst.ID)
--- a/dissemination/store.go
+++ b/dissemination/store.go
@@ -1,7 +1,7 @@
-// Package dissemination spreads the accepted documents to every process.
+// Package dissemination distributes the accepted service documents to every process.
 //
-// Invariants: a Store never lowers the revision of a service, neither of the document in force
-// nor of the highest one seen; a document that cannot be parsed never replaces one in force.
+// Invariants: a Store never lowers the revision of a service, neither of its active document nor of
+// the highest one seen; a document that cannot be parsed never replaces the active one.
 package dissemination
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/quetzallug/quetzallug/document"
 )
 
-// Document is one service document at one revision, as it travels between processes.
+// Document is one service document at one revision, as it is sent between processes. If Deleted is
+// set, it is a tombstone without a body.
 type Document struct {
 	Service  string
 	Revision uint64
@@ -25,103 +26,106 @@
 	Deleted  bool
 }
 
-// InForce is the state of one service in this process. It must not be modified.
-type InForce struct {
+// ServiceState is the state of one service in this process. The embedded Document is the active one.
+// Callers must not modify it.
+type ServiceState struct {
 	Document
 	// Parsed is nil if the service is deleted, or if none of its documents could be parsed.
 	Parsed *document.Service
-	// Since is the time from which Revision is in force here. It is zero while nothing is.
+	// Since is the time at which the document became active here. It is zero while none is.
 	Since time.Time
-	// Refused is the highest revision seen, if it could not be parsed and is above the one in
-	// force. It is passed on, because other processes may run a version that can parse it.
+	// Refused is the document with the highest revision seen, if it could not be parsed and is
+	// newer than the active one. It is sent to peers, because they may run a version that can
+	// parse it.
 	Refused *Document
-	// RefusedError says why Refused is not in force.
+	// RefusedError is the reason why Refused is not active.
 	RefusedError error
 }
 
 // Highest returns the highest revision seen.
-func (f *InForce) Highest() uint64 {
+func (f *ServiceState) Highest() uint64 {
 	if f.Refused != nil {
 		return f.Refused.Revision
 	}
 	return f.Revision
 }
 
-// valid says whether a document or a tombstone is in force.
-func (f *InForce) valid() bool { return f.Deleted || f.Parsed != nil }
+// hasActive reports whether a document or a tombstone is active.
+func (f *ServiceState) hasActive() bool { return f.Deleted || f.Parsed != nil }
 
-// Snapshot holds the documents at one moment, by service. It must not be modified.
-type Snapshot map[string]*InForce
+// Snapshot maps each service to its state at one moment. Callers must not modify it.
+type Snapshot map[string]*ServiceState
 
-// Service returns the parsed document in force, or nil if there is none.
-func (s Snapshot) Service(name string) *InForce {
+// Service returns the state of a service, or nil if it has no active document.
+func (s Snapshot) Service(name string) *ServiceState {
 	if f := s[name]; f != nil && f.Parsed != nil {
 		return f
 	}
 	return nil
 }
 
-// Refusal reports a document that a Store did not put in force.
+// Refusal reports a document that a Store rejected.
 type Refusal struct {
 	Service  string
 	Revision uint64
 	Err      error
 }
 
-// Store holds the highest revision of each service that this process has seen. All methods are
-// safe for concurrent use; Snapshot takes no lock.
+// Store holds the active document and the highest revision seen of each service. It is safe for
+// concurrent use; Snapshot takes no lock.
 type Store struct {
 	snapshot  atomic.Pointer[Snapshot]
 	confirmed atomic.Bool
 
 	mu sync.Mutex
-	// fresh says whether the source of this process is at present in contact with the
-	// key-value service.
-	fresh   bool
-	changed chan struct{}
-	refused []func(Refusal)
-	ready   chan struct{}
+	// inContact reports whether this process is currently in contact with the key-value service,
+	// directly or through its source.
+	inContact bool
+	changed   chan struct{}
+	refused   []func(Refusal)
+	ready     chan struct{}
 }
 
-// NewStore returns an empty store. Each refused document is reported to the given functions,
-// which must not call the store.
+// NewStore returns an empty store. It reports each rejected document to the given functions. They
+// are called with the store's lock held, so they must not call the store.
 func NewStore(onRefused ...func(Refusal)) *Store {
 	s := &Store{changed: make(chan struct{}), ready: make(chan struct{}), refused: onRefused}
 	s.snapshot.Store(&Snapshot{})
 	return s
 }
 
-// Snapshot returns the documents at present, without a lock.
+// Snapshot returns the current documents without a lock.
 func (s *Store) Snapshot() Snapshot { return *s.snapshot.Load() }
 
-// Confirmed says whether this process has read the key-value service, or a confirmed peer,
-// since its start.
+// Confirmed reports whether this process has read the key-value service, or a peer in contact with
+// it, since its start.
 func (s *Store) Confirmed() bool { return s.confirmed.Load() }
 
-// Ready is closed once the documents come from the key-value service, a confirmed peer or,
-// during an outage, several peers.
+// Ready returns a channel that is closed once the documents have been read from the key-value
+// service, from a peer in contact with it or, during an outage, from several peers.
 func (s *Store) Ready() <-chan struct{} { return s.ready }
 
-// Changed returns a channel that is closed at the next change of the documents or of the
-// contact with the key-value service. Take it before the snapshot, so that no change is missed.
+// Changed returns a channel that is closed at the next change of the documents or of the contact
+// with the key-value service. Call it before Snapshot, so that no change is missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Offer puts those documents in force that are newer than the ones held. It returns the number
-// of services that changed.
+// Offer activates those documents that are newer than the stored ones. It returns the number of
+// documents that changed the state of their service.
 func (s *Store) Offer(docs ...Document) int {
 	docs = slices.Clone(docs)
-	// Lower revisions first: the last one that parses is in force, whatever their order.
+	// Lower revisions first, so that the highest one that parses ends up active whatever the order
+	// of the arguments, and older ones are still tried.
 	slices.SortStableFunc(docs, func(a, b Document) int { return cmp.Compare(a.Revision, b.Revision) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := maps.Clone(s.Snapshot())
 	changed := 0
 	for _, d := range docs {
-		if f := s.advance(next[d.Service], d); f != nil {
+		if f := s.nextState(next[d.Service], d); f != nil {
 			next[d.Service] = f
 			changed++
 		}
@@ -133,18 +137,18 @@
 	return changed
 }
 
-// advance returns the state of a service after a document, or nil if nothing changes.
-func (s *Store) advance(old *InForce, d Document) *InForce {
+// nextState returns the state of a service after a document is applied, or nil if nothing changes.
+func (s *Store) nextState(old *ServiceState, d Document) *ServiceState {
 	if old == nil {
-		old = &InForce{}
+		old = &ServiceState{}
 	}
 	if d.Revision <= old.Revision || !document.ValidName(d.Service) {
-		s.checkEqual(old, d)
+		s.checkConflict(old, d)
 		return nil
 	}
 	parsed, err := parse(d)
 	if err == nil {
-		f := &InForce{Document: d, Parsed: parsed, Since: time.Now()}
+		f := &ServiceState{Document: d, Parsed: parsed, Since: time.Now()}
 		if old.Refused != nil && old.Refused.Revision > d.Revision {
 			f.Refused, f.RefusedError = old.Refused, old.RefusedError
 		}
@@ -153,7 +157,7 @@
 	if d.Revision <= old.Highest() {
 		return nil
 	}
-	s.refuse(d, err)
+	s.reportRefused(d, err)
 	f := *old
 	f.Service, f.Refused, f.RefusedError = d.Service, &d, err
 	return &f
@@ -161,7 +165,7 @@
 
 func parse(d Document) (*document.Service, error) {
 	if d.Deleted {
-		return nil, nil //nolint:nilnil // a tombstone has no document
+		return nil, nil //nolint:nilnil // a tombstone has no body to parse
 	}
 	parsed, err := document.Parse(d.Body)
 	if err != nil {
@@ -173,15 +177,15 @@
 	return parsed, nil
 }
 
-// checkEqual reports two different documents with one revision. This happens only if the
+// checkConflict reports two different documents with the same revision, which occur only if the
 // key-value service has lost writes.
-func (s *Store) checkEqual(old *InForce, d Document) {
+func (s *Store) checkConflict(old *ServiceState, d Document) {
 	if d.Revision == old.Revision && d.Revision != 0 && (d.Deleted != old.Deleted || !bytes.Equal(d.Body, old.Body)) {
-		s.refuse(d, errDivergent)
+		s.reportRefused(d, errDivergent)
 	}
 }
 
-func (s *Store) refuse(d Document, err error) {
+func (s *Store) reportRefused(d Document, err error) {
 	for _, f := range s.refused {
 		f(Refusal{Service: d.Service, Revision: d.Revision, Err: err})
 	}
@@ -192,15 +196,15 @@
 	s.changed = make(chan struct{})
 }
 
-// confirm records that the process is in contact with the key-value service and that the
-// documents offered so far include all that it held.
+// confirm records that the process is in contact with the key-value service and that the documents
+// offered so far include all that the service held.
 func (s *Store) confirm() {
 	s.markConfirmed()
-	s.setFresh(true)
+	s.setInContact(true)
 }
 
-// markConfirmed records that the documents offered so far include all that the key-value
-// service held at some time since the start.
+// markConfirmed records that the documents offered so far include all that the key-value service
+// held at some time since the start of this process.
 func (s *Store) markConfirmed() {
 	if !s.confirmed.Swap(true) {
 		s.markReady()
@@ -217,25 +221,25 @@
 	}
 }
 
-func (s *Store) setFresh(fresh bool) {
+func (s *Store) setInContact(inContact bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fresh != fresh {
-		s.fresh = fresh
+	if s.inContact != inContact {
+		s.inContact = inContact
 		s.notifyLocked()
 	}
 }
 
-// Fresh says whether this process is at present in contact with the key-value service,
+// InContact reports whether this process is currently in contact with the key-value service,
 // directly or through peers.
-func (s *Store) Fresh() bool {
+func (s *Store) InContact() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fresh
+	return s.inContact
 }
 
-// Have returns the highest revision seen of each service.
-func (s *Store) Have() map[string]uint64 {
+// Revisions returns the highest revision seen of each service.
+func (s *Store) Revisions() map[string]uint64 {
 	have := map[string]uint64{}
 	for name, f := range s.Snapshot() {
 		have[name] = f.Highest()
@@ -243,26 +247,26 @@
 	return have
 }
 
-// haveValid is Have without the services of which no document could be parsed, so that a peer
-// sends the older documents that it may hold.
-func (s *Store) haveValid() map[string]uint64 {
+// revisionsOfActive is Revisions without the services that have no active document, so that a peer
+// sends any older documents that it has of them.
+func (s *Store) revisionsOfActive() map[string]uint64 {
 	have := map[string]uint64{}
 	for name, f := range s.Snapshot() {
-		if f.valid() {
+		if f.hasActive() {
 			have[name] = f.Highest()
 		}
 	}
 	return have
 }
 
-// Newer returns the documents above the revisions that a peer has, in order of service and
+// NewerThan returns the documents with higher revisions than a peer has, sorted by service and
 // revision.
-func (s *Store) Newer(have map[string]uint64) []Document {
+func (s *Store) NewerThan(have map[string]uint64) []Document {
 	snap := s.Snapshot()
 	var docs []Document
 	for _, name := range slices.Sorted(maps.Keys(snap)) {
 		f := snap[name]
-		if f.valid() && f.Revision > have[name] {
+		if f.hasActive() && f.Revision > have[name] {
 			docs = append(docs, f.Document)
 		}
 		if f.Refused != nil && f.Refused.Revision > have[name] {
@@ -272,24 +276,24 @@
 	return docs
 }
 
-// Wait serves a peer's long poll. It returns as soon as there are documents above the
-// revisions that the peer has or the contact of this process with the key-value service
-// changes, and otherwise after the given time. The second result is the confirmed flag of the
-// response: true if this process is at present in contact with the key-value service.
+// Wait serves a peer's long poll. It returns as soon as there are documents with higher revisions
+// than the peer has, or this process loses or regains contact with the key-value service, and
+// otherwise after the given time. The second result is the confirmed flag of the response: it is
+// true if this process is currently in contact with the key-value service.
 func (s *Store) Wait(ctx context.Context, have map[string]uint64, wait time.Duration) ([]Document, bool, error) {
 	timer := time.NewTimer(min(wait, MaxWait))
 	defer timer.Stop()
-	for started := s.Fresh(); ; {
+	for started := s.InContact(); ; {
 		changed := s.Changed()
-		docs, fresh := s.Newer(have), s.Fresh()
-		if len(docs) > 0 || fresh != started || wait <= 0 {
-			return docs, fresh, nil
+		docs, inContact := s.NewerThan(have), s.InContact()
+		if len(docs) > 0 || inContact != started || wait <= 0 {
+			return docs, inContact, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, false, ctx.Err()
 		case <-timer.C:
-			return nil, fresh, nil
+			return nil, inContact, nil
 		case <-changed:
 		}
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -263,8 +263,8 @@
 	return s != "" && strings.Trim(s, "0123456789") == ""
 }
 
-// Advance removes the members that are absent from the list and have not answered for
-// Settings.AbsentTimeout.
+// Advance removes the members that are absent from the list and are draining, refused the connection or
+// have not answered for Settings.AbsentTimeout.
 func (v *View) Advance(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the operator's table of routes: which service a request goes to, what may be
-// repeated, and how long it may take. A Table is immutable. A Holder keeps the table in force and
-// never goes back to an older version.
+// Package route implements the operator's route table, which determines the service that a request goes
+// to, whether the request may be repeated, and how long it may take. A Table is immutable. A Holder
+// holds the active table and never replaces it by an older version.
 package route
 
 import (
@@ -15,41 +15,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is the part of a route's requests that one service gets.
+// Share assigns a weighted share of a route's requests to a service.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says how the requests of one host and path prefix are served.
+// Route configures the requests of one host and path prefix.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Repeatable requests may run more than once. Resumable streams are repeatable.
+	// Repeatable means that a request may run more than once. Resumable streams are repeatable.
 	Repeatable bool
-	// Stream answers are series of events. Resumable streams continue on another backend server
-	// after the last event that was delivered.
+	// Stream means that the answer is a series of events. Resumable means that the stream can continue
+	// on another backend server after the last event that was delivered.
 	Stream    bool
 	Resumable bool
-	// Prompt requests declare the parts of a prompt, so that a backend server that has read some of
-	// them before is preferred.
+	// Prompt means that a request declares the parts of its prompt, so that a backend server that has
+	// processed some of them before is preferred.
 	Prompt bool
-	// Timeout is the longest time that a caller is kept waiting for the whole answer.
+	// Timeout is the time limit for the whole answer.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event of a stream, that callers want.
+	// Target is the desired time to the answer, or to the first event of a stream.
 	Target time.Duration
-	// MaxPause is the longest pause between two events that callers want.
+	// MaxPause is the desired longest pause between two events of a stream.
 	MaxPause time.Duration
-	// Priority is the rank of the route; 0 is the most urgent.
+	// Priority is the rank of the route. 0 is the most urgent.
 	Priority int
-	// MaxAttempts is the largest number of backend servers on which one request may run.
+	// MaxAttempts limits the number of backend servers on which one request may run.
 	MaxAttempts int
 	Shares      []Share
 }
 
-// Service picks the service of one request. The same key always gives the same service.
+// Service selects the service for one request by weight. The same key always gives the same service.
 func (r *Route) Service(key string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -61,9 +61,9 @@
 	if total == 0 {
 		return r.Shares[0].Service
 	}
-	at := int(xxhash.Sum64String(key) % uint64(total))
+	remainder := int(xxhash.Sum64String(key) % uint64(total))
 	for _, s := range r.Shares {
-		if at -= s.Weight; at < 0 {
+		if remainder -= s.Weight; remainder < 0 {
 			return s.Service
 		}
 	}
@@ -72,7 +72,7 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// RoleChange is how long an engine is away while it changes its role.
+	// RoleChange is the time for which an engine is unavailable while it changes its role.
 	RoleChange time.Duration
 }
 
@@ -81,11 +81,11 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// Engine is nil for plain backend servers.
+	// Engine is nil for backend servers without a model engine.
 	Engine *Engine
 }
 
-// Limits bound what callers may send.
+// Limits restrict the requests that callers may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -103,10 +103,10 @@
 	size  int
 }
 
-// ErrInvalid means that a table contradicts itself.
+// ErrInvalid means that a route is malformed or names an unknown service.
 var ErrInvalid = errors.New("invalid route table")
 
-// NewTable checks and indexes a configuration.
+// NewTable validates and indexes a configuration. The error covers all invalid routes.
 func NewTable(version uint64, routes []*Route, services []*Service, limits Limits) (*Table, error) {
 	t := &Table{Version: version, Limits: limits, Services: make(map[string]*Service, len(services)), hosts: map[string][]*Route{}, size: len(routes)}
 	for _, s := range services {
@@ -114,11 +114,11 @@
 	}
 	var errs []error
 	for _, r := range routes {
-		errs = append(errs, t.check(r))
+		errs = append(errs, t.validate(r))
 		t.hosts[r.Host] = append(t.hosts[r.Host], r)
 	}
-	for _, rs := range t.hosts {
-		slices.SortStableFunc(rs, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, hostRoutes := range t.hosts {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	if err := errors.Join(errs...); err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 	return t, nil
 }
 
-func (t *Table) check(r *Route) error {
+func (t *Table) validate(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fmt.Errorf("%w: route %q: prefix %q does not begin and end with a slash", ErrInvalid, r.Name, r.Prefix)
 	}
@@ -147,8 +147,8 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return t.size }
 
-// Match returns the route of a host and path with the longest prefix, or nil. The host may carry a
-// port.
+// Match returns the route with the longest prefix that matches a host and path, or nil. The host may
+// include a port.
 func (t *Table) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -161,15 +161,16 @@
 	return nil
 }
 
-// Holder keeps the table in force. It is safe for concurrent use.
+// Holder holds the active table. It is safe for concurrent use.
 type Holder struct {
 	table atomic.Pointer[Table]
 }
 
-// Table returns the table in force, or nil before the first one.
+// Table returns the active table, or nil before the first one.
 func (h *Holder) Table() *Table { return h.table.Load() }
 
-// Offer puts a table in force unless one of the same or a later version is. It tells whether it did.
+// Offer makes a table the active one, unless the active one has the same or a later version. It reports
+// whether it did.
 func (h *Holder) Offer(t *Table) bool {
 	for {
 		current := h.table.Load()
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -20,7 +20,7 @@
 	return table
 }
 
-// Guards against a request that goes to the service of a shorter prefix.
+// Guards against a request that is matched by a shorter prefix although a longer one matches.
 func TestMatchTakesTheLongestPrefix(t *testing.T) {
 	table := newTable(t, 1, newRoute("short", "/a/", route.Share{Service: "s"}), newRoute("long", "/a/b/", route.Share{Service: "u"}))
 	require.Equal(t, "long", table.Match("a.example", "/a/b/c").Name)
@@ -29,7 +29,7 @@
 	require.Nil(t, table.Match("b.example", "/a/b/c"))
 }
 
-// Guards against a configuration in force that reverts to an older one.
+// Guards against an active table that is replaced by an older version.
 func TestHolderNeverGoesBack(t *testing.T) {
 	var h route.Holder
 	require.Nil(t, h.Table())
@@ -40,7 +40,7 @@
 	require.Equal(t, uint64(9), h.Table().Version)
 }
 
-// Guards against a split route that sends requests to a service with weight 0.
+// Guards against a route with several services that sends requests to one of weight 0.
 func TestServiceFollowsWeights(t *testing.T) {
 	r := newRoute("r", "/", route.Share{Service: "s", Weight: 100}, route.Share{Service: "u", Weight: 0})
 	for _, key := range []string{"a", "b", "c", "d"} {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against a table in force that names services which do not exist.
+// Guards against a table with malformed prefixes, routes without services, or unknown services.
 func TestNewTableRefusesContradictions(t *testing.T) {
 	for name, r := range map[string]*route.Route{
 		"prefix":  newRoute("r", "a/", route.Share{Service: "s"}),
