--- a/dissemination/agent.go
+++ b/dissemination/agent.go
@@ -87,8 +87,8 @@
 // Observe reports a revision that was seen in ordinary traffic. A revision above the highest one
 // in the store triggers an early poll. For a known revision it costs one map look-up.
 func (a *Agent) Observe(service string, revision uint64) {
-	f := a.cfg.Store.Snapshot()[service]
-	if f != nil && revision <= f.Highest() || f == nil && revision == 0 {
+	state := a.cfg.Store.Snapshot()[service]
+	if state != nil && revision <= state.Highest() || state == nil && revision == 0 {
 		return
 	}
 	a.poller.observe(service, revision)
@@ -121,7 +121,7 @@
 // backfill fetches documents from the peers of a relay while the relay has no contact with the
 // key-value service, so that a relay that starts during an outage gets the documents that other
 // processes have. It also fetches older documents of services whose newest one this process cannot
-// parse.
+// parse, and reads the key-value service directly if ordinary traffic has carried a newer revision.
 func (a *Agent) backfill(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch {
--- a/dissemination/property_test.go
+++ b/dissemination/property_test.go
@@ -237,7 +237,7 @@
 	s.Offer(testDocument(1))
 	require.Empty(t, refusals)
 	s.Offer(other)
-	require.ErrorIs(t, refusals[0].Err, errDivergent)
+	require.ErrorIs(t, refusals[0].Err, errConflictingDocuments)
 	require.Equal(t, testDocument(1).Body, s.Snapshot()[testService].Body)
 }
 
--- a/dissemination/store.go
+++ b/dissemination/store.go
@@ -43,23 +43,23 @@
 }
 
 // Highest returns the highest revision seen.
-func (f *ServiceState) Highest() uint64 {
-	if f.Refused != nil {
-		return f.Refused.Revision
+func (s *ServiceState) Highest() uint64 {
+	if s.Refused != nil {
+		return s.Refused.Revision
 	}
-	return f.Revision
+	return s.Revision
 }
 
 // hasActive reports whether a document or a tombstone is active.
-func (f *ServiceState) hasActive() bool { return f.Deleted || f.Parsed != nil }
+func (s *ServiceState) hasActive() bool { return s.Deleted || s.Parsed != nil }
 
 // Snapshot maps each service to its state at one moment. Callers must not modify it.
 type Snapshot map[string]*ServiceState
 
 // Service returns the state of a service, or nil if it has no active document.
 func (s Snapshot) Service(name string) *ServiceState {
-	if f := s[name]; f != nil && f.Parsed != nil {
-		return f
+	if state := s[name]; state != nil && state.Parsed != nil {
+		return state
 	}
 	return nil
 }
@@ -82,14 +82,14 @@
 	// directly or through its source.
 	inContact bool
 	changed   chan struct{}
-	refused   []func(Refusal)
+	onRefused []func(Refusal)
 	ready     chan struct{}
 }
 
 // NewStore returns an empty store. It reports each rejected document to the given functions. They
 // are called with the store's lock held, so they must not call the store.
 func NewStore(onRefused ...func(Refusal)) *Store {
-	s := &Store{changed: make(chan struct{}), ready: make(chan struct{}), refused: onRefused}
+	s := &Store{changed: make(chan struct{}), ready: make(chan struct{}), onRefused: onRefused}
 	s.snapshot.Store(&Snapshot{})
 	return s
 }
@@ -113,8 +113,8 @@
 	return s.changed
 }
 
-// Offer activates those documents that are newer than the stored ones. It returns the number of
-// documents that changed the state of their service.
+// Offer applies those documents that are newer than the stored ones. It returns the number of documents
+// that changed the state of their service.
 func (s *Store) Offer(docs ...Document) int {
 	docs = slices.Clone(docs)
 	// Lower revisions first, so that the highest one that parses ends up active whatever the order
@@ -125,8 +125,8 @@
 	next := maps.Clone(s.Snapshot())
 	changed := 0
 	for _, d := range docs {
-		if f := s.nextState(next[d.Service], d); f != nil {
-			next[d.Service] = f
+		if state := s.nextState(next[d.Service], d); state != nil {
+			next[d.Service] = state
 			changed++
 		}
 	}
@@ -148,19 +148,19 @@
 	}
 	parsed, err := parse(d)
 	if err == nil {
-		f := &ServiceState{Document: d, Parsed: parsed, Since: time.Now()}
+		state := &ServiceState{Document: d, Parsed: parsed, Since: time.Now()}
 		if old.Refused != nil && old.Refused.Revision > d.Revision {
-			f.Refused, f.RefusedError = old.Refused, old.RefusedError
+			state.Refused, state.RefusedError = old.Refused, old.RefusedError
 		}
-		return f
+		return state
 	}
 	if d.Revision <= old.Highest() {
 		return nil
 	}
 	s.reportRefused(d, err)
-	f := *old
-	f.Service, f.Refused, f.RefusedError = d.Service, &d, err
-	return &f
+	state := *old
+	state.Service, state.Refused, state.RefusedError = d.Service, &d, err
+	return &state
 }
 
 func parse(d Document) (*document.Service, error) {
@@ -181,13 +181,13 @@
 // key-value service has lost writes.
 func (s *Store) checkConflict(old *ServiceState, d Document) {
 	if d.Revision == old.Revision && d.Revision != 0 && (d.Deleted != old.Deleted || !bytes.Equal(d.Body, old.Body)) {
-		s.reportRefused(d, errDivergent)
+		s.reportRefused(d, errConflictingDocuments)
 	}
 }
 
 func (s *Store) reportRefused(d Document, err error) {
-	for _, f := range s.refused {
-		f(Refusal{Service: d.Service, Revision: d.Revision, Err: err})
+	for _, report := range s.onRefused {
+		report(Refusal{Service: d.Service, Revision: d.Revision, Err: err})
 	}
 }
 
@@ -241,8 +241,8 @@
 // Revisions returns the highest revision seen of each service.
 func (s *Store) Revisions() map[string]uint64 {
 	have := map[string]uint64{}
-	for name, f := range s.Snapshot() {
-		have[name] = f.Highest()
+	for name, state := range s.Snapshot() {
+		have[name] = state.Highest()
 	}
 	return have
 }
@@ -251,9 +251,9 @@
 // sends any older documents that it has of them.
 func (s *Store) revisionsOfActive() map[string]uint64 {
 	have := map[string]uint64{}
-	for name, f := range s.Snapshot() {
-		if f.hasActive() {
-			have[name] = f.Highest()
+	for name, state := range s.Snapshot() {
+		if state.hasActive() {
+			have[name] = state.Highest()
 		}
 	}
 	return have
@@ -265,12 +265,12 @@
 	snap := s.Snapshot()
 	var docs []Document
 	for _, name := range slices.Sorted(maps.Keys(snap)) {
-		f := snap[name]
-		if f.hasActive() && f.Revision > have[name] {
-			docs = append(docs, f.Document)
+		state := snap[name]
+		if state.hasActive() && state.Revision > have[name] {
+			docs = append(docs, state.Document)
 		}
-		if f.Refused != nil && f.Refused.Revision > have[name] {
-			docs = append(docs, *f.Refused)
+		if state.Refused != nil && state.Refused.Revision > have[name] {
+			docs = append(docs, *state.Refused)
 		}
 	}
 	return docs
--- a/dissemination/timing.go
+++ b/dissemination/timing.go
@@ -54,7 +54,7 @@
 	observationTTL = 10 * time.Second
 )
 
-var errDivergent = errors.New("two different documents have this revision; the key-value service has lost writes")
+var errConflictingDocuments = errors.New("two different documents have this revision; the key-value service has lost writes")
 
 // lockedRand is a random source for concurrent use. Tests fix its seed.
 type lockedRand struct {
