--- a/entry/admit.go
+++ b/entry/admit.go
@@ -62,7 +62,7 @@
 // Admit implements Admitter.
 func (a *Admission) Admit(r AdmitRequest) (release func(), priority int, err *Error) {
 	c := a.controller(r.Service)
-	expected := a.fleet.Expect(r.Pick)
+	expected := a.fleet.Predict(r.Pick)
 	e := &admission.Expectation{NoWorker: expected.Decode == nil}
 	// An idle worker serves as early as any can, and only traffic corrects a wrong estimate of
 	// its speed. Refusing there would keep a worker idle for ever.
@@ -75,8 +75,8 @@
 	}
 	d := c.Admit(q, e, r.Now)
 	if !d.Admitted() {
-		a.countRefused(&r)
-		return nil, 0, refused(d)
+		a.recordRefused(&r)
+		return nil, 0, refusalError(d)
 	}
 	// Engines serve lower priority numbers first.
 	return func() { c.Release(r.Caller, d) }, r.Kind.Rank, nil
@@ -84,7 +84,7 @@
 
 // countRefused adds a refused request to the work of its kind: the planner has to know of work that
 // no sidecar has seen.
-func (a *Admission) countRefused(r *AdmitRequest) {
+func (a *Admission) recordRefused(r *AdmitRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	refused := a.services[r.Service.Service].refused
@@ -116,7 +116,7 @@
 }
 
 // refused converts a refusal of admission, which always means that the request did not run.
-func refused(d admission.Decision) *Error {
+func refusalError(d admission.Decision) *Error {
 	reason, status := ReasonOverload, http.StatusServiceUnavailable
 	switch d.Reason {
 	case admission.CallerRate, admission.CallerConcurrent:
@@ -126,7 +126,7 @@
 	case admission.NoWorker:
 		reason = ReasonNoWorker
 	}
-	e := notRun(reason, "refused by admission: %s", d.Reason)
+	e := notRunError(reason, "refused by admission: %s", d.Reason)
 	e.Status = status
 	if d.RetryAfter > 0 {
 		e.RetryAfter = d.RetryAfter
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -14,12 +14,12 @@
 )
 
 // errNotFlushable means that the HTTP connection cannot stream.
-var errNotFlushable = errors.New("response cannot be streamed")
+var errNoFlush = errors.New("response cannot be streamed")
 
 // wholeSink collects an answer.
-type wholeSink struct{ buf bytes.Buffer }
+type bufferSink struct{ buf bytes.Buffer }
 
-func (s *wholeSink) write(data []byte) error {
+func (s *bufferSink) write(data []byte) error {
 	s.buf.Write(data)
 	return nil
 }
@@ -63,7 +63,7 @@
 }
 
 // begin sends the response header once.
-func (s *eventSink) begin() {
+func (s *eventSink) writeHeader() {
 	if s.started {
 		return
 	}
@@ -89,7 +89,7 @@
 // appendJSONString appends text as a JSON string. Text that needs no escape is copied; the rest
 // goes through encoding/json.
 func appendJSONString(b, text []byte) []byte {
-	if !isPlainText(text) {
+	if !isJSONSafe(text) {
 		quoted, _ := json.Marshal(string(text)) // a string can always be encoded
 		return append(b, quoted...)
 	}
@@ -99,7 +99,7 @@
 }
 
 // isPlainText reports whether encoding/json would copy the text unchanged.
-func isPlainText(text []byte) bool {
+func isJSONSafe(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' || c > '~' || c == '"' || c == '\\' || c == '<' || c == '>' || c == '&' {
 			return false
@@ -127,7 +127,7 @@
 
 // send writes and flushes within the write timeout, so that a slow reader is bounded.
 func (s *eventSink) send(b []byte) error {
-	s.begin()
+	s.writeHeader()
 	if err := s.rc.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return err
 	}
@@ -136,7 +136,7 @@
 	}
 	if err := s.rc.Flush(); err != nil {
 		if errors.Is(err, http.ErrNotSupported) {
-			return errNotFlushable
+			return errNoFlush
 		}
 		return err
 	}
@@ -166,7 +166,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func wholeAnswer(call *call, chat bool, text string, f *v1.Final) completion {
+func newCompletion(call *call, chat bool, text string, f *v1.Final) completion {
 	ch := choice{FinishReason: f.GetFinishReason()}
 	object := "text_completion"
 	if chat {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -73,15 +73,15 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Outcome    v1.Outcome
-	Reason     v1.Reason
-	Refused    bool // the connection was refused
-	Silent     bool // the worker stopped answering
-	Broken     bool // the connection broke
-	Load       *v1.LoadReport
-	FirstToken time.Duration
-	Tokens     uint64
-	Elapsed    time.Duration
+	Outcome           v1.Outcome
+	Reason            v1.Reason
+	ConnectionRefused bool // the connection was refused
+	TimedOut          bool // the worker stopped answering
+	ConnectionBroken  bool // the connection broke
+	Load              *v1.LoadReport
+	FirstToken        time.Duration
+	Tokens            uint64
+	Elapsed           time.Duration
 }
 
 // Metrics receives the entry's measurements.
@@ -98,7 +98,7 @@
 	docs      Documents
 	picker    Picker
 	clients   *rpc.Clients
-	admit     Admitter
+	admitter  Admitter
 	budget    RetryBudget
 	claims    Claimer
 	metrics   Metrics
@@ -146,7 +146,7 @@
 // New returns an entry.
 func New(cfg Config, o Options) *Entry {
 	return &Entry{
-		cfg: cfg, docs: o.Documents, picker: o.Picker, clients: o.Clients, admit: o.Admitter,
+		cfg: cfg, docs: o.Documents, picker: o.Picker, clients: o.Clients, admitter: o.Admitter,
 		budget: o.Budget, claims: o.Claims, metrics: o.Metrics, log: o.Log, decisions: o.Decisions,
 	}
 }
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -62,7 +62,7 @@
 }
 
 // notRun returns an error for a request that certainly did not run and may be sent again.
-func notRun(r Reason, format string, args ...any) *Error {
+func notRunError(r Reason, format string, args ...any) *Error {
 	return &Error{
 		Outcome: OutcomeNotRun, Reason: r, Detail: fmt.Sprintf(format, args...),
 		Status: http.StatusServiceUnavailable, RetryAfter: defaultRetryAfter,
@@ -70,12 +70,12 @@
 }
 
 // invalid returns an error for a request that is wrong and must not be sent again unchanged.
-func invalid(status int, r Reason, format string, args ...any) *Error {
+func invalidError(status int, r Reason, format string, args ...any) *Error {
 	return &Error{Outcome: OutcomeNotRun, Reason: r, Detail: fmt.Sprintf(format, args...), Status: status}
 }
 
 // unknown returns an error for a request that may have run.
-func unknown(r Reason, format string, args ...any) *Error {
+func unknownError(r Reason, format string, args ...any) *Error {
 	status := http.StatusBadGateway
 	if r == ReasonDeadline {
 		status = http.StatusGatewayTimeout
@@ -108,7 +108,7 @@
 	c.JSON(e.Status, e.body(requestID))
 }
 
-var sidecarReasons = map[v1.Reason]Reason{
+var callerReasons = map[v1.Reason]Reason{
 	v1.Reason_REASON_DRAINING:          ReasonNoWorker,
 	v1.Reason_REASON_QUEUE_FULL:        ReasonOverload,
 	v1.Reason_REASON_DEADLINE:          ReasonDeadline,
@@ -117,8 +117,8 @@
 	v1.Reason_REASON_MODEL_NOT_LOADED:  ReasonNoModel,
 }
 
-func reasonOf(r v1.Reason) Reason {
-	if reason, ok := sidecarReasons[r]; ok {
+func callerReason(r v1.Reason) Reason {
+	if reason, ok := callerReasons[r]; ok {
 		return reason
 	}
 	return ReasonBackend
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -55,11 +55,11 @@
 var _ dissemination.Fetcher = (*DocumentFetcher)(nil)
 
 // fetchSlack is added to the wait of a long poll for the call's own time.
-const fetchSlack = 2 * time.Second
+const longPollMargin = 2 * time.Second
 
 // Fetch implements dissemination.Fetcher.
 func (f *DocumentFetcher) Fetch(ctx context.Context, have map[string]uint64, wait time.Duration) ([]dissemination.Document, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+fetchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+longPollMargin)
 	defer cancel()
 	resp, err := f.Clients.Peer(f.Address).FetchDocuments(ctx, connect.NewRequest(&v1.FetchDocumentsRequest{
 		Cluster: f.Cluster, Have: have, WaitMs: uint32(wait.Milliseconds()),
--- a/entry/http.go
+++ b/entry/http.go
@@ -18,18 +18,18 @@
 func (e *Entry) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
-	g.Use(gin.CustomRecoveryWithWriter(io.Discard, e.recover))
+	g.Use(gin.CustomRecoveryWithWriter(io.Discard, e.handlePanic))
 	g.POST("/v1/completions", func(c *gin.Context) { e.serveCompletion(c, false) })
 	g.POST("/v1/chat/completions", func(c *gin.Context) { e.serveCompletion(c, true) })
 	g.GET("/v1/models", e.serveModels)
 	g.Any("/svc/:service/*path", e.servePlain)
 	g.NoRoute(func(c *gin.Context) {
-		writeError(c, "", invalid(http.StatusNotFound, ReasonInvalid, "no such path: %s", c.Request.URL.Path))
+		writeError(c, "", invalidError(http.StatusNotFound, ReasonInvalid, "no such path: %s", c.Request.URL.Path))
 	})
 	return g
 }
 
-func (e *Entry) recover(c *gin.Context, v any) {
+func (e *Entry) handlePanic(c *gin.Context, v any) {
 	e.log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("request handler failed")
 	c.AbortWithStatus(http.StatusInternalServerError)
 }
@@ -62,7 +62,7 @@
 	}
 	call, err := e.modelCall(c, r)
 	if err == nil {
-		err = checkServiceLimit(call.service, len(body))
+		err = checkBodyLimit(call.service, len(body))
 	}
 	if err != nil {
 		writeError(c, "", err)
@@ -70,20 +70,20 @@
 	}
 	c.Header(headerRequestID, call.id)
 	if r.Stream {
-		e.serveEvents(c, call, chat)
+		e.serveStream(c, call, chat)
 		return
 	}
-	e.serveWhole(c, call, chat)
+	e.serveBuffered(c, call, chat)
 }
 
-func checkServiceLimit(s *document.Service, size int) *Error {
+func checkBodyLimit(s *document.Service, size int) *Error {
 	if limit := s.Limits.BodyKiB << 10; limit > 0 && size > limit {
-		return invalid(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes, the limit of service %s", limit, s.Service)
+		return invalidError(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes, the limit of service %s", limit, s.Service)
 	}
 	return nil
 }
 
-func (e *Entry) serveEvents(c *gin.Context, call *call, chat bool) {
+func (e *Entry) serveStream(c *gin.Context, call *call, chat bool) {
 	out := newEventSink(c, call, chat, e.cfg.WriteTimeout)
 	final, err := e.serve(c.Request.Context(), call, out)
 	switch {
@@ -98,14 +98,14 @@
 	}
 }
 
-func (e *Entry) serveWhole(c *gin.Context, call *call, chat bool) {
-	out := &wholeSink{}
+func (e *Entry) serveBuffered(c *gin.Context, call *call, chat bool) {
+	out := &bufferSink{}
 	final, err := e.serve(c.Request.Context(), call, out)
 	if err != nil {
 		writeError(c, call.id, err)
 		return
 	}
-	c.JSON(http.StatusOK, wholeAnswer(call, chat, out.buf.String(), final))
+	c.JSON(http.StatusOK, newCompletion(call, chat, out.buf.String(), final))
 }
 
 func (e *Entry) servePlain(c *gin.Context) {
@@ -116,14 +116,14 @@
 	}
 	call, err := e.plainCall(c, c.Param("service"), c.Param("path"), body)
 	if err == nil {
-		err = checkServiceLimit(call.service, len(body))
+		err = checkBodyLimit(call.service, len(body))
 	}
 	if err != nil {
 		writeError(c, "", err)
 		return
 	}
 	c.Header(headerRequestID, call.id)
-	out := &wholeSink{}
+	out := &bufferSink{}
 	final, err := e.servePlainCall(c.Request.Context(), call, out)
 	if err != nil {
 		writeError(c, call.id, err)
@@ -134,23 +134,23 @@
 
 // serve admits, runs and measures one request.
 func (e *Entry) serve(ctx context.Context, call *call, out sink) (*v1.Final, *Error) {
-	release, priority, err := e.admit.Admit(AdmitRequest{
+	release, priority, err := e.admitter.Admit(AdmitRequest{
 		Caller: call.caller, Service: call.service, Kind: call.kind, Deadline: call.deadline,
 		Pick: call.pickRequest(), Now: call.started,
 	})
 	if err != nil {
-		e.finish(call, err)
+		e.recordOutcome(call, err)
 		return nil, err
 	}
 	defer release()
 	call.priority = priority
 	final, err := e.run(ctx, call, out)
-	e.finish(call, err)
+	e.recordOutcome(call, err)
 	return final, err
 }
 
 // finish logs and measures the end of a request.
-func (e *Entry) finish(call *call, err *Error) {
+func (e *Entry) recordOutcome(call *call, err *Error) {
 	elapsed := time.Since(call.started)
 	outcome, reason := "complete", Reason("")
 	if err != nil {
--- a/entry/newcall.go
+++ b/entry/newcall.go
@@ -20,14 +20,14 @@
 )
 
 // newCall builds a call and checks the idempotency key.
-func (e *Entry) newCall(c *gin.Context, s *document.Service, k *document.Kind, user string, fill func(*call)) (*call, *Error) {
-	key := c.GetHeader(headerKey)
-	if len(key) > maxKeyBytes {
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "header %s is longer than %d bytes", headerKey, maxKeyBytes)
+func (e *Entry) newCall(c *gin.Context, s *document.Service, k *document.Kind, user string, setRequest func(*call)) (*call, *Error) {
+	key := c.GetHeader(headerIdempotencyKey)
+	if len(key) > maxIdempotencyKeyBytes {
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "header %s is longer than %d bytes", headerIdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	id, err := uuid.NewV7()
 	if err != nil {
-		return nil, notRun(ReasonInvalid, "generate request ID: %v", err)
+		return nil, notRunError(ReasonInvalid, "generate request ID: %v", err)
 	}
 	now := time.Now()
 	_, revision := e.docs.Lookup(s.Service)
@@ -35,7 +35,7 @@
 		id: id.String(), caller: callerID(c, user), service: s, revision: revision, kind: k,
 		deadline: now.Add(k.Deadlines.Total.Std()), key: key, started: now,
 	}
-	fill(out)
+	setRequest(out)
 	return out, nil
 }
 
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -17,17 +17,17 @@
 
 // Headers of callers.
 const (
-	headerKind      = "X-Quetzallug-Kind"
-	headerService   = "X-Quetzallug-Service"
-	headerKey       = "Idempotency-Key"
-	headerRequestID = "X-Request-Id"
+	headerKind           = "X-Quetzallug-Kind"
+	headerService        = "X-Quetzallug-Service"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerRequestID      = "X-Request-Id"
 )
 
 const (
 	defaultMaxTokens = 256
-	maxMaxTokens     = 1 << 20
+	maxTokensLimit   = 1 << 20
 	// maxKeyBytes bounds an idempotency key.
-	maxKeyBytes = 255
+	maxIdempotencyKeyBytes = 255
 )
 
 // completionRequest is the body of POST /v1/completions and /v1/chat/completions. Fields that
@@ -60,9 +60,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, invalid(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes", limit)
+		return nil, invalidError(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes", limit)
 	case err != nil:
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "read body: %v", err)
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "read body: %v", err)
 	}
 	return body, nil
 }
@@ -71,7 +71,7 @@
 func parseCompletion(body []byte, chat bool) (*completionRequest, *Error) {
 	var r completionRequest
 	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "body is not valid JSON of the completions shape: %v", err)
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "body is not valid JSON of the completions shape: %v", err)
 	}
 	if chat {
 		r.Prompt = joinMessages(r.Messages)
@@ -81,13 +81,13 @@
 	}
 	switch {
 	case r.Model == "":
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "field model is required")
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "field model is required")
 	case r.Prompt == "" && chat:
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "field messages is required and must have content")
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "field messages is required and must have content")
 	case r.Prompt == "":
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "field prompt is required")
-	case r.MaxTokens < 0 || r.MaxTokens > maxMaxTokens:
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "field max_tokens: found %d, allowed are 1 to %d", r.MaxTokens, maxMaxTokens)
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "field prompt is required")
+	case r.MaxTokens < 0 || r.MaxTokens > maxTokensLimit:
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "field max_tokens: found %d, allowed are 1 to %d", r.MaxTokens, maxTokensLimit)
 	}
 	return &r, nil
 }
@@ -111,11 +111,11 @@
 	base, adapter, _ := strings.Cut(r.Model, ":")
 	s := e.modelService(c.GetHeader(headerService), base, adapter)
 	if s == nil {
-		return nil, invalid(http.StatusNotFound, ReasonNoModel, "no service has model %q", r.Model)
+		return nil, invalidError(http.StatusNotFound, ReasonNoModel, "no service has model %q", r.Model)
 	}
 	kind := s.FindKind(document.Match{Kind: c.GetHeader(headerKind), Model: base, Method: http.MethodPost})
 	if kind == nil {
-		return nil, invalid(http.StatusBadRequest, ReasonNoKind, "no kind of service %s matches the request", s.Service)
+		return nil, invalidError(http.StatusBadRequest, ReasonNoKind, "no kind of service %s matches the request", s.Service)
 	}
 	m := &v1.ModelRequest{
 		Model: base, Adapter: adapter, Prompt: r.Prompt, PromptTokens: uint32(countTokens(r.Prompt)),
@@ -158,11 +158,11 @@
 func (e *Entry) plainCall(c *gin.Context, service, path string, body []byte) (*call, *Error) {
 	s, _ := e.docs.Lookup(service)
 	if s == nil || s.Type != document.TypePlain {
-		return nil, invalid(http.StatusNotFound, ReasonNoService, "no plain service %q", service)
+		return nil, invalidError(http.StatusNotFound, ReasonNoService, "no plain service %q", service)
 	}
 	kind := s.FindKind(document.Match{Kind: c.GetHeader(headerKind), Method: c.Request.Method, PathPrefix: path})
 	if kind == nil {
-		return nil, invalid(http.StatusBadRequest, ReasonNoKind, "no kind of service %s matches %s %s", service, c.Request.Method, path)
+		return nil, invalidError(http.StatusBadRequest, ReasonNoKind, "no kind of service %s matches %s %s", service, c.Request.Method, path)
 	}
 	if q := c.Request.URL.RawQuery; q != "" {
 		path += "?" + q
@@ -173,12 +173,12 @@
 }
 
 // callerCredentials starts the ID of a caller that is known by its credentials.
-const callerCredentials = "key:"
+const credentialsPrefix = "key:"
 
 // callerID names the caller for limits: its credentials, its user name or its address.
 func callerID(c *gin.Context, user string) string {
 	if auth := c.GetHeader("Authorization"); auth != "" {
-		return callerCredentials + digest(auth)
+		return credentialsPrefix + digest(auth)
 	}
 	if user != "" {
 		return "user:" + user
--- a/entry/picker.go
+++ b/entry/picker.go
@@ -13,35 +13,35 @@
 // Pick implements Picker.
 func (f *Fleet) Pick(p PickRequest) (Worker, string, error) {
 	s := f.service(p.Service)
-	q := f.request(p)
+	q := f.routingRequest(p)
 	d := s.router.Choose(&q, s.fleet, time.Now())
-	f.probeOld(s, &d)
+	f.probeStale(s, &d)
 	if d.Decode == nil {
 		return Worker{}, "", fmt.Errorf("%w: %d considered", errNoWorker, d.Considered)
 	}
 	s.router.Sent(&q, &d, time.Now())
-	w := s.worker(d.Decode)
+	w := s.member(d.Decode)
 	if !d.Single() && p.Repeatable {
-		prefill := s.worker(d.Prefill)
+		prefill := s.member(d.Prefill)
 		w.Prefill = &prefill
 	}
 	return w, fmt.Sprintf("%s; %d considered, expected first token %s, total %s",
 		d.Reason, d.Considered, d.FirstToken.Round(time.Millisecond), d.Total.Round(time.Millisecond)), nil
 }
 
-func (s *serviceFleet) worker(w *routing.Worker) Worker {
+func (s *serviceFleet) member(w *routing.Worker) Worker {
 	m := s.members[w.ID]
 	return Worker{Instance: m.ID, Address: m.Address, Incarnation: m.Incarnation}
 }
 
 // Expect returns what the best worker would deliver, for admission.
-func (f *Fleet) Expect(p PickRequest) routing.Decision {
+func (f *Fleet) Predict(p PickRequest) routing.Decision {
 	s := f.service(p.Service)
-	q := f.request(p)
+	q := f.routingRequest(p)
 	return s.router.Choose(&q, s.fleet, time.Now())
 }
 
-func (f *Fleet) request(p PickRequest) routing.Request {
+func (f *Fleet) routingRequest(p PickRequest) routing.Request {
 	return routing.Request{
 		Model: p.Model, DataCentre: f.dataCentre, PromptTokens: p.PromptTokens, OutputTokens: p.MaxTokens,
 		Blocks: p.Prefix, FirstToken: p.FirstToken, BetweenTokens: p.BetweenTokens, Exclude: p.Tried,
@@ -50,7 +50,7 @@
 
 // work returns what an attempt adds to the worker that decodes, and to the one that prefills if
 // that is another one.
-func work(w Worker, p PickRequest) (decode, prefill load.Work) {
+func attemptWork(w Worker, p PickRequest) (decode, prefill load.Work) {
 	pieces := func(tokens int) int { return (tokens + external.PieceTokens - 1) / external.PieceTokens }
 	decode = load.Work{PrefillTokens: p.PromptTokens, Decode: true, Pieces: pieces(p.PromptTokens + p.MaxTokens)}
 	if w.Prefill != nil {
@@ -63,7 +63,7 @@
 // Sent implements Picker.
 func (f *Fleet) Sent(w Worker, p PickRequest) {
 	now := time.Now()
-	decode, prefill := work(w, p)
+	decode, prefill := attemptWork(w, p)
 	t := f.tracker.Worker(w.Instance).Sent(decode, now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // takeTicket returns and forgets the ticket of an attempt.
-func (f *Fleet) takeTicket(worker, request string) load.Ticket {
+func (f *Fleet) removeTicket(worker, request string) load.Ticket {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	key := ticketKey{worker, request}
@@ -87,10 +87,10 @@
 func (f *Fleet) Done(w Worker, p PickRequest, r Result) {
 	now := time.Now()
 	worker := f.tracker.Worker(w.Instance)
-	ticket := f.takeTicket(w.Instance, p.RequestID)
+	ticket := f.removeTicket(w.Instance, p.RequestID)
 	worker.Finished(ticket, now)
 	if w.Prefill != nil {
-		worker, ticket = f.tracker.Worker(w.Prefill.Instance), f.takeTicket(w.Prefill.Instance, p.RequestID)
+		worker, ticket = f.tracker.Worker(w.Prefill.Instance), f.removeTicket(w.Prefill.Instance, p.RequestID)
 		worker.Finished(ticket, now)
 	}
 	if r.Tokens > 0 {
@@ -112,9 +112,9 @@
 		Kind: membership.Answered, Started: now.Add(-r.Elapsed),
 	}
 	switch {
-	case r.Refused:
+	case r.ConnectionRefused:
 		e.Kind = membership.Refused
-	case (r.Silent || r.Broken) && r.Tokens == 0:
+	case (r.TimedOut || r.ConnectionBroken) && r.Tokens == 0:
 		// A connection that breaks before any frame is no answer: something other than the worker may
 		// accept connections at its address.
 		e.Kind = membership.Silent
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -13,19 +13,19 @@
 
 // servePlainCall runs a plain request. A request that may not be repeated and carries an
 // idempotency key is claimed first, so that retries by its caller meet the first run.
-func (e *Entry) servePlainCall(ctx context.Context, call *call, out *wholeSink) (*v1.Final, *Error) {
+func (e *Entry) servePlainCall(ctx context.Context, call *call, out *bufferSink) (*v1.Final, *Error) {
 	if call.key == "" || call.kind.Repeatable {
 		return e.serve(ctx, call, out)
 	}
 	claim := e.claimRequest(call, once.ActionClaim)
 	recorded, err := e.claim(ctx, call, claim)
 	if err != nil {
-		e.finish(call, err)
+		e.recordOutcome(call, err)
 		return nil, err
 	}
 	if recorded != nil {
 		out.buf.Write(recorded.Body)
-		e.finish(call, nil)
+		e.recordOutcome(call, nil)
 		return &v1.Final{Status: recorded.Status, ContentType: recorded.ContentType}, nil
 	}
 	final, err := e.serve(ctx, call, out)
@@ -38,7 +38,7 @@
 	// Credentials are part of the fingerprint, so that a caller never gets the recorded answer of
 	// another one. An address is not, because it may change between a caller's retries.
 	caller := ""
-	if strings.HasPrefix(call.caller, callerCredentials) {
+	if strings.HasPrefix(call.caller, credentialsPrefix) {
 		caller = call.caller
 	}
 	for _, part := range []string{caller, call.plain.GetMethod(), call.plain.GetPath(), call.plain.GetContentType()} {
@@ -62,19 +62,19 @@
 		return nil, nil
 	case once.StateComplete:
 		if res.Answer.Omitted() {
-			return nil, withStatus(http.StatusConflict, unknown(ReasonKeyHeld, "the request with this key ran; its answer was too large to keep"))
+			return nil, withStatus(http.StatusConflict, unknownError(ReasonKeyHeld, "the request with this key ran; its answer was too large to keep"))
 		}
 		return &res.Answer, nil
 	case once.StateHeld:
-		return nil, withStatus(http.StatusConflict, unknown(ReasonKeyHeld, "an earlier request with this key has no recorded answer"))
+		return nil, withStatus(http.StatusConflict, unknownError(ReasonKeyHeld, "an earlier request with this key has no recorded answer"))
 	case once.StateMismatch:
-		return nil, invalid(http.StatusUnprocessableEntity, ReasonKeyMismatch, "the key was used for a different request")
+		return nil, invalidError(http.StatusUnprocessableEntity, ReasonKeyMismatch, "the key was used for a different request")
 	case once.StateExpired:
-		return nil, withStatus(http.StatusConflict, unknown(ReasonKeyExpired, "the key's time is outside the accepted period"))
+		return nil, withStatus(http.StatusConflict, unknownError(ReasonKeyExpired, "the key's time is outside the accepted period"))
 	case once.StateUnavailable:
-		return nil, notRun(ReasonKeyStore, "the claim of the key could not be recorded: %v", res.Err)
+		return nil, notRunError(ReasonKeyStore, "the claim of the key could not be recorded: %v", res.Err)
 	default:
-		return nil, unknown(ReasonKeyStore, "the outcome of the claim of the key is not known: %v", res.Err)
+		return nil, unknownError(ReasonKeyStore, "the outcome of the claim of the key is not known: %v", res.Err)
 	}
 }
 
--- a/entry/refresh.go
+++ b/entry/refresh.go
@@ -20,18 +20,18 @@
 	refreshInterval = time.Second
 	// refreshProbes bounds the probes of one look. A probe moves about 400 bytes, so that an
 	// entry stays below its budget of 4 KB/s for control.
-	refreshProbes = 6
+	maxRefreshProbes = 6
 	// refreshUnready and refreshReady are the ages above which the report of a worker that
 	// cannot take work, or that can, is refreshed.
-	refreshUnready = time.Second
-	refreshReady   = 10 * time.Second
+	maxReportAgeUnready = time.Second
+	maxReportAgeReady   = 10 * time.Second
 	// learnAbove is the number of workers without a report above which an entry asks a peer. Probes
 	// alone would take 107 s to go round 640 workers, while the first ones get all work.
-	learnAbove = 2 * refreshProbes
+	peerReportThreshold = 2 * maxRefreshProbes
 	// learnEvery bounds the questions to peers. An answer about 640 workers has some 20 KB, which
 	// keeps an entry that is learning near its budget of 4 KB/s.
-	learnEvery   = 5 * time.Second
-	learnTimeout = 2 * time.Second
+	peerReportInterval = 5 * time.Second
+	peerReportTimeout  = 2 * time.Second
 )
 
 // Run refreshes the reports of workers that traffic does not reach, such as those that are
@@ -39,19 +39,19 @@
 func (f *Fleet) Run(ctx context.Context) {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
-	var learned time.Time
+	var lastFetch time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		if peers := f.reportSources(); len(peers) > 0 && time.Since(learned) >= learnEvery {
-			learned = time.Now()
-			f.learn(ctx, peers[rand.IntN(len(peers))]) //nolint:gosec // a choice between peers needs no secrecy
+		if peers := f.reportPeers(); len(peers) > 0 && time.Since(lastFetch) >= peerReportInterval {
+			lastFetch = time.Now()
+			f.fetchPeerReports(ctx, peers[rand.IntN(len(peers))]) //nolint:gosec // a choice between peers needs no secrecy
 		}
 		var wg sync.WaitGroup
-		for _, m := range f.due(time.Now()) {
+		for _, m := range f.dueForRefresh(time.Now()) {
 			wg.Go(func() {
 				f.refresh(ctx, m)
 			})
@@ -72,7 +72,7 @@
 
 // due returns the members to probe now. The first ones are those whose report is oldest in relation
 // to its limit, so that a worker that becomes ready is seen before the round of a large fleet ends.
-func (f *Fleet) due(now time.Time) []membership.Member {
+func (f *Fleet) dueForRefresh(now time.Time) []membership.Member {
 	type candidate struct {
 		member membership.Member
 		age    float64 // as a multiple of the limit
@@ -84,35 +84,35 @@
 			continue
 		}
 		r := f.reports[m.ID]
-		limit := refreshReady
-		if r == nil || r.GetDraining() || withoutModels(r) {
-			limit = refreshUnready
+		limit := maxReportAgeReady
+		if r == nil || r.GetDraining() || hasNoModels(r) {
+			limit = maxReportAgeUnready
 		}
-		if age := now.Sub(f.reported[m.ID]).Seconds() / limit.Seconds(); age >= 1 {
+		if age := now.Sub(f.reportedAt[m.ID]).Seconds() / limit.Seconds(); age >= 1 {
 			all = append(all, candidate{m, age})
 		}
 	}
 	f.mu.RUnlock()
 	slices.SortFunc(all, func(a, b candidate) int { return cmp.Compare(b.age, a.age) })
 	var due []membership.Member
-	for _, c := range all[:min(len(all), refreshProbes)] {
+	for _, c := range all[:min(len(all), maxRefreshProbes)] {
 		due = append(due, c.member)
 	}
 	return due
 }
 
 // reportSources returns the live entries if many workers have no report yet, otherwise none.
-func (f *Fleet) reportSources() []external.Instance {
+func (f *Fleet) reportPeers() []external.Instance {
 	snapshot := f.view.Snapshot()
-	unknown := 0
+	unreported := 0
 	f.mu.RLock()
 	for _, m := range snapshot.Members {
 		if m.Role == external.RoleSidecar && m.View == membership.StateLive && f.reports[m.ID] == nil {
-			unknown++
+			unreported++
 		}
 	}
 	f.mu.RUnlock()
-	if unknown <= learnAbove {
+	if unreported <= peerReportThreshold {
 		return nil
 	}
 	return snapshot.Entries()
@@ -120,8 +120,8 @@
 
 // learn takes a peer's reports about workers that have none here. Their age is not known, so they
 // count as due for a refresh: they tell what a worker serves, and hardly how loaded it is.
-func (f *Fleet) learn(ctx context.Context, peer external.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
+func (f *Fleet) fetchPeerReports(ctx context.Context, peer external.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, peerReportTimeout)
 	defer cancel()
 	resp, err := f.clients.Peer(peer.Address).Status(ctx, connect.NewRequest(&v1.StatusRequest{Cluster: f.cluster}))
 	if err != nil {
@@ -135,10 +135,10 @@
 		if !ok || m.Address != w.GetAddress() || f.hasReport(m.ID) {
 			continue
 		}
-		r.AgeMs = max(r.GetAgeMs(), uint32(refreshReady.Milliseconds()))
+		r.AgeMs = max(r.GetAgeMs(), uint32(maxReportAgeReady.Milliseconds()))
 		f.Report(r, now)
 		f.mu.Lock()
-		f.reported[m.ID] = now.Add(-refreshReady)
+		f.reportedAt[m.ID] = now.Add(-maxReportAgeReady)
 		f.mu.Unlock()
 	}
 }
--- a/entry/refresh_test.go
+++ b/entry/refresh_test.go
@@ -20,16 +20,16 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
-const learnWorkers = 40
+const fleetSize = 40
 
 // fleetOf returns a fleet of one entry and some workers.
-func fleetOf(t *testing.T, peer string) *Fleet {
+func newTestFleet(t *testing.T, peer string) *Fleet {
 	view, err := membership.NewView(membership.DefaultSettings(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
 	list := external.InstanceSnapshot{Version: 1, Instances: []external.Instance{
 		{ID: "entry-0", Role: external.RoleEntry, Address: peer, State: external.InstanceLive},
 	}}
-	for i := range learnWorkers {
+	for i := range fleetSize {
 		list.Instances = append(list.Instances, external.Instance{
 			ID: fmt.Sprintf("w%d", i), Role: external.RoleSidecar, Service: "s", Address: workerAddress(i), State: external.InstanceLive,
 		})
@@ -52,7 +52,7 @@
 // report that replaces a worker's own or that belongs to another process.
 func TestLearnFromPeer(t *testing.T) {
 	var workers []*v1.WorkerStatus
-	for i := range learnWorkers {
+	for i := range fleetSize {
 		workers = append(workers, workerStatus(i, 9))
 	}
 	workers[3].Address = "10.9.9.9:1"
@@ -68,51 +68,51 @@
 	go func() { _ = srv.Serve(l) }()
 	defer srv.Close()
 
-	f := fleetOf(t, l.Addr().String())
+	f := newTestFleet(t, l.Addr().String())
 	own := workerStatus(5, 4).GetLoad()
 	f.Report(own, time.Now())
-	peers := f.reportSources()
+	peers := f.reportPeers()
 	require.Len(t, peers, 1)
-	f.learn(t.Context(), peers[0])
-	assert.Empty(t, f.reportSources())
+	f.fetchPeerReports(t.Context(), peers[0])
+	assert.Empty(t, f.reportPeers())
 	assert.Same(t, own, f.reports["w5"])
 	assert.Nil(t, f.reports["w3"])
-	assert.Len(t, f.reports, learnWorkers-1)
-	assert.GreaterOrEqual(t, f.reports["w7"].GetAgeMs(), uint32(refreshReady.Milliseconds()))
-	assert.Len(t, f.due(time.Now()), refreshProbes, "learned reports are due for a refresh")
+	assert.Len(t, f.reports, fleetSize-1)
+	assert.GreaterOrEqual(t, f.reports["w7"].GetAgeMs(), uint32(maxReportAgeReady.Milliseconds()))
+	assert.Len(t, f.dueForRefresh(time.Now()), maxRefreshProbes, "learned reports are due for a refresh")
 }
 
 // Guards against a worker that has become ready and is probed only when the round of the whole
 // fleet comes to it.
 func TestUnreadyWorkersAreProbedFirst(t *testing.T) {
-	f := fleetOf(t, "127.0.0.1:1")
+	f := newTestFleet(t, "127.0.0.1:1")
 	now := time.Now()
-	for i := range learnWorkers {
+	for i := range fleetSize {
 		f.Report(workerStatus(i, 1).GetLoad(), now.Add(-time.Duration(90+i)*time.Second))
 	}
 	draining := workerStatus(8, 2).GetLoad()
 	draining.Draining = true
 	f.Report(draining, now.Add(-20*time.Second))
-	due := f.due(now)
-	require.Len(t, due, refreshProbes)
+	due := f.dueForRefresh(now)
+	require.Len(t, due, maxRefreshProbes)
 	assert.Equal(t, "w8", due[0].ID)
 }
 
 // Guards against probes that grow with the number of requests.
 func TestDecisionProbesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := fleetOf(t, "127.0.0.1:1")
+		f := newTestFleet(t, "127.0.0.1:1")
 		probes := func() (started int) {
 			for i := range 10_000 {
-				if id := fmt.Sprintf("w%d", i%learnWorkers); f.startProbe(id) {
+				if id := fmt.Sprintf("w%d", i%fleetSize); f.startProbe(id) {
 					started++
-					delete(f.probing, id)
+					delete(f.probesInFlight, id)
 				}
 			}
 			return started
 		}
-		require.Equal(t, decisionBurst, probes())
+		require.Equal(t, decisionProbeBurst, probes())
 		time.Sleep(time.Second)
-		require.Equal(t, decisionProbes, probes())
+		require.Equal(t, decisionProbesPerSecond, probes())
 	})
 }
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -63,42 +63,42 @@
 func (*tokenStream) Close() error { return nil }
 
 // oneDocument is the documents in force of the benchmark.
-type oneDocument struct{ service *document.Service }
+type fixedDocument struct{ service *document.Service }
 
-func (d oneDocument) Lookup(string) (*document.Service, uint64) { return d.service, 1 }
-func (d oneDocument) Services() []*document.Service             { return []*document.Service{d.service} }
-func (oneDocument) Observe(string, uint64)                      {}
-func (oneDocument) Revision(string) uint64                      { return 1 }
+func (d fixedDocument) Lookup(string) (*document.Service, uint64) { return d.service, 1 }
+func (d fixedDocument) Services() []*document.Service             { return []*document.Service{d.service} }
+func (fixedDocument) Observe(string, uint64)                      {}
+func (fixedDocument) Revision(string) uint64                      { return 1 }
 
 // onePicker always picks one worker.
-type onePicker struct{ address string }
+type fixedPicker struct{ address string }
 
-func (p onePicker) Pick(entry.PickRequest) (entry.Worker, string, error) {
+func (p fixedPicker) Pick(entry.PickRequest) (entry.Worker, string, error) {
 	return entry.Worker{Instance: "w0", Address: p.address}, "one worker", nil
 }
-func (onePicker) Sent(entry.Worker, entry.PickRequest)               {}
-func (onePicker) Done(entry.Worker, entry.PickRequest, entry.Result) {}
+func (fixedPicker) Sent(entry.Worker, entry.PickRequest)               {}
+func (fixedPicker) Done(entry.Worker, entry.PickRequest, entry.Result) {}
 
-// discardResponse counts the events that reach the caller.
-type discardResponse struct {
+// countingResponse counts the events that reach the caller.
+type countingResponse struct {
 	header http.Header
 	writes int
 	status int
 }
 
-func (d *discardResponse) Header() http.Header  { return d.header }
-func (d *discardResponse) WriteHeader(code int) { d.status = code }
-func (d *discardResponse) Flush()               {}
+func (d *countingResponse) Header() http.Header  { return d.header }
+func (d *countingResponse) WriteHeader(code int) { d.status = code }
+func (d *countingResponse) Flush()               {}
 
 // SetWriteDeadline is there because the server's own response writer supports it.
-func (d *discardResponse) SetWriteDeadline(time.Time) error { return nil }
+func (d *countingResponse) SetWriteDeadline(time.Time) error { return nil }
 
-func (d *discardResponse) Write(b []byte) (int, error) {
+func (d *countingResponse) Write(b []byte) (int, error) {
 	d.writes++
 	return len(b), nil
 }
 
-func serveWorker(b *testing.B, docs oneDocument, m *telemetry.Metrics, log logrus.FieldLogger) string {
+func serveWorker(b *testing.B, docs fixedDocument, m *telemetry.Metrics, log logrus.FieldLogger) string {
 	sc, err := sidecar.New(sidecar.Config{
 		Cluster: "bench", Instance: "w0", Service: benchService, Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
 	}, tokenEngine{}, nil, docs, m, log)
@@ -121,7 +121,7 @@
 	log.SetOutput(io.Discard)
 	m, err := telemetry.New()
 	require.NoError(b, err)
-	docs := oneDocument{&document.Service{
+	docs := fixedDocument{&document.Service{
 		Service: benchService, Type: document.TypeModel, Models: []document.Model{{Name: benchModel}},
 		Kinds: []document.Kind{{
 			Name: "chat", Rank: 1, Repeatable: true,
@@ -132,14 +132,14 @@
 	clients := rpc.NewClients(rpc.ClientConfig{Interceptors: []connect.Interceptor{benchAuth(log)}})
 	defer clients.Close()
 	h := entry.New(entry.Config{Cluster: "bench", Instance: "e0", MaxBodyBytes: 1 << 20, WriteTimeout: time.Minute}, entry.Options{
-		Documents: docs, Picker: onePicker{address}, Clients: clients, Admitter: admitAll{},
+		Documents: docs, Picker: fixedPicker{address}, Clients: clients, Admitter: admitAll{},
 		Budget: retry.NewBudget(retry.Config{}), Metrics: m, Log: log, Decisions: entry.NewDecisionLog(16),
 	}).Handler()
 	frames := 0
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for b.Loop() {
-		w := &discardResponse{header: http.Header{}, status: http.StatusOK}
+		w := &countingResponse{header: http.Header{}, status: http.StatusOK}
 		h.ServeHTTP(w, relayRequest(b))
 		if w.status != http.StatusOK || w.writes < relayTokens {
 			b.Fatalf("status %d, %d writes", w.status, w.writes)
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -35,9 +35,9 @@
 	if old.GetIncarnation() == r.GetIncarnation() && r.GetSequence() < old.GetSequence() {
 		return
 	}
-	f.takeCacheEvents(r, now)
+	f.applyCacheEventsLocked(r, now)
 	f.reports[r.GetInstance()] = r
-	f.reported[r.GetInstance()] = now
+	f.reportedAt[r.GetInstance()] = now
 	if r.GetRole() != "" {
 		f.tracker.Worker(r.GetInstance()).SetRole(external.Role(r.GetRole()))
 	}
@@ -47,12 +47,12 @@
 }
 
 // takeCacheEvents passes the cache events that are new to the routers. The caller holds mu.
-func (f *Fleet) takeCacheEvents(r *v1.LoadReport, now time.Time) {
+func (f *Fleet) applyCacheEventsLocked(r *v1.LoadReport, now time.Time) {
 	all := r.GetCacheEvents()
 	if len(all) == 0 {
 		return
 	}
-	seen := f.cacheSeen[r.GetInstance()]
+	seen := f.lastCacheEvent[r.GetInstance()]
 	last := all[len(all)-1].GetSequence()
 	if last < seen {
 		// A restarted engine numbers its events anew.
@@ -64,7 +64,7 @@
 			fresh = append(fresh, external.CacheEvent{Sequence: e.GetSequence(), Prefix: e.GetPrefix(), Evicted: e.GetEvicted()})
 		}
 	}
-	f.cacheSeen[r.GetInstance()] = last
+	f.lastCacheEvent[r.GetInstance()] = last
 	if len(fresh) == 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // probeOld asks the workers whose reports are old for fresh ones, in the background.
-func (f *Fleet) probeOld(s *serviceFleet, d *routing.Decision) {
+func (f *Fleet) probeStale(s *serviceFleet, d *routing.Decision) {
 	for _, w := range d.Probe {
 		if w == nil {
 			return
@@ -109,7 +109,7 @@
 			f.refresh(context.Background(), m)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			delete(f.probing, m.ID)
+			delete(f.probesInFlight, m.ID)
 		}()
 	}
 }
@@ -119,10 +119,10 @@
 func (f *Fleet) startProbe(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.probing[id] || !f.probes.Allow() {
+	if f.probesInFlight[id] || !f.probeLimiter.Allow() {
 		return false
 	}
-	f.probing[id] = true
+	f.probesInFlight[id] = true
 	return true
 }
 
@@ -195,7 +195,7 @@
 		}
 		if r := f.reports[m.ID]; r != nil {
 			w.Load = proto.CloneOf(r)
-			w.Load.AgeMs += uint32(time.Since(f.reported[m.ID]).Milliseconds())
+			w.Load.AgeMs += uint32(time.Since(f.reportedAt[m.ID]).Milliseconds())
 		}
 		all = append(all, w)
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -19,16 +19,16 @@
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 6
 	// minStall is the shortest silence of a stream that ends a repeatable attempt.
-	minStall = 500 * time.Millisecond
+	minStallTimeout = 500 * time.Millisecond
 	// minFirstStall is the shortest wait for the first frame of a repeatable attempt.
-	minFirstStall = 2 * time.Second
+	minFirstFrameTimeout = 2 * time.Second
 	// stallFactor times a latency target is the silence that ends a repeatable attempt.
 	stallFactor = 8
 	// workerWait is how long a request that was refused or interrupted waits for a usable worker.
 	// It covers the age of a load report by which a changed engine still counts as draining.
-	workerWait = 3 * time.Second
+	maxWorkerWait = 3 * time.Second
 	// workerWaitTick is the time between looks for a usable worker.
-	workerWaitTick = 50 * time.Millisecond
+	workerPollInterval = 50 * time.Millisecond
 )
 
 var errStalled = errors.New("no frame within the stall time")
@@ -42,7 +42,7 @@
 func (e *Entry) run(ctx context.Context, c *call, out sink) (*v1.Final, *Error) {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	r := &runner{Entry: e, call: c, out: out, asm: stream.NewAssembler(c.id)}
+	r := &runner{Entry: e, call: c, out: out, assembler: stream.NewAssembler(c.id)}
 	e.budget.Fresh(time.Now())
 	for {
 		final, err := r.step(ctx)
@@ -55,15 +55,15 @@
 // runner holds the state of one request's attempts.
 type runner struct {
 	*Entry
-	call *call
-	out  sink
-	asm  *stream.Assembler
+	call      *call
+	out       sink
+	assembler *stream.Assembler
 
 	tried []string
 	// ran is true once an attempt may have run.
-	ran      bool
-	attempts int
-	last     Result
+	mayHaveRun bool
+	attempts   int
+	last       Result
 	// waited is the time spent without a usable worker.
 	waited time.Duration
 }
@@ -74,11 +74,11 @@
 	p.Tried = r.tried
 	w, reason, err := r.picker.Pick(p)
 	if err != nil {
-		return nil, r.noWorker(ctx, err)
+		return nil, r.waitForWorker(ctx, err)
 	}
-	attempt, offset := r.asm.Begin()
+	attempt, offset := r.assembler.Begin()
 	r.attempts++
-	r.logChoice(attempt, offset, w, reason)
+	r.recordDecision(attempt, offset, w, reason)
 	r.picker.Sent(w, p)
 	final, res := r.attempt(ctx, w, attempt, offset)
 	r.picker.Done(w, p, res)
@@ -87,37 +87,37 @@
 		return final, nil
 	}
 	if res.Outcome != v1.Outcome_OUTCOME_NOT_RUN {
-		r.ran = true
-		r.discardPlain()
+		r.mayHaveRun = true
+		r.resetPlainAnswer()
 	}
 	r.tried = append(r.tried, w.Instance)
-	return nil, r.next(ctx, res)
+	return nil, r.prepareRetry(ctx, res)
 }
 
 // discardPlain drops the part of a plain answer that a failed attempt has left. A plain answer does
 // not resume: another run may have another status, content type and body.
-func (r *runner) discardPlain() {
-	if out, ok := r.out.(*wholeSink); ok && r.call.plain != nil {
+func (r *runner) resetPlainAnswer() {
+	if out, ok := r.out.(*bufferSink); ok && r.call.plain != nil {
 		out.buf.Reset()
-		r.asm.Restart()
+		r.assembler.Restart()
 	}
 }
 
 // next decides whether another attempt may follow a failed one.
-func (r *runner) next(ctx context.Context, res Result) *Error {
+func (r *runner) prepareRetry(ctx context.Context, res Result) *Error {
 	detail := res.Reason.String()
 	switch {
-	case r.ran && !r.call.kind.Repeatable:
-		return r.giveUp(reasonOf(res.Reason), detail)
+	case r.mayHaveRun && !r.call.kind.Repeatable:
+		return r.finalError(callerReason(res.Reason), detail)
 	case ctx.Err() != nil || !time.Now().Before(r.call.deadline):
-		return r.giveUp(ReasonDeadline, "deadline passed")
+		return r.finalError(ReasonDeadline, "deadline passed")
 	case r.attempts >= maxAttempts:
-		return r.giveUp(reasonOf(res.Reason), detail)
-	case !movedOn(res) && !r.budget.Take(time.Now()):
-		return r.giveUp(ReasonRetryBudget, "retry budget is spent after "+detail)
+		return r.finalError(callerReason(res.Reason), detail)
+	case !plannedChange(res) && !r.budget.Take(time.Now()):
+		return r.finalError(ReasonRetryBudget, "retry budget is spent after "+detail)
 	}
 	r.metrics.Retry(r.call.service.Service, res.Reason)
-	if !movedOn(res) {
+	if !plannedChange(res) {
 		r.backOff(ctx)
 	}
 	return nil
@@ -138,7 +138,7 @@
 // movedOn reports whether an attempt ended because its worker is being changed, stopped or
 // replaced. The retry budget does not count these: they are bounded by the changes themselves,
 // and a budget that is spent would cut answers that a planned change only moves elsewhere.
-func movedOn(res Result) bool {
+func plannedChange(res Result) bool {
 	switch res.Reason {
 	case v1.Reason_REASON_DRAINING:
 		return true
@@ -151,31 +151,31 @@
 // noWorker waits a little for a worker, if one has already refused or interrupted the request:
 // several engines may change at once, and one that has just changed may not be known to be ready.
 // The workers tried so far are then considered again.
-func (r *runner) noWorker(ctx context.Context, cause error) *Error {
-	if r.attempts == 0 || r.waited >= workerWait {
-		return r.giveUp(ReasonNoWorker, cause.Error())
+func (r *runner) waitForWorker(ctx context.Context, cause error) *Error {
+	if r.attempts == 0 || r.waited >= maxWorkerWait {
+		return r.finalError(ReasonNoWorker, cause.Error())
 	}
-	t := time.NewTimer(workerWaitTick)
+	t := time.NewTimer(workerPollInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return r.giveUp(ReasonDeadline, cause.Error())
+		return r.finalError(ReasonDeadline, cause.Error())
 	case <-t.C:
 	}
-	r.waited += workerWaitTick
+	r.waited += workerPollInterval
 	r.tried = nil
 	return nil
 }
 
 // giveUp returns "not run" only if no attempt can have run.
-func (r *runner) giveUp(reason Reason, detail string) *Error {
-	if r.ran {
-		return unknown(reason, "%s", detail)
+func (r *runner) finalError(reason Reason, detail string) *Error {
+	if r.mayHaveRun {
+		return unknownError(reason, "%s", detail)
 	}
-	return notRun(reason, "%s", detail)
+	return notRunError(reason, "%s", detail)
 }
 
-func (r *runner) logChoice(attempt uint32, offset uint64, w Worker, reason string) {
+func (r *runner) recordDecision(attempt uint32, offset uint64, w Worker, reason string) {
 	prefill := ""
 	if w.Prefill != nil {
 		prefill = w.Prefill.Instance
@@ -192,13 +192,13 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	started := time.Now()
-	first, between := r.stallTimes()
+	first, between := r.stallTimeouts()
 	timer := time.AfterFunc(first, func() { cancel(errStalled) })
 	defer timer.Stop()
 	req := r.call.request(r.cfg.Cluster, w, attempt, offset, started)
 	s, err := r.clients.Worker(w.Address).Execute(ctx, connect.NewRequest(req))
 	if err != nil {
-		return nil, failed(ctx, err, started)
+		return nil, classifyFailure(ctx, err, started)
 	}
 	defer s.Close()
 	res := Result{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_BACKEND_FAILED}
@@ -206,7 +206,7 @@
 	for s.Receive() {
 		timer.Reset(between)
 		f := s.Msg()
-		verdict, err := r.asm.Accept(f)
+		verdict, err := r.assembler.Accept(f)
 		if err != nil {
 			r.log.WithField("request_id", r.call.id).WithError(err).Warn("frame refused")
 			return nil, res
@@ -215,20 +215,20 @@
 		case stream.Drop:
 		case stream.Deliver:
 			now := time.Now()
-			r.measure(&res, f, started, previous, now)
+			r.recordLatency(&res, f, started, previous, now)
 			previous = now
 			if err := r.out.write(f.GetData()); err != nil {
 				res.Reason = v1.Reason_REASON_CANCELLED
 				return nil, res
 			}
 		case stream.End:
-			return r.ended(f.GetFinal(), res, started)
+			return r.applyFinal(f.GetFinal(), res, started)
 		}
 	}
-	return nil, failed(ctx, s.Err(), started)
+	return nil, classifyFailure(ctx, s.Err(), started)
 }
 
-func (r *runner) measure(res *Result, f *v1.Frame, started, previous, now time.Time) {
+func (r *runner) recordLatency(res *Result, f *v1.Frame, started, previous, now time.Time) {
 	c := r.call
 	if res.Tokens == 0 {
 		res.FirstToken = now.Sub(started)
@@ -241,7 +241,7 @@
 	res.Tokens += uint64(f.GetTokens())
 }
 
-func (r *runner) ended(f *v1.Final, res Result, started time.Time) (*v1.Final, Result) {
+func (r *runner) applyFinal(f *v1.Final, res Result, started time.Time) (*v1.Final, Result) {
 	r.docs.Observe(r.call.service.Service, f.GetConfigRevision())
 	res.Outcome, res.Reason, res.Load = f.GetOutcome(), f.GetReason(), f.GetLoad()
 	res.Elapsed = time.Since(started)
@@ -250,34 +250,34 @@
 
 // failed classifies an attempt that ended without a final frame. Only a connection that was
 // never made proves that the request did not run.
-func failed(ctx context.Context, err error, started time.Time) Result {
+func classifyFailure(ctx context.Context, err error, started time.Time) Result {
 	res := Result{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_BACKEND_FAILED, Elapsed: time.Since(started)}
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		res.Outcome, res.Refused = v1.Outcome_OUTCOME_NOT_RUN, true
+		res.Outcome, res.ConnectionRefused = v1.Outcome_OUTCOME_NOT_RUN, true
 	case errors.Is(context.Cause(ctx), errStalled):
-		res.Silent = true
+		res.TimedOut = true
 	case connect.CodeOf(err) == connect.CodeUnauthenticated:
 		res.Outcome, res.Reason = v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_INVALID
 	case ctx.Err() != nil:
 		res.Reason = v1.Reason_REASON_DEADLINE
-		res.Silent = errors.Is(ctx.Err(), context.DeadlineExceeded)
+		res.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
 	default:
-		res.Broken = true
+		res.ConnectionBroken = true
 	}
 	return res
 }
 
 // stallTimes returns how long an attempt may be silent before its first frame and between
 // frames. An unrepeatable request waits for its deadline, since another attempt is not allowed.
-func (r *runner) stallTimes() (first, between time.Duration) {
-	rest := time.Until(r.call.deadline) + time.Second
+func (r *runner) stallTimeouts() (first, between time.Duration) {
+	remaining := time.Until(r.call.deadline) + time.Second
 	if !r.call.kind.Repeatable || r.call.model == nil {
-		return rest, rest
+		return remaining, remaining
 	}
 	d := r.call.kind.Deadlines
-	first = max(minFirstStall, 4*d.FirstToken.Std())
-	between = max(minStall, stallFactor*d.BetweenTokens.Std())
-	return min(first, rest), min(between, rest)
+	first = max(minFirstFrameTimeout, 4*d.FirstToken.Std())
+	between = max(minStallTimeout, stallFactor*d.BetweenTokens.Std())
+	return min(first, remaining), min(between, remaining)
 }
--- a/entry/run_internal_test.go
+++ b/entry/run_internal_test.go
@@ -47,31 +47,31 @@
 }
 
 // scarcePicker has one worker, which is not usable for the given number of picks after each attempt.
-type scarcePicker struct {
-	worker  Worker
-	missing int
-	left    int
+type intermittentPicker struct {
+	worker           Worker
+	unavailableAfter int
+	unavailable      int
 	// picks counts the choices made.
 	picks int
 }
 
-func (p *scarcePicker) Pick(r PickRequest) (Worker, string, error) {
-	if p.left > 0 || len(r.Tried) > 0 {
-		p.left--
+func (p *intermittentPicker) Pick(r PickRequest) (Worker, string, error) {
+	if p.unavailable > 0 || len(r.Tried) > 0 {
+		p.unavailable--
 		return Worker{}, "", errNoWorker
 	}
 	p.picks++
-	p.left = p.missing
+	p.unavailable = p.unavailableAfter
 	return p.worker, "", nil
 }
-func (*scarcePicker) Sent(Worker, PickRequest)         {}
-func (*scarcePicker) Done(Worker, PickRequest, Result) {}
+func (*intermittentPicker) Sent(Worker, PickRequest)         {}
+func (*intermittentPicker) Done(Worker, PickRequest, Result) {}
 
-type spentBudget struct{}
+type exhaustedBudget struct{}
 
-func (spentBudget) Fresh(time.Time)                                      {}
-func (spentBudget) Take(time.Time) bool                                  { return false }
-func (spentBudget) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
+func (exhaustedBudget) Fresh(time.Time)                                      {}
+func (exhaustedBudget) Take(time.Time) bool                                  { return false }
+func (exhaustedBudget) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
 
 type noMetrics struct{}
 
@@ -87,7 +87,7 @@
 func (noDocuments) Observe(string, uint64)                    {}
 
 // runScript runs a repeatable chat request against a worker that follows a script.
-func runScript(t *testing.T, p *scarcePicker, script ...*v1.Final) (string, *Error) {
+func runScript(t *testing.T, p *intermittentPicker, script ...*v1.Final) (string, *Error) {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(&scriptedWorker{script: script}))
@@ -102,29 +102,29 @@
 	log := logrus.New()
 	log.SetOutput(t.Output())
 	e := New(Config{}, Options{
-		Documents: noDocuments{}, Picker: p, Clients: clients, Budget: spentBudget{},
+		Documents: noDocuments{}, Picker: p, Clients: clients, Budget: exhaustedBudget{},
 		Metrics: noMetrics{}, Log: log, Decisions: NewDecisionLog(16),
 	})
 	c := &call{
 		id: "r", service: &document.Service{Service: "s"}, kind: &document.Kind{Name: "chat", Repeatable: true, Interruptible: true},
 		model: &v1.ModelRequest{Model: "m"}, started: time.Now(), deadline: time.Now().Add(time.Minute),
 	}
-	out := &wholeSink{}
+	out := &bufferSink{}
 	_, runErr := e.run(t.Context(), c, out)
 	return out.buf.String(), runErr
 }
 
-func final(o v1.Outcome, r v1.Reason) *v1.Final { return &v1.Final{Outcome: o, Reason: r} }
+func finalOf(o v1.Outcome, r v1.Reason) *v1.Final { return &v1.Final{Outcome: o, Reason: r} }
 
 // Guards against an answer that is cut by a planned change: all engines but those that have just
 // changed are draining, the retry budget is spent, or the only worker was tried before.
 func TestPlannedChangeMovesAnAnswer(t *testing.T) {
-	interrupted := func() *v1.Final { return final(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING) }
-	p := &scarcePicker{missing: 3}
+	interrupted := func() *v1.Final { return finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING) }
+	p := &intermittentPicker{unavailableAfter: 3}
 	text, err := runScript(t, p, interrupted(), interrupted(),
-		final(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_MODEL_NOT_LOADED),
-		final(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_WRONG_INCARNATION),
-		final(v1.Outcome_OUTCOME_COMPLETE, 0))
+		finalOf(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_MODEL_NOT_LOADED),
+		finalOf(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_WRONG_INCARNATION),
+		finalOf(v1.Outcome_OUTCOME_COMPLETE, 0))
 	require.Nil(t, err)
 	require.Equal(t, "xxx", text)
 	require.Equal(t, 5, p.picks)
@@ -134,30 +134,30 @@
 // a wait without bound for a worker.
 func TestRetryIsBounded(t *testing.T) {
 	for _, f := range []*v1.Final{
-		final(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_BACKEND_FAILED),
-		final(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_QUEUE_FULL),
+		finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_BACKEND_FAILED),
+		finalOf(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_QUEUE_FULL),
 	} {
-		_, err := runScript(t, &scarcePicker{}, f)
+		_, err := runScript(t, &intermittentPicker{}, f)
 		require.Equal(t, ReasonRetryBudget, err.Reason)
 	}
-	_, err := runScript(t, &scarcePicker{missing: 1 << 20}, final(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING))
+	_, err := runScript(t, &intermittentPicker{unavailableAfter: 1 << 20}, finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING))
 	require.Equal(t, ReasonNoWorker, err.Reason)
 	require.Equal(t, OutcomeUnknown, err.Outcome)
 
 	// The first attempt is not waited for: another entry may have a worker.
-	started := &scarcePicker{left: 1 << 20}
+	started := &intermittentPicker{unavailable: 1 << 20}
 	_, err = runScript(t, started)
 	require.Equal(t, OutcomeNotRun, err.Outcome)
-	require.Equal(t, 1<<20-1, started.left)
+	require.Equal(t, 1<<20-1, started.unavailable)
 }
 
 // Guards against an engine without models, or one that does not answer, that attracts all
 // requests because it looks like a plain backend server without load.
 func TestEngineWithoutModelsIsNotOffered(t *testing.T) {
-	require.True(t, withoutModels(&v1.LoadReport{Role: "mixed"}))
-	require.False(t, withoutModels(&v1.LoadReport{Role: "mixed", Models: []string{"m"}}))
-	require.True(t, withoutModels(&v1.LoadReport{}), "an engine that does not answer has neither")
-	require.False(t, withoutModels(&v1.LoadReport{Plain: true}))
+	require.True(t, hasNoModels(&v1.LoadReport{Role: "mixed"}))
+	require.False(t, hasNoModels(&v1.LoadReport{Role: "mixed", Models: []string{"m"}}))
+	require.True(t, hasNoModels(&v1.LoadReport{}), "an engine that does not answer has neither")
+	require.False(t, hasNoModels(&v1.LoadReport{Plain: true}))
 }
 
 // Guards against an entry that takes requests right after its start and refuses them all, because
@@ -200,7 +200,7 @@
 		require.False(t, s.Receive())
 		err = s.Err()
 	}
-	res := failed(t.Context(), err, time.Now())
+	res := classifyFailure(t.Context(), err, time.Now())
 	require.Equal(t, v1.Outcome_OUTCOME_UNKNOWN, res.Outcome)
 	w := Worker{Instance: "w", Address: l.Addr().String()}
 	require.Equal(t, membership.Silent, evidence(w, res, time.Now()).Kind)
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -29,7 +29,7 @@
 type script func(r *v1.ExecuteRequest, send func(*v1.Frame))
 
 // scripted serves attempts by scripts, in order over all workers.
-type scripted struct {
+type scriptedWorker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 
 	mu       sync.Mutex
@@ -37,7 +37,7 @@
 	requests []*v1.ExecuteRequest
 }
 
-func (s *scripted) Execute(_ context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
+func (s *scriptedWorker) Execute(_ context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
 	s.mu.Lock()
 	next := s.scripts[min(len(s.requests), len(s.scripts)-1)]
 	s.requests = append(s.requests, r.Msg)
@@ -46,47 +46,47 @@
 	return nil
 }
 
-func data(r *v1.ExecuteRequest, offset uint64, text string) *v1.Frame {
+func dataFrame(r *v1.ExecuteRequest, offset uint64, text string) *v1.Frame {
 	return &v1.Frame{RequestId: r.GetRequestId(), Attempt: r.GetAttempt(), Offset: offset, Tokens: 1, Data: []byte(text)}
 }
 
-func end(r *v1.ExecuteRequest, o v1.Outcome, total uint64) *v1.Frame {
+func finalFrame(r *v1.ExecuteRequest, o v1.Outcome, total uint64) *v1.Frame {
 	return &v1.Frame{RequestId: r.GetRequestId(), Attempt: r.GetAttempt(), Final: &v1.Final{
 		Outcome: o, Total: total, Status: http.StatusOK, ContentType: "text/plain", FinishReason: "stop",
 	}}
 }
 
-func whole(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+func completeAnswer(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	for i, text := range []string{"a", "b", "c"}[r.GetOffset():] {
-		send(data(r, r.GetOffset()+uint64(i), text))
+		send(dataFrame(r, r.GetOffset()+uint64(i), text))
 	}
-	send(end(r, v1.Outcome_OUTCOME_COMPLETE, 3))
+	send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 3))
 }
 
 // cut sends the first part of the answer and no final frame.
-func cut(r *v1.ExecuteRequest, send func(*v1.Frame)) { send(data(r, r.GetOffset(), "a")) }
+func partial(r *v1.ExecuteRequest, send func(*v1.Frame)) { send(dataFrame(r, r.GetOffset(), "a")) }
 
-func refuse(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	send(end(r, v1.Outcome_OUTCOME_NOT_RUN, 0))
+func refuseAttempt(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	send(finalFrame(r, v1.Outcome_OUTCOME_NOT_RUN, 0))
 }
 
-func foreign(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	f := data(r, 0, "x")
+func otherRequestFrame(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	f := dataFrame(r, 0, "x")
 	f.RequestId = "other"
 	send(f)
-	whole(r, send)
+	completeAnswer(r, send)
 }
 
-func late(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	f := data(r, 0, "x")
+func otherAttemptFrame(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	f := dataFrame(r, 0, "x")
 	f.Attempt = r.GetAttempt() + 1
 	send(f)
-	whole(r, send)
+	completeAnswer(r, send)
 }
 
-func short(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	send(data(r, r.GetOffset(), "a"))
-	send(end(r, v1.Outcome_OUTCOME_COMPLETE, 3))
+func earlyFinal(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	send(dataFrame(r, r.GetOffset(), "a"))
+	send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 3))
 }
 
 // picker offers one worker.
@@ -119,11 +119,11 @@
 func (admitAll) Admit(entry.AdmitRequest) (func(), int, *entry.Error) { return func() {}, 1, nil }
 
 // unlimited lets the tests reach the bound on attempts.
-type unlimited struct{}
+type unlimitedBudget struct{}
 
-func (unlimited) Fresh(time.Time)                                      {}
-func (unlimited) Take(time.Time) bool                                  { return true }
-func (unlimited) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
+func (unlimitedBudget) Fresh(time.Time)                                      {}
+func (unlimitedBudget) Take(time.Time) bool                                  { return true }
+func (unlimitedBudget) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
 
 type noMetrics struct{}
 
@@ -132,7 +132,7 @@
 func (noMetrics) BetweenTokens(string, string, time.Duration)                       {}
 func (noMetrics) Retry(string, v1.Reason)                                           {}
 
-func newEntry(t testing.TB, s *scripted) http.Handler {
+func newHandler(t testing.TB, s *scriptedWorker) http.Handler {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -157,7 +157,7 @@
 		}},
 		Picker:  &picker{entry.Worker{Instance: "w", Address: l.Addr().String(), Incarnation: "i"}},
 		Clients: rpc.NewClients(rpc.ClientConfig{}), Admitter: admitAll{}, Metrics: noMetrics{}, Log: log,
-		Budget: unlimited{}, Decisions: entry.NewDecisionLog(8),
+		Budget: unlimitedBudget{}, Decisions: entry.NewDecisionLog(8),
 	})
 	return e.Handler()
 }
@@ -173,21 +173,21 @@
 		attempts int
 		outcome  string // empty: whole
 	}{
-		{"whole", "once", []script{whole}, 1, ""},
-		{"resumed at the offset", "again", []script{cut, whole}, 2, ""},
-		{"cut, not repeatable", "once", []script{cut, whole}, 1, "unknown"},
-		{"not run, then whole", "once", []script{refuse, whole}, 2, ""},
-		{"never run", "once", []script{refuse}, 6, "not_run"},
-		{"cut, then never run", "again", []script{cut, refuse}, 6, "unknown"},
-		{"frame of another request", "once", []script{foreign}, 1, "unknown"},
-		{"frame of another request, repeated", "again", []script{foreign, whole}, 2, ""},
-		{"frame of another attempt", "once", []script{late}, 1, ""},
-		{"final frame before the end", "once", []script{short}, 1, "unknown"},
+		{"whole", "once", []script{completeAnswer}, 1, ""},
+		{"resumed at the offset", "again", []script{partial, completeAnswer}, 2, ""},
+		{"cut, not repeatable", "once", []script{partial, completeAnswer}, 1, "unknown"},
+		{"not run, then whole", "once", []script{refuseAttempt, completeAnswer}, 2, ""},
+		{"never run", "once", []script{refuseAttempt}, 6, "not_run"},
+		{"cut, then never run", "again", []script{partial, refuseAttempt}, 6, "unknown"},
+		{"frame of another request", "once", []script{otherRequestFrame}, 1, "unknown"},
+		{"frame of another request, repeated", "again", []script{otherRequestFrame, completeAnswer}, 2, ""},
+		{"frame of another attempt", "once", []script{otherAttemptFrame}, 1, ""},
+		{"final frame before the end", "once", []script{earlyFinal}, 1, "unknown"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &scripted{scripts: tt.scripts}
-			h := newEntry(t, s)
+			s := &scriptedWorker{scripts: tt.scripts}
+			h := newHandler(t, s)
 			status, body := request(h, tt.kind, false)
 			require.Len(t, s.requests, tt.attempts)
 			if tt.outcome == "" {
@@ -206,7 +206,7 @@
 
 // Guards against a stream that ends with [DONE] although the answer is not whole.
 func TestStreamEndsWithError(t *testing.T) {
-	status, body := request(newEntry(t, &scripted{scripts: []script{cut}}), "once", true)
+	status, body := request(newHandler(t, &scriptedWorker{scripts: []script{partial}}), "once", true)
 	require.Equal(t, http.StatusOK, status)
 	require.Contains(t, body, "event: error")
 	require.Contains(t, body, `"type":"unknown"`)
@@ -225,17 +225,17 @@
 // Guards against an answer of a plain backend server that joins the body of one run with the status
 // of another one.
 func TestPlainAnswerIsOfOneRun(t *testing.T) {
-	s := &scripted{scripts: []script{
-		cut,
+	s := &scriptedWorker{scripts: []script{
+		partial,
 		func(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-			send(data(r, 0, "second"))
-			send(end(r, v1.Outcome_OUTCOME_COMPLETE, 1))
+			send(dataFrame(r, 0, "second"))
+			send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 1))
 		},
 	}}
 	r := httptest.NewRequest(http.MethodGet, "/svc/p/schedule", nil)
 	r.Header.Set("X-Quetzallug-Kind", "again")
 	w := httptest.NewRecorder()
-	newEntry(t, s).ServeHTTP(w, r)
+	newHandler(t, s).ServeHTTP(w, r)
 	require.Len(t, s.requests, 2)
 	require.Equal(t, "second", w.Body.String())
 }
@@ -259,11 +259,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &scripted{scripts: []script{whole}}
+			s := &scriptedWorker{scripts: []script{completeAnswer}}
 			r := httptest.NewRequest(http.MethodPost, tt.path, strings.NewReader(tt.body))
 			r.Header.Set("X-Quetzallug-Kind", tt.kind)
 			w := httptest.NewRecorder()
-			newEntry(t, s).ServeHTTP(w, r)
+			newHandler(t, s).ServeHTTP(w, r)
 			require.Equal(t, tt.status, w.Code)
 			require.Contains(t, w.Body.String(), `"code":"`+tt.code+`"`)
 			require.Contains(t, w.Body.String(), `"type":"not_run"`)
--- a/entry/waiting_test.go
+++ b/entry/waiting_test.go
@@ -20,12 +20,12 @@
 		var waiting, done sync.WaitGroup
 		release := make(chan struct{})
 		waiting.Add(waitingRequests)
-		s := &scripted{scripts: []script{func(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+		s := &scriptedWorker{scripts: []script{func(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 			waiting.Done()
 			<-release
-			whole(r, send)
+			completeAnswer(r, send)
 		}}}
-		h := newEntry(b, s)
+		h := newHandler(b, s)
 		before := memoryInUse()
 		for range waitingRequests {
 			done.Go(func() {
