--- a/entry/admit.go
+++ b/entry/admit.go
@@ -12,8 +12,8 @@
 	"github.com/quetzallug/quetzallug/routing"
 )
 
-// Admission admits requests by the load of the workers and the limits of each service's
-// document. It implements Admitter.
+// Admission is an Admitter that decides by the load of the workers and the limits in each
+// service's configuration document.
 type Admission struct {
 	fleet *Fleet
 
@@ -21,19 +21,21 @@
 	services map[string]*serviceAdmission
 }
 
+// serviceAdmission is the admission state of one service.
 type serviceAdmission struct {
 	limits     document.Limits
 	controller *admission.Controller
-	// refused is the work refused since the start, by kind.
+	// refused is the work that was refused since the process started, by kind.
 	refused map[string]placement.KindWork
 }
 
-// NewAdmission returns an admitter over a fleet.
+// NewAdmission returns an Admission that estimates latency from the load of a fleet.
 func NewAdmission(f *Fleet) *Admission {
 	return &Admission{fleet: f, services: map[string]*serviceAdmission{}}
 }
 
-// controller returns the controller of a service, with the limits of its present document.
+// controller returns the admission controller of a service with the limits of the given document.
+// A new queue size replaces the controller; new limits per caller are applied to the existing one.
 func (a *Admission) controller(s *document.Service) *admission.Controller {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,8 +66,8 @@
 	c := a.controller(r.Service)
 	expected := a.fleet.Predict(r.Pick)
 	e := &admission.Expectation{NoWorker: expected.Decode == nil}
-	// An idle worker serves as early as any can, and only traffic corrects a wrong estimate of
-	// its speed. Refusing there would keep a worker idle for ever.
+	// No worker can serve a request earlier than an idle one, and only traffic corrects a wrong
+	// estimate of a worker's speed. To refuse requests for an idle worker could leave it idle forever.
 	if !e.NoWorker && !idle(&expected, r.Now) {
 		e.FirstToken, e.BetweenTokens, e.Total = expected.FirstToken, expected.BetweenTokens, expected.Total
 	}
@@ -78,12 +80,12 @@
 		a.recordRefused(&r)
 		return nil, 0, refusalError(d)
 	}
-	// Engines serve lower priority numbers first.
+	// Engines serve requests with lower priority numbers first.
 	return func() { c.Release(r.Caller, d) }, r.Kind.Rank, nil
 }
 
-// countRefused adds a refused request to the work of its kind: the planner has to know of work that
-// no sidecar has seen.
+// recordRefused adds a request to the refused work of its kind. The planner needs this figure because
+// no sidecar sees refused requests.
 func (a *Admission) recordRefused(r *AdmitRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,7 +97,8 @@
 	refused[r.Kind.Name] = w
 }
 
-// Refused returns the work of a service that this entry has refused since its start, by kind.
+// Refused returns the work that this entry has refused for a service since the process started, by
+// kind.
 func (a *Admission) Refused(service string) map[string]placement.KindWork {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// idle reports whether the chosen workers have nothing to do.
+// idle reports whether the chosen workers have no requests in progress.
 func idle(d *routing.Decision, now time.Time) bool {
 	for _, w := range []*routing.Worker{d.Prefill, d.Decode} {
 		if l := w.Load.Estimate(now); l.Sequences > 0 || l.PrefillTokens > 0 {
@@ -115,12 +118,12 @@
 	return true
 }
 
-// refused converts a refusal of admission, which always means that the request did not run.
+// refusalError converts an admission refusal to an error. A refused request never ran.
 func refusalError(d admission.Decision) *Error {
 	reason, status := ReasonOverload, http.StatusServiceUnavailable
 	switch d.Reason {
 	case admission.CallerRate, admission.CallerConcurrent:
-		reason, status = ReasonLimit, http.StatusTooManyRequests
+		reason, status = ReasonCallerLimit, http.StatusTooManyRequests
 	case admission.Late, admission.Expired:
 		reason = ReasonDeadline
 	case admission.NoWorker:
--- a/entry/admit_test.go
+++ b/entry/admit_test.go
@@ -15,7 +15,7 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
-// newFleet returns a fleet with one engine that has model m loaded.
+// newFleet returns a fleet with one worker, whose engine has model m loaded.
 func newFleet(t *testing.T) *entry.Fleet {
 	t.Helper()
 	view, err := membership.NewView(membership.DefaultSettings(), rand.New(rand.NewPCG(1, 1)))
@@ -31,8 +31,9 @@
 	return f
 }
 
-// Guards against a wrong estimate of a worker's speed that refuses all requests, so that the
-// worker stays idle and the estimate is never corrected.
+// A request to an idle worker must be admitted even if its estimated latency exceeds the target.
+// Otherwise a wrong estimate of the worker's speed causes all requests to be refused, the worker stays
+// idle and the estimate is never corrected.
 func TestIdleWorkerIsNotTooLate(t *testing.T) {
 	f := newFleet(t)
 	a := entry.NewAdmission(f)
@@ -43,7 +44,7 @@
 			FirstToken: document.Duration(730 * time.Millisecond), Total: document.Duration(time.Minute),
 		}},
 		Deadline: now.Add(time.Minute), Now: now,
-		// 20,000 tokens take 2 s at the default speed, far above the target.
+		// The prefill of 20,000 tokens takes 2 s at the default speed, far above the target of 730 ms.
 		Pick: entry.PickRequest{RequestID: "r", Service: "m", Model: "m", PromptTokens: 20_000, MaxTokens: 10},
 	}
 	release, _, err := a.Admit(r)
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -13,10 +13,10 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// errNotFlushable means that the HTTP connection cannot stream.
-var errNoFlush = errors.New("response cannot be streamed")
+// errNoFlush means that the response writer does not support flushing, which streaming requires.
+var errNoFlush = errors.New("response writer does not support flushing")
 
-// wholeSink collects an answer.
+// bufferSink collects an answer in memory.
 type bufferSink struct{ buf bytes.Buffer }
 
 func (s *bufferSink) write(data []byte) error {
@@ -24,12 +24,12 @@
 	return nil
 }
 
-// eventSink writes an answer as server-sent events in the completions shape.
+// eventSink streams an answer as server-sent events in the format of the completions API.
 type eventSink struct {
 	w       http.ResponseWriter
 	rc      *http.ResponseController
 	timeout time.Duration
-	// head and tail surround the JSON string of each part.
+	// head and tail are the JSON before and after the text of each event.
 	head, tail []byte
 	buf        []byte
 	started    bool
@@ -40,7 +40,8 @@
 	return &eventSink{w: c.Writer, rc: http.NewResponseController(c.Writer), timeout: timeout, head: head, tail: tail}
 }
 
-// eventFrame returns the constant parts of an event around the text.
+// eventFrame returns the parts of an event before and after its text, which are the same for all
+// events of a call.
 func eventFrame(call *call, chat bool) (head, tail []byte) {
 	object, open, end := "text_completion", `"text":`, `,"finish_reason":`
 	if chat {
@@ -55,6 +56,7 @@
 	return head, []byte(end)
 }
 
+// modelName returns the name of a model as callers write it: "model" or "model:adapter".
 func modelName(m *v1.ModelRequest) string {
 	if m.GetAdapter() == "" {
 		return m.GetModel()
@@ -62,7 +64,7 @@
 	return m.GetModel() + ":" + m.GetAdapter()
 }
 
-// begin sends the response header once.
+// writeHeader sends the response header before the first event.
 func (s *eventSink) writeHeader() {
 	if s.started {
 		return
@@ -76,7 +78,7 @@
 
 func (s *eventSink) write(data []byte) error { return s.event(data, "null") }
 
-// event writes one event with the given text and finish reason (a JSON value).
+// event sends one event. finish is the finish reason as a JSON value.
 func (s *eventSink) event(data []byte, finish string) error {
 	s.buf = append(s.buf[:0], s.head...)
 	s.buf = appendJSONString(s.buf, data)
@@ -86,11 +88,11 @@
 	return s.send(s.buf)
 }
 
-// appendJSONString appends text as a JSON string. Text that needs no escape is copied; the rest
-// goes through encoding/json.
+// appendJSONString appends text to b as a JSON string. Text that needs no escaping is copied, which
+// avoids the allocations of encoding/json.
 func appendJSONString(b, text []byte) []byte {
 	if !isJSONSafe(text) {
-		quoted, _ := json.Marshal(string(text)) // a string can always be encoded
+		quoted, _ := json.Marshal(string(text)) // marshalling a string cannot fail
 		return append(b, quoted...)
 	}
 	b = append(b, '"')
@@ -98,7 +100,7 @@
 	return append(b, '"')
 }
 
-// isPlainText reports whether encoding/json would copy the text unchanged.
+// isJSONSafe reports whether encoding/json would encode the text without escapes.
 func isJSONSafe(text []byte) bool {
 	for _, c := range text {
 		if c < ' ' || c > '~' || c == '"' || c == '\\' || c == '<' || c == '>' || c == '&' {
@@ -108,7 +110,8 @@
 	return true
 }
 
-// end marks the answer as whole. Without it, the caller must not treat the answer as complete.
+// end sends the finish reason and the [DONE] event. A caller must treat an answer without [DONE] as
+// incomplete.
 func (s *eventSink) end(f *v1.Final) error {
 	if err := s.event(nil, strconv.Quote(f.GetFinishReason())); err != nil {
 		return err
@@ -116,7 +119,7 @@
 	return s.send([]byte("data: [DONE]\n\n"))
 }
 
-// fail ends a started stream with a typed error event.
+// fail ends a stream that has already started with an error event.
 func (s *eventSink) fail(requestID string, e *Error) error {
 	body, err := json.Marshal(e.body(requestID))
 	if err != nil {
@@ -125,7 +128,7 @@
 	return s.send(append(append([]byte("event: error\ndata: "), body...), "\n\n"...))
 }
 
-// send writes and flushes within the write timeout, so that a slow reader is bounded.
+// send writes and flushes b. The write timeout bounds how long a slow reader can block it.
 func (s *eventSink) send(b []byte) error {
 	s.writeHeader()
 	if err := s.rc.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
@@ -143,7 +146,8 @@
 	return nil
 }
 
-// completion is the whole answer in the completions shape.
+// completion is the response body of a request without streaming, in the format of the completions
+// API.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -166,6 +170,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
+// newCompletion builds the response body from the text and the final frame of an answer.
 func newCompletion(call *call, chat bool, text string, f *v1.Final) completion {
 	ch := choice{FinishReason: f.GetFinishReason()}
 	object := "text_completion"
--- a/entry/answer_internal_test.go
+++ b/entry/answer_internal_test.go
@@ -9,7 +9,8 @@
 	_ "github.com/quetzallug/quetzallug/internal/rapidseed"
 )
 
-// Guards against text that is not escaped, or that reaches callers changed.
+// appendJSONString must produce the same output as encoding/json for any text, or callers receive
+// invalid JSON or changed text.
 func TestAppendJSONString(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(
--- a/entry/call.go
+++ b/entry/call.go
@@ -7,7 +7,7 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// call is one request of a caller.
+// call is a validated request of a caller. Either model or plain is set.
 type call struct {
 	id       string
 	caller   string
@@ -15,17 +15,18 @@
 	revision uint64
 	kind     *document.Kind
 	deadline time.Time
-	// key is the caller's idempotency key, empty if none.
+	// key is the caller's idempotency key, or empty.
 	key   string
 	model *v1.ModelRequest
 	plain *v1.PlainRequest
-	// prefix holds the hashes of the prompt's leading blocks.
+	// prefix holds the hashes of the leading blocks of the prompt, for routing by cached prefix.
 	prefix   []uint64
 	priority int
 	started  time.Time
 }
 
-// request returns one attempt's message.
+// request builds the message to the worker for one attempt. offset is the position at which the
+// answer resumes.
 func (c *call) request(cluster string, w Worker, attempt uint32, offset uint64, now time.Time) *v1.ExecuteRequest {
 	remaining := c.deadline.Sub(now).Milliseconds()
 	r := &v1.ExecuteRequest{
@@ -45,7 +46,7 @@
 	return r
 }
 
-// pickRequest describes the call to the picker.
+// pickRequest returns the properties of the call that the picker uses.
 func (c *call) pickRequest() PickRequest {
 	p := PickRequest{
 		RequestID: c.id, Service: c.service.Service, Prefix: c.prefix, Repeatable: c.kind.Repeatable,
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -6,9 +6,9 @@
 	"github.com/quetzallug/quetzallug/once"
 )
 
-// settleTimeout bounds the recording of a keyed answer.
+// settleTimeout bounds the update of an idempotency key's claim after its request has ended.
 const settleTimeout = 3 * time.Second
 
-// Claimer records claims of keyed requests, so that a request that may not be repeated runs at
-// most once over retries by its caller.
+// Claimer records claims on idempotency keys, so that a non-repeatable request runs at most once
+// even if its caller retries it.
 type Claimer = once.Claimer
--- a/entry/decisions.go
+++ b/entry/decisions.go
@@ -7,19 +7,20 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// DecisionLog keeps the most recent routing and placement decisions for the operators' tool.
+// DecisionLog is a ring buffer of the most recent routing and placement decisions. Operators query
+// it through PeerService.Explain.
 type DecisionLog struct {
 	mu   sync.Mutex
 	ring []*v1.Decision
 	next int
 }
 
-// NewDecisionLog returns a log of the given size.
+// NewDecisionLog returns a log that holds up to size decisions.
 func NewDecisionLog(size int) *DecisionLog {
 	return &DecisionLog{ring: make([]*v1.Decision, size)}
 }
 
-// Add records a decision.
+// Add records a decision and overwrites the oldest one if the log is full.
 func (l *DecisionLog) Add(subject, choice, reason string, candidates []string) {
 	d := &v1.Decision{
 		AtUnixMs: time.Now().UnixMilli(), Subject: subject, Choice: choice, Reason: reason, Candidates: candidates,
@@ -30,7 +31,7 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Find returns the decisions about a subject, oldest first.
+// Find returns the decisions whose subject or choice is the given one, oldest first.
 func (l *DecisionLog) Find(subject string) []*v1.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -5,8 +5,8 @@
 	"github.com/quetzallug/quetzallug/document"
 )
 
-// DocumentsInForce reads the documents in force from a dissemination store and reports
-// revisions seen in traffic to its agent.
+// DocumentsInForce reads the active configuration documents from a dissemination store. It passes
+// revisions that were seen in traffic to the agent, if there is one.
 type DocumentsInForce struct {
 	Store *dissemination.Store
 	Agent *dissemination.Agent
@@ -34,7 +34,8 @@
 	return all
 }
 
-// Revision returns the highest revision of a service that this process holds.
+// Revision returns the highest revision of a service's document that this process has received, or
+// 0 if it has none.
 func (d *DocumentsInForce) Revision(service string) uint64 {
 	if f := d.Store.Snapshot()[service]; f != nil {
 		return f.Highest()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry is the role that serves callers: it parses and admits requests, routes them
-// to sidecars, relays answers, resumes them after failures and serves the system's other
-// processes.
+// Package entry implements the entry role, which accepts requests from callers. It parses and
+// admits requests, routes them to sidecars, streams back the answers and resumes them on another
+// worker after a failure. It also serves documents, claims and status to the other processes of
+// the cluster.
 package entry
 
 import (
@@ -14,47 +15,50 @@
 	"github.com/quetzallug/quetzallug/internal/rpc"
 )
 
-// Config describes one entry.
+// Config configures one entry.
 type Config struct {
 	Cluster     string
 	Instance    string
 	DataCentre  string
 	Incarnation string
-	// MaxBodyBytes bounds a request body before its service is known.
+	// MaxBodyBytes bounds a request body independently of the limit of its service, which is only
+	// known after parsing.
 	MaxBodyBytes int64
-	// WriteTimeout bounds one write to a slow reader.
+	// WriteTimeout bounds each write to a caller, so that slow readers do not block forever.
 	WriteTimeout time.Duration
 }
 
-// Documents is what the entry needs from the documents in force.
+// Documents gives access to the active configuration documents.
 type Documents interface {
-	// Lookup returns a service's document and its revision, nil if there is none.
+	// Lookup returns the document of a service and its revision, or nil if there is none.
 	Lookup(service string) (*document.Service, uint64)
-	// Services returns all documents in force.
+	// Services returns all active documents.
 	Services() []*document.Service
-	// Observe reports a revision seen in traffic, so that a process that is behind catches up.
+	// Observe reports a revision that was seen in traffic, so that a process with an older one
+	// fetches the update.
 	Observe(service string, revision uint64)
 }
 
-// Worker is a candidate for an attempt.
+// Worker is the target of an attempt.
 type Worker struct {
 	Instance    string
 	Address     string
 	Incarnation string
-	// Prefill is the worker that prefills the prompt, nil if this one does.
+	// Prefill is the worker that runs the prefill phase, or nil if this worker runs both phases.
 	Prefill *Worker
 }
 
-// Picker chooses workers and learns from what happens to attempts.
+// Picker selects workers and adjusts its estimates by the results of attempts.
 type Picker interface {
-	// Pick returns a worker for the next attempt of a request.
+	// Pick returns a worker for the next attempt of a request, and the reason of the choice for
+	// logs.
 	Pick(p PickRequest) (Worker, string, error)
 	// Sent and Done report the start and the end of an attempt.
 	Sent(w Worker, p PickRequest)
 	Done(w Worker, p PickRequest, r Result)
 }
 
-// PickRequest describes an attempt to the picker.
+// PickRequest holds the properties of a request that affect the choice of a worker.
 type PickRequest struct {
 	RequestID    string
 	Service      string
@@ -67,24 +71,24 @@
 	// FirstToken and BetweenTokens are the latency targets, zero for none.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Tried holds the instances of earlier attempts.
+	// Tried lists the instances of earlier attempts, which are excluded.
 	Tried []string
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome           v1.Outcome
 	Reason            v1.Reason
-	ConnectionRefused bool // the connection was refused
-	TimedOut          bool // the worker stopped answering
-	ConnectionBroken  bool // the connection broke
+	ConnectionRefused bool // no connection could be established
+	TimedOut          bool // no frame arrived in time
+	ConnectionBroken  bool // the connection broke before the final frame
 	Load              *v1.LoadReport
 	FirstToken        time.Duration
 	Tokens            uint64
 	Elapsed           time.Duration
 }
 
-// Metrics receives the entry's measurements.
+// Metrics records measurements of requests.
 type Metrics interface {
 	Request(service, kind string, outcome string, reason Reason, onTime bool, elapsed time.Duration)
 	FirstToken(service, kind string, d time.Duration)
@@ -92,7 +96,7 @@
 	Retry(service string, cause v1.Reason)
 }
 
-// Entry serves callers.
+// Entry serves the requests of callers.
 type Entry struct {
 	cfg       Config
 	docs      Documents
@@ -108,11 +112,12 @@
 
 // Admitter decides whether a request may start.
 type Admitter interface {
-	// Admit returns a release function, or the error for the caller.
+	// Admit returns the engine priority of the request and a function to call when it ends, or the
+	// error to return to the caller.
 	Admit(a AdmitRequest) (release func(), priority int, err *Error)
 }
 
-// AdmitRequest describes a request to the admitter.
+// AdmitRequest holds the properties of a request that affect its admission.
 type AdmitRequest struct {
 	Caller   string
 	Service  *document.Service
@@ -122,15 +127,17 @@
 	Now      time.Time
 }
 
-// RetryBudget bounds retries to a share of fresh traffic.
+// RetryBudget limits retries to a fraction of the new requests.
 type RetryBudget interface {
+	// Fresh counts a new request.
 	Fresh(now time.Time)
+	// Take reports whether the budget allows a retry, and counts it if so.
 	Take(now time.Time) bool
-	// Backoff returns the wait before a retry, counted from 1.
+	// Backoff returns the wait before a retry. The first retry is number 1.
 	Backoff(retry int, retryAfter time.Duration, rnd *rand.Rand) time.Duration
 }
 
-// Options are the entry's collaborators.
+// Options holds the dependencies of an Entry.
 type Options struct {
 	Documents Documents
 	Picker    Picker
@@ -143,7 +150,7 @@
 	Decisions *DecisionLog
 }
 
-// New returns an entry.
+// New returns an Entry with the given configuration and dependencies.
 func New(cfg Config, o Options) *Entry {
 	return &Entry{
 		cfg: cfg, docs: o.Documents, picker: o.Picker, clients: o.Clients, admitter: o.Admitter,
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -11,43 +11,44 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// Outcome tells a caller whether its request ran.
+// Outcome tells the caller of a failed request whether the request ran.
 type Outcome string
 
-// Outcomes of a request that was not answered whole.
+// Outcomes of failed requests.
 const (
 	// OutcomeNotRun means that the request certainly did not run.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown means that the request may have run, in part or whole.
+	// OutcomeUnknown means that the request may have run, in part or completely.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Reason names the cause of an error to the caller.
+// Reason is the error code in the response body.
 type Reason string
 
-// Reasons of errors.
+// Reasons of failed requests.
 const (
-	ReasonInvalid      Reason = "invalid_request"
-	ReasonTooLarge     Reason = "request_too_large"
-	ReasonNoService    Reason = "unknown_service"
-	ReasonNoModel      Reason = "unknown_model"
-	ReasonNoKind       Reason = "unknown_kind"
-	ReasonLimit        Reason = "caller_limit"
-	ReasonOverload     Reason = "overload"
-	ReasonDeadline     Reason = "deadline"
-	ReasonNoWorker     Reason = "no_worker"
-	ReasonBackend      Reason = "backend_failed"
-	ReasonRetryBudget  Reason = "retry_budget"
-	ReasonKeyHeld      Reason = "key_in_use"
-	ReasonKeyMismatch  Reason = "key_mismatch"
-	ReasonKeyExpired   Reason = "key_expired"
-	ReasonKeyStore     Reason = "key_store_unavailable"
-	ReasonShuttingDown Reason = "shutting_down"
+	ReasonInvalid             Reason = "invalid_request"
+	ReasonRequestTooLarge     Reason = "request_too_large"
+	ReasonUnknownService      Reason = "unknown_service"
+	ReasonUnknownModel        Reason = "unknown_model"
+	ReasonUnknownKind         Reason = "unknown_kind"
+	ReasonCallerLimit         Reason = "caller_limit"
+	ReasonOverload            Reason = "overload"
+	ReasonDeadline            Reason = "deadline"
+	ReasonNoWorker            Reason = "no_worker"
+	ReasonBackendFailed       Reason = "backend_failed"
+	ReasonRetryBudget         Reason = "retry_budget"
+	ReasonKeyInUse            Reason = "key_in_use"
+	ReasonKeyMismatch         Reason = "key_mismatch"
+	ReasonKeyExpired          Reason = "key_expired"
+	ReasonKeyStoreUnavailable Reason = "key_store_unavailable"
+	ReasonShuttingDown        Reason = "shutting_down"
 )
 
+// defaultRetryAfter is the Retry-After time of refusals that have no time of their own.
 const defaultRetryAfter = time.Second
 
-// Error is a request's end other than a whole answer.
+// Error describes a request that failed or was refused.
 type Error struct {
 	Outcome    Outcome
 	Reason     Reason
@@ -61,7 +62,7 @@
 	return fmt.Sprintf("%s (%s): %s", e.Outcome, e.Reason, e.Detail)
 }
 
-// notRun returns an error for a request that certainly did not run and may be sent again.
+// notRunError returns an error for a request that certainly did not run and may be retried.
 func notRunError(r Reason, format string, args ...any) *Error {
 	return &Error{
 		Outcome: OutcomeNotRun, Reason: r, Detail: fmt.Sprintf(format, args...),
@@ -69,12 +70,12 @@
 	}
 }
 
-// invalid returns an error for a request that is wrong and must not be sent again unchanged.
+// invalidError returns an error for an invalid request, which must not be retried unchanged.
 func invalidError(status int, r Reason, format string, args ...any) *Error {
 	return &Error{Outcome: OutcomeNotRun, Reason: r, Detail: fmt.Sprintf(format, args...), Status: status}
 }
 
-// unknown returns an error for a request that may have run.
+// unknownError returns an error for a request that may have run.
 func unknownError(r Reason, format string, args ...any) *Error {
 	status := http.StatusBadGateway
 	if r == ReasonDeadline {
@@ -83,7 +84,7 @@
 	return &Error{Outcome: OutcomeUnknown, Reason: r, Detail: fmt.Sprintf(format, args...), Status: status}
 }
 
-// errorBody is the JSON shape of an error.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -99,7 +100,7 @@
 	return errorBody{Error: errorDetail{Type: e.Outcome, Code: e.Reason, Message: e.Detail, RequestID: requestID}}
 }
 
-// writeError answers with a typed error before any part of an answer has been sent.
+// writeError sends an error response. Nothing may have been sent of the response before.
 func writeError(c *gin.Context, requestID string, e *Error) {
 	if e.RetryAfter > 0 && e.Outcome == OutcomeNotRun {
 		seconds := int((e.RetryAfter + time.Second - 1) / time.Second)
@@ -108,18 +109,20 @@
 	c.JSON(e.Status, e.body(requestID))
 }
 
+// callerReasons maps the reasons that sidecars report to those that callers receive.
 var callerReasons = map[v1.Reason]Reason{
 	v1.Reason_REASON_DRAINING:          ReasonNoWorker,
 	v1.Reason_REASON_QUEUE_FULL:        ReasonOverload,
 	v1.Reason_REASON_DEADLINE:          ReasonDeadline,
 	v1.Reason_REASON_WRONG_INCARNATION: ReasonNoWorker,
 	v1.Reason_REASON_WRONG_SERVICE:     ReasonNoWorker,
-	v1.Reason_REASON_MODEL_NOT_LOADED:  ReasonNoModel,
+	v1.Reason_REASON_MODEL_NOT_LOADED:  ReasonUnknownModel,
 }
 
+// callerReason returns the reason for callers, ReasonBackendFailed if there is no specific one.
 func callerReason(r v1.Reason) Reason {
 	if reason, ok := callerReasons[r]; ok {
 		return reason
 	}
-	return ReasonBackend
+	return ReasonBackendFailed
 }
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -15,24 +15,24 @@
 	"github.com/quetzallug/quetzallug/routing"
 )
 
-// errNoWorker means that no usable worker serves a request.
+// errNoWorker means that no usable worker can serve a request.
 var errNoWorker = errors.New("no usable worker serves the request")
 
 const (
-	// probeTimeout bounds a probe for a fresh load report.
+	// probeTimeout bounds a probe of a worker for its current load.
 	probeTimeout = time.Second
-	// decisionProbes and decisionBurst bound the probes per second that decisions ask for. An entry
-	// at 35 requests/s over subsets of 8 models would otherwise send up to 70 probes/s of 190 bytes,
-	// three times its budget of 4 KB/s for control.
+	// decisionProbesPerSecond and decisionProbeBurst limit the probes that routing decisions start.
+	// Without the limit, an entry with 35 requests/s over subsets of 8 models would send up to 70
+	// probes/s of 190 bytes, three times its budget of 4 KB/s for control traffic.
 	decisionProbesPerSecond = 6
 	decisionProbeBurst      = 12
 )
 
-// Fleet knows the workers of all services: who is usable, how loaded each is, and what each
-// has loaded. It implements Picker.
+// Fleet tracks the workers of all services: which are usable, their load, and the models that they
+// have loaded. It implements Picker.
 //
-// Lock order: Fleet.mu before the locks of the router, tracker and view. No call to another
-// process is made while Fleet.mu is held.
+// Lock order: Fleet.mu is acquired before the locks of the router, tracker and view. Fleet.mu is
+// never held during a call to another process.
 type Fleet struct {
 	cluster      string
 	dataCentre   string
@@ -46,7 +46,7 @@
 	viewVersion uint64
 	reports     map[string]*v1.LoadReport
 	reportedAt  map[string]time.Time
-	// cacheSeen is the sequence of the last cache event taken, by worker.
+	// lastCacheEvent is the sequence number of the last cache event that was applied, by worker.
 	lastCacheEvent map[string]uint64
 	services       map[string]*serviceFleet
 	routers        map[string]*routing.Router
@@ -54,21 +54,23 @@
 	tickets        map[ticketKey]load.Ticket
 }
 
-// ticketKey names an attempt in flight: a request goes to one worker at a time.
+// ticketKey identifies an attempt in flight. It is unique because a request has at most one attempt
+// at a time on a worker.
 type ticketKey struct {
 	worker  string
 	request string
 }
 
-// serviceFleet is the workers of one service at one version of membership and reports. It is
-// replaced, never changed.
+// serviceFleet is an immutable snapshot of the workers of one service. Changes of membership or of
+// reports replace it.
 type serviceFleet struct {
 	router  *routing.Router
 	fleet   *routing.Fleet
 	members map[string]membership.Member
 }
 
-// NewFleet returns the fleet as seen from a data centre.
+// NewFleet returns a Fleet for an entry in the given data centre. The seed selects the subset of the
+// workers that the entry uses.
 func NewFleet(cluster, dataCentre string, view *membership.View, clients *rpc.Clients, seed uint64) *Fleet {
 	return &Fleet{
 		cluster: cluster, dataCentre: dataCentre, view: view, clients: clients,
@@ -79,7 +81,8 @@
 	}
 }
 
-// service returns the present workers of a service, rebuilt if membership has changed.
+// service returns the current workers of a service. A change of membership discards the snapshots of
+// all services.
 func (f *Fleet) service(name string) *serviceFleet {
 	snapshot := f.view.Snapshot()
 	f.mu.RLock()
@@ -99,8 +102,8 @@
 	return f.buildLocked(name, snapshot)
 }
 
-// routersPerWorker estimates how many entries send to one worker. In a large fleet an entry uses a
-// subset of the workers of each service.
+// entriesPerWorker estimates how many entries send requests to the same worker. In a large fleet,
+// each entry uses only a subset of the workers of a service.
 func entriesPerWorker(s *membership.Snapshot) float64 {
 	workers := map[string]int{}
 	for _, m := range s.Members {
@@ -119,6 +122,7 @@
 	return float64(len(s.Entries())) * float64(used) / float64(all)
 }
 
+// buildLocked returns the snapshot of a service and builds it if there is none. The caller holds mu.
 func (f *Fleet) buildLocked(name string, snapshot *membership.Snapshot) *serviceFleet {
 	if s := f.services[name]; s != nil {
 		return s
@@ -139,8 +143,8 @@
 	return s
 }
 
-// worker describes a member to the router. A worker that has not reported yet is not offered,
-// since what it has loaded is not known; a probe of membership brings its first report.
+// routingWorker converts a member to a worker of the router. A worker without a report is marked as
+// draining, because its models are unknown. Its first report arrives with a membership probe.
 func (f *Fleet) routingWorker(m membership.Member) routing.Worker {
 	w := routing.Worker{ID: m.ID, DataCentre: m.DataCentre, Role: external.RoleMixed, Load: f.tracker.Worker(m.ID)}
 	r := f.reports[m.ID]
@@ -156,6 +160,7 @@
 	return w
 }
 
-// withoutModels reports whether a worker is an engine that has no model loaded, or that does not
-// answer. To the router, no models mean a plain backend server, which takes any request.
+// hasNoModels reports whether a worker is an engine that has no model loaded or that does not answer.
+// Such a worker must not be offered: the router takes a worker without models for a plain backend
+// server, which accepts any request.
 func hasNoModels(r *v1.LoadReport) bool { return !r.GetPlain() && len(r.GetModels()) == 0 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -16,7 +16,7 @@
 	"github.com/quetzallug/quetzallug/once"
 )
 
-// ClaimForwarder sends claims to the entry that owns their shard.
+// ClaimForwarder forwards claims to the entry that owns the shard of their key.
 type ClaimForwarder struct {
 	Clients *rpc.Clients
 	Cluster string
@@ -45,7 +45,7 @@
 	}, nil
 }
 
-// DocumentFetcher polls one entry for documents.
+// DocumentFetcher fetches configuration documents from one entry by long polling.
 type DocumentFetcher struct {
 	Clients *rpc.Clients
 	Cluster string
@@ -54,7 +54,7 @@
 
 var _ dissemination.Fetcher = (*DocumentFetcher)(nil)
 
-// fetchSlack is added to the wait of a long poll for the call's own time.
+// longPollMargin is added to the wait time of a long poll to allow for network and processing time.
 const longPollMargin = 2 * time.Second
 
 // Fetch implements dissemination.Fetcher.
--- a/entry/http.go
+++ b/entry/http.go
@@ -14,7 +14,7 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// Handler serves callers.
+// Handler returns the HTTP handler of the API for callers.
 func (e *Entry) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
@@ -29,8 +29,9 @@
 	return g
 }
 
+// handlePanic logs a panic of a request handler and responds with status 500.
 func (e *Entry) handlePanic(c *gin.Context, v any) {
-	e.log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("request handler failed")
+	e.log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("panic in request handler")
 	c.AbortWithStatus(http.StatusInternalServerError)
 }
 
@@ -76,9 +77,10 @@
 	e.serveBuffered(c, call, chat)
 }
 
+// checkBodyLimit checks the size of a request body against the limit of its service.
 func checkBodyLimit(s *document.Service, size int) *Error {
 	if limit := s.Limits.BodyKiB << 10; limit > 0 && size > limit {
-		return invalidError(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes, the limit of service %s", limit, s.Service)
+		return invalidError(http.StatusRequestEntityTooLarge, ReasonRequestTooLarge, "body is larger than %d bytes, the limit of service %s", limit, s.Service)
 	}
 	return nil
 }
@@ -89,7 +91,7 @@
 	switch {
 	case err == nil:
 		if err := out.end(final); err != nil {
-			e.log.WithField("request_id", call.id).WithError(err).Debug("caller left before the end")
+			e.log.WithField("request_id", call.id).WithError(err).Debug("caller disconnected before the end of the stream")
 		}
 	case out.started:
 		_ = out.fail(call.id, err)
@@ -132,7 +134,7 @@
 	c.Data(int(final.GetStatus()), final.GetContentType(), out.buf.Bytes())
 }
 
-// serve admits, runs and measures one request.
+// serve admits a request, runs it and records its outcome.
 func (e *Entry) serve(ctx context.Context, call *call, out sink) (*v1.Final, *Error) {
 	release, priority, err := e.admitter.Admit(AdmitRequest{
 		Caller: call.caller, Service: call.service, Kind: call.kind, Deadline: call.deadline,
@@ -149,7 +151,7 @@
 	return final, err
 }
 
-// finish logs and measures the end of a request.
+// recordOutcome records the metrics of a finished request and logs it if it failed.
 func (e *Entry) recordOutcome(call *call, err *Error) {
 	elapsed := time.Since(call.started)
 	outcome, reason := "complete", Reason("")
@@ -164,5 +166,5 @@
 	e.log.WithFields(logrus.Fields{
 		"request_id": call.id, "service": call.service.Service, "kind": call.kind.Name,
 		"outcome": err.Outcome, "reason": err.Reason, "detail": err.Detail,
-	}).Info("request not answered whole")
+	}).Info("request failed")
 }
--- a/entry/newcall.go
+++ b/entry/newcall.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// maxPrefixBlocks bounds the leading blocks that take part in routing.
+	// maxPrefixBlocks is the number of leading prompt blocks that are used for routing by prefix.
 	maxPrefixBlocks = 8
-	// digestBytes of a hash are enough to tell callers apart.
+	// digestBytes is the length of a truncated hash. 96 bits make collisions between callers
+	// negligible.
 	digestBytes = 12
 )
 
-// newCall builds a call and checks the idempotency key.
+// newCall checks the idempotency key and builds a call. setRequest adds the model or plain request.
 func (e *Entry) newCall(c *gin.Context, s *document.Service, k *document.Kind, user string, setRequest func(*call)) (*call, *Error) {
 	key := c.GetHeader(headerIdempotencyKey)
 	if len(key) > maxIdempotencyKeyBytes {
@@ -39,13 +40,13 @@
 	return out, nil
 }
 
-// digest shortens credentials, so that they are neither kept nor logged.
+// digest returns a truncated hash of credentials, so that they are neither stored nor logged.
 func digest(s string) string {
 	sum := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// countTokens estimates the number of tokens of a prompt as its number of words.
+// countTokens estimates the number of tokens of a prompt by its number of words.
 func countTokens(s string) int {
 	n, inWord := 0, false
 	for i := range len(s) {
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -15,7 +15,7 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// Headers of callers.
+// Headers of requests and responses.
 const (
 	headerKind           = "X-Quetzallug-Kind"
 	headerService        = "X-Quetzallug-Service"
@@ -30,8 +30,8 @@
 	maxIdempotencyKeyBytes = 255
 )
 
-// completionRequest is the body of POST /v1/completions and /v1/chat/completions. Fields that
-// are not listed are ignored, because existing clients send many.
+// completionRequest is the body of POST /v1/completions and /v1/chat/completions. Other fields are
+// ignored, because existing clients send many that are not supported.
 type completionRequest struct {
 	Model     string        `json:"model"`
 	Prompt    string        `json:"prompt"`
@@ -47,12 +47,13 @@
 	Content string `json:"content"`
 }
 
-// bodyTimeout bounds the time in which a caller must send its body.
+// bodyTimeout is the time within which a caller must send the request body.
 const bodyTimeout = 15 * time.Second
 
-// readBody reads a bounded body.
+// readBody reads the request body, up to limit bytes.
 func readBody(c *gin.Context, limit int64) ([]byte, *Error) {
-	// Not all writers support deadlines; the server's connections do.
+	// The error is ignored: the response writers of the HTTP server support deadlines, but others, such
+	// as httptest.ResponseRecorder, may not.
 	rc := http.NewResponseController(c.Writer)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
@@ -60,14 +61,14 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, invalidError(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes", limit)
+		return nil, invalidError(http.StatusRequestEntityTooLarge, ReasonRequestTooLarge, "body is larger than %d bytes", limit)
 	case err != nil:
 		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "read body: %v", err)
 	}
 	return body, nil
 }
 
-// parseCompletion decodes and checks a completion request.
+// parseCompletion decodes and validates a completion request.
 func parseCompletion(body []byte, chat bool) (*completionRequest, *Error) {
 	var r completionRequest
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -92,6 +93,7 @@
 	return &r, nil
 }
 
+// joinMessages builds the prompt of a chat request: one "role: content" line for each message.
 func joinMessages(messages []chatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -106,16 +108,16 @@
 	return b.String()
 }
 
-// modelCall resolves the service, kind and model of a completion request.
+// modelCall finds the service and the kind of a completion request and builds its call.
 func (e *Entry) modelCall(c *gin.Context, r *completionRequest) (*call, *Error) {
 	base, adapter, _ := strings.Cut(r.Model, ":")
 	s := e.modelService(c.GetHeader(headerService), base, adapter)
 	if s == nil {
-		return nil, invalidError(http.StatusNotFound, ReasonNoModel, "no service has model %q", r.Model)
+		return nil, invalidError(http.StatusNotFound, ReasonUnknownModel, "no service has model %q", r.Model)
 	}
 	kind := s.FindKind(document.Match{Kind: c.GetHeader(headerKind), Model: base, Method: http.MethodPost})
 	if kind == nil {
-		return nil, invalidError(http.StatusBadRequest, ReasonNoKind, "no kind of service %s matches the request", s.Service)
+		return nil, invalidError(http.StatusBadRequest, ReasonUnknownKind, "no kind of service %s matches the request", s.Service)
 	}
 	m := &v1.ModelRequest{
 		Model: base, Adapter: adapter, Prompt: r.Prompt, PromptTokens: uint32(countTokens(r.Prompt)),
@@ -127,7 +129,8 @@
 	})
 }
 
-// modelService finds the model service that has a model and adapter.
+// modelService returns the first model service with the given model and adapter, or nil. An empty
+// service name matches all services.
 func (e *Entry) modelService(service, model, adapter string) *document.Service {
 	for _, s := range e.docs.Services() {
 		if s.Type == document.TypeModel && (service == "" || s.Service == service) && hasModel(s, model, adapter) {
@@ -154,15 +157,15 @@
 	return false
 }
 
-// plainCall resolves the service and kind of a plain request.
+// plainCall finds the service and the kind of a plain request and builds its call.
 func (e *Entry) plainCall(c *gin.Context, service, path string, body []byte) (*call, *Error) {
 	s, _ := e.docs.Lookup(service)
 	if s == nil || s.Type != document.TypePlain {
-		return nil, invalidError(http.StatusNotFound, ReasonNoService, "no plain service %q", service)
+		return nil, invalidError(http.StatusNotFound, ReasonUnknownService, "no plain service %q", service)
 	}
 	kind := s.FindKind(document.Match{Kind: c.GetHeader(headerKind), Method: c.Request.Method, PathPrefix: path})
 	if kind == nil {
-		return nil, invalidError(http.StatusBadRequest, ReasonNoKind, "no kind of service %s matches %s %s", service, c.Request.Method, path)
+		return nil, invalidError(http.StatusBadRequest, ReasonUnknownKind, "no kind of service %s matches %s %s", service, c.Request.Method, path)
 	}
 	if q := c.Request.URL.RawQuery; q != "" {
 		path += "?" + q
@@ -172,10 +175,11 @@
 	})
 }
 
-// callerCredentials starts the ID of a caller that is known by its credentials.
+// credentialsPrefix is the prefix of the IDs of callers that are identified by their credentials.
 const credentialsPrefix = "key:"
 
-// callerID names the caller for limits: its credentials, its user name or its address.
+// callerID identifies the caller for the limits per caller: by its credentials, or else its user
+// name, or else its address.
 func callerID(c *gin.Context, user string) string {
 	if auth := c.GetHeader("Authorization"); auth != "" {
 		return credentialsPrefix + digest(auth)
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -12,10 +12,11 @@
 	"github.com/quetzallug/quetzallug/once"
 )
 
-// maxFetchWait bounds a peer's long poll.
+// maxFetchWait is the longest wait of a long poll for documents.
 const maxFetchWait = 30 * time.Second
 
-// Peer serves PeerService: documents, claims and status for the system's other processes.
+// Peer implements PeerService, which serves documents, claims, status and decisions to the other
+// processes of the cluster.
 type Peer struct {
 	cfg       Config
 	store     *dissemination.Store
@@ -27,17 +28,17 @@
 
 var _ quetzallugv1connect.PeerServiceHandler = (*Peer)(nil)
 
-// PeerOptions are the collaborators of a Peer.
+// PeerOptions holds the dependencies of a Peer.
 type PeerOptions struct {
 	Store *dissemination.Store
-	// Claims commits claims in this process, without forwarding them again.
+	// Claims commits claims in this process. It must not forward them again.
 	Claims    once.Claimer
 	Workers   func() []*v1.WorkerStatus
 	Pools     func() []string
 	Decisions *DecisionLog
 }
 
-// NewPeer returns the peer service of an entry.
+// NewPeer returns the peer service of an entry with the given dependencies.
 func NewPeer(cfg Config, o PeerOptions) *Peer {
 	return &Peer{cfg: cfg, store: o.Store, claims: o.Claims, workers: o.Workers, pools: o.Pools, decisions: o.Decisions}
 }
--- a/entry/picker.go
+++ b/entry/picker.go
@@ -29,18 +29,21 @@
 		d.Reason, d.Considered, d.FirstToken.Round(time.Millisecond), d.Total.Round(time.Millisecond)), nil
 }
 
+// member converts a worker of the router to the target of an attempt.
 func (s *serviceFleet) member(w *routing.Worker) Worker {
 	m := s.members[w.ID]
 	return Worker{Instance: m.ID, Address: m.Address, Incarnation: m.Incarnation}
 }
 
-// Expect returns what the best worker would deliver, for admission.
+// Predict returns the routing decision for a request and its expected latency, without sending it.
+// Admission decides by it.
 func (f *Fleet) Predict(p PickRequest) routing.Decision {
 	s := f.service(p.Service)
 	q := f.routingRequest(p)
 	return s.router.Choose(&q, s.fleet, time.Now())
 }
 
+// routingRequest converts a request to one of the router.
 func (f *Fleet) routingRequest(p PickRequest) routing.Request {
 	return routing.Request{
 		Model: p.Model, DataCentre: f.dataCentre, PromptTokens: p.PromptTokens, OutputTokens: p.MaxTokens,
@@ -48,8 +51,8 @@
 	}
 }
 
-// work returns what an attempt adds to the worker that decodes, and to the one that prefills if
-// that is another one.
+// attemptWork returns the load that an attempt adds to its decode worker, and to its prefill worker
+// if that is a separate one.
 func attemptWork(w Worker, p PickRequest) (decode, prefill load.Work) {
 	pieces := func(tokens int) int { return (tokens + external.PieceTokens - 1) / external.PieceTokens }
 	decode = load.Work{PrefillTokens: p.PromptTokens, Decode: true, Pieces: pieces(p.PromptTokens + p.MaxTokens)}
@@ -73,7 +76,7 @@
 	}
 }
 
-// takeTicket returns and forgets the ticket of an attempt.
+// removeTicket removes and returns the ticket of an attempt.
 func (f *Fleet) removeTicket(worker, request string) load.Ticket {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +108,7 @@
 	f.view.Observe(now, evidence(w, r, now))
 }
 
-// evidence converts the end of an attempt to an observation about the member.
+// evidence converts the result of an attempt to an observation of the worker's health.
 func evidence(w Worker, r Result, now time.Time) membership.Evidence {
 	e := membership.Evidence{
 		ID: w.Instance, Address: w.Address, Incarnation: r.Load.GetIncarnation(),
@@ -115,8 +118,8 @@
 	case r.ConnectionRefused:
 		e.Kind = membership.Refused
 	case (r.TimedOut || r.ConnectionBroken) && r.Tokens == 0:
-		// A connection that breaks before any frame is no answer: something other than the worker may
-		// accept connections at its address.
+		// A connection that breaks before the first frame does not show that the worker is alive:
+		// another process may accept connections at its address.
 		e.Kind = membership.Silent
 	case r.Load.GetDraining():
 		e.Kind = membership.Draining
--- a/entry/pools.go
+++ b/entry/pools.go
@@ -7,7 +7,7 @@
 	"github.com/quetzallug/quetzallug/document"
 )
 
-// Pools returns the names of the pools of the model services, sorted.
+// Pools returns the sorted names of the pools of all model services.
 func Pools(services []*document.Service) []string {
 	var names []string
 	for _, s := range services {
@@ -22,5 +22,5 @@
 	return names
 }
 
-// PoolName names the pool of a service in a data centre.
+// PoolName returns the name of the pool of a service in a data centre.
 func PoolName(service, dataCentre string) string { return service + "." + dataCentre }
--- a/entry/refresh.go
+++ b/entry/refresh.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// refreshInterval is the time between looks for workers to probe.
+	// refreshInterval is the interval between rounds of refresh probes.
 	refreshInterval = time.Second
-	// refreshProbes bounds the probes of one look. A probe moves about 400 bytes, so that an
-	// entry stays below its budget of 4 KB/s for control.
+	// maxRefreshProbes limits the probes of one round. A probe transfers about 400 bytes, so an entry
+	// stays below its budget of 4 KB/s for control traffic.
 	maxRefreshProbes = 6
-	// refreshUnready and refreshReady are the ages above which the report of a worker that
-	// cannot take work, or that can, is refreshed.
+	// maxReportAgeUnready and maxReportAgeReady are the ages at which the report of a worker is
+	// refreshed. A worker is unready if it is draining or has no models or no report.
 	maxReportAgeUnready = time.Second
 	maxReportAgeReady   = 10 * time.Second
-	// learnAbove is the number of workers without a report above which an entry asks a peer. Probes
-	// alone would take 107 s to go round 640 workers, while the first ones get all work.
+	// peerReportThreshold is the number of workers without a report above which an entry fetches the
+	// reports of a peer. With probes alone, an entry would need 107 s for 640 workers, and would send
+	// all requests to the first ones meanwhile.
 	peerReportThreshold = 2 * maxRefreshProbes
-	// learnEvery bounds the questions to peers. An answer about 640 workers has some 20 KB, which
-	// keeps an entry that is learning near its budget of 4 KB/s.
+	// peerReportInterval is the shortest interval between such fetches. A response for 640 workers has
+	// about 20 KB, which keeps the entry near its budget of 4 KB/s for control traffic.
 	peerReportInterval = 5 * time.Second
 	peerReportTimeout  = 2 * time.Second
 )
 
-// Run refreshes the reports of workers that traffic does not reach, such as those that are
-// draining or have no model loaded. It returns when ctx ends.
+// Run refreshes the reports of workers that receive no requests, such as those that are draining or
+// have no model loaded. It returns when ctx is done.
 func (f *Fleet) Run(ctx context.Context) {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
@@ -48,7 +49,7 @@
 		}
 		if peers := f.reportPeers(); len(peers) > 0 && time.Since(lastFetch) >= peerReportInterval {
 			lastFetch = time.Now()
-			f.fetchPeerReports(ctx, peers[rand.IntN(len(peers))]) //nolint:gosec // a choice between peers needs no secrecy
+			f.fetchPeerReports(ctx, peers[rand.IntN(len(peers))]) //nolint:gosec // not security-sensitive
 		}
 		var wg sync.WaitGroup
 		for _, m := range f.dueForRefresh(time.Now()) {
@@ -60,8 +61,8 @@
 	}
 }
 
-// refresh probes a member and takes the outcome as evidence about it, so that a worker that gets
-// little traffic is also found to be dead or paused.
+// refresh probes a member and passes the result to membership, so that a dead or paused worker is
+// detected even if it gets few requests.
 func (f *Fleet) refresh(ctx context.Context, m membership.Member) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -70,8 +71,9 @@
 	f.view.ObserveProbe(m, started, res, err)
 }
 
-// due returns the members to probe now. The first ones are those whose report is oldest in relation
-// to its limit, so that a worker that becomes ready is seen before the round of a large fleet ends.
+// dueForRefresh returns the members to probe now. Members are ordered by the age of their report
+// relative to its limit, so that in a large fleet a worker that becomes ready is noticed before all
+// others have been probed.
 func (f *Fleet) dueForRefresh(now time.Time) []membership.Member {
 	type candidate struct {
 		member membership.Member
@@ -101,7 +103,8 @@
 	return due
 }
 
-// reportSources returns the live entries if many workers have no report yet, otherwise none.
+// reportPeers returns the entries to fetch reports from. It returns none unless many workers have no
+// report yet.
 func (f *Fleet) reportPeers() []external.Instance {
 	snapshot := f.view.Snapshot()
 	unreported := 0
@@ -118,14 +121,15 @@
 	return snapshot.Entries()
 }
 
-// learn takes a peer's reports about workers that have none here. Their age is not known, so they
-// count as due for a refresh: they tell what a worker serves, and hardly how loaded it is.
+// fetchPeerReports fetches the reports of a peer and applies those of workers without a report. They
+// show which models a worker serves, but their load may be out of date, so they are marked as due
+// for a refresh.
 func (f *Fleet) fetchPeerReports(ctx context.Context, peer external.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, peerReportTimeout)
 	defer cancel()
 	resp, err := f.clients.Peer(peer.Address).Status(ctx, connect.NewRequest(&v1.StatusRequest{Cluster: f.cluster}))
 	if err != nil {
-		return // probes go on, and the next question goes to another peer
+		return // probes continue, and the next fetch may choose another peer
 	}
 	now := time.Now()
 	snapshot := f.view.Snapshot()
--- a/entry/refresh_test.go
+++ b/entry/refresh_test.go
@@ -20,9 +20,10 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
+// fleetSize is the number of workers of a test fleet. It is above peerReportThreshold.
 const fleetSize = 40
 
-// fleetOf returns a fleet of one entry and some workers.
+// newTestFleet returns a fleet with fleetSize workers and one other entry at address peer.
 func newTestFleet(t *testing.T, peer string) *Fleet {
 	view, err := membership.NewView(membership.DefaultSettings(), rand.New(rand.NewPCG(1, 1)))
 	require.NoError(t, err)
@@ -48,8 +49,9 @@
 	}}
 }
 
-// Guards against an entry that knows few workers for minutes after its start, and against a peer's
-// report that replaces a worker's own or that belongs to another process.
+// An entry that has just started must fetch the reports of a peer, or it knows only a few workers for
+// minutes. A peer's report must not replace one that came from the worker itself, and must not be
+// taken if it belongs to another process or to an unknown instance.
 func TestLearnFromPeer(t *testing.T) {
 	var workers []*v1.WorkerStatus
 	for i := range fleetSize {
@@ -79,11 +81,11 @@
 	assert.Nil(t, f.reports["w3"])
 	assert.Len(t, f.reports, fleetSize-1)
 	assert.GreaterOrEqual(t, f.reports["w7"].GetAgeMs(), uint32(maxReportAgeReady.Milliseconds()))
-	assert.Len(t, f.dueForRefresh(time.Now()), maxRefreshProbes, "learned reports are due for a refresh")
+	assert.Len(t, f.dueForRefresh(time.Now()), maxRefreshProbes, "reports from the peer are due for a refresh")
 }
 
-// Guards against a worker that has become ready and is probed only when the round of the whole
-// fleet comes to it.
+// A worker that was unready must be probed before ready workers with older reports, or an entry
+// notices only after a probe round of the whole fleet that the worker has become ready.
 func TestUnreadyWorkersAreProbedFirst(t *testing.T) {
 	f := newTestFleet(t, "127.0.0.1:1")
 	now := time.Now()
@@ -98,7 +100,7 @@
 	assert.Equal(t, "w8", due[0].ID)
 }
 
-// Guards against probes that grow with the number of requests.
+// The rate of probes that routing decisions start must not grow with the request rate.
 func TestDecisionProbesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, "127.0.0.1:1")
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -29,11 +29,12 @@
 const (
 	benchService = "halte-llm"
 	benchModel   = "halte-verdict"
-	// relayTokens is long enough that the allocations of a request itself count little.
+	// relayTokens is large enough that the allocations per request are negligible in the figure per
+	// frame.
 	relayTokens = 2000
 )
 
-// tokenEngine answers with one token per chunk, as fast as it is asked.
+// tokenEngine generates one token per chunk, without delay.
 type tokenEngine struct{ external.Engine }
 
 func (tokenEngine) State(context.Context) (external.EngineState, error) {
@@ -62,7 +63,7 @@
 
 func (*tokenStream) Close() error { return nil }
 
-// oneDocument is the documents in force of the benchmark.
+// fixedDocument implements entry.Documents with a single document.
 type fixedDocument struct{ service *document.Service }
 
 func (d fixedDocument) Lookup(string) (*document.Service, uint64) { return d.service, 1 }
@@ -70,7 +71,7 @@
 func (fixedDocument) Observe(string, uint64)                      {}
 func (fixedDocument) Revision(string) uint64                      { return 1 }
 
-// onePicker always picks one worker.
+// fixedPicker always picks the same worker.
 type fixedPicker struct{ address string }
 
 func (p fixedPicker) Pick(entry.PickRequest) (entry.Worker, string, error) {
@@ -79,7 +80,7 @@
 func (fixedPicker) Sent(entry.Worker, entry.PickRequest)               {}
 func (fixedPicker) Done(entry.Worker, entry.PickRequest, entry.Result) {}
 
-// countingResponse counts the events that reach the caller.
+// countingResponse is a response writer that counts writes and discards the data.
 type countingResponse struct {
 	header http.Header
 	writes int
@@ -90,7 +91,8 @@
 func (d *countingResponse) WriteHeader(code int) { d.status = code }
 func (d *countingResponse) Flush()               {}
 
-// SetWriteDeadline is there because the server's own response writer supports it.
+// SetWriteDeadline does nothing. It exists because the response writers of the HTTP server support
+// write deadlines, so the code path is the same.
 func (d *countingResponse) SetWriteDeadline(time.Time) error { return nil }
 
 func (d *countingResponse) Write(b []byte) (int, error) {
@@ -98,6 +100,7 @@
 	return len(b), nil
 }
 
+// serveWorker starts a sidecar with a tokenEngine and returns its address.
 func serveWorker(b *testing.B, docs fixedDocument, m *telemetry.Metrics, log logrus.FieldLogger) string {
 	sc, err := sidecar.New(sidecar.Config{
 		Cluster: "bench", Instance: "w0", Service: benchService, Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
@@ -114,8 +117,9 @@
 	return l.Addr().String()
 }
 
-// BenchmarkRelay measures a streamed answer through entry, HTTP/2 and sidecar in one process. Its
-// figure allocs/frame has a target of under 10 for both together.
+// BenchmarkRelay measures the cost per frame of a streamed answer through an entry and a sidecar, which
+// run in the same process and are connected by HTTP/2. The target of the metric allocs/frame is less
+// than 10 for both together.
 func BenchmarkRelay(b *testing.B) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -18,8 +18,9 @@
 	"github.com/quetzallug/quetzallug/routing"
 )
 
-// Report takes a load report. The workers of the service are rebuilt if the worker's role,
-// models or drain state have changed.
+// Report applies a load report. A report that arrives out of order does not replace a newer one of
+// the same incarnation. All service snapshots are discarded if the role, the models or the drain
+// state of the worker has changed.
 func (f *Fleet) Report(r *v1.LoadReport, now time.Time) {
 	f.tracker.Worker(r.GetInstance()).Observe(load.Report{
 		Sequence: r.GetSequence(), Age: time.Duration(r.GetAgeMs()) * time.Millisecond,
@@ -46,7 +47,7 @@
 	}
 }
 
-// takeCacheEvents passes the cache events that are new to the routers. The caller holds mu.
+// applyCacheEventsLocked passes new cache events to the routers. The caller holds mu.
 func (f *Fleet) applyCacheEventsLocked(r *v1.LoadReport, now time.Time) {
 	all := r.GetCacheEvents()
 	if len(all) == 0 {
@@ -55,7 +56,7 @@
 	seen := f.lastCacheEvent[r.GetInstance()]
 	last := all[len(all)-1].GetSequence()
 	if last < seen {
-		// A restarted engine numbers its events anew.
+		// The engine was restarted: its sequence numbers start again.
 		seen = 0
 	}
 	var fresh []external.CacheEvent
@@ -75,8 +76,8 @@
 	}
 }
 
-// Reported reports whether a worker of each listed service has reported. Before that, the router
-// offers no worker of the service.
+// Reported returns true if every service in the membership list has a worker with a report. The
+// router offers no worker of a service without reports.
 func (f *Fleet) Reported() bool {
 	snapshot := f.view.Snapshot()
 	f.mu.RLock()
@@ -95,7 +96,7 @@
 	return len(services) > 0
 }
 
-// probeOld asks the workers whose reports are old for fresh ones, in the background.
+// probeStale probes the workers of a decision whose reports are out of date, in the background.
 func (f *Fleet) probeStale(s *serviceFleet, d *routing.Decision) {
 	for _, w := range d.Probe {
 		if w == nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// startProbe reports whether a decision may probe a worker: no other probe of it is under way, and
-// the rate allows it.
+// startProbe marks a worker as being probed. It returns false if a probe of the worker is already in
+// flight or the rate limit is reached.
 func (f *Fleet) startProbe(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +127,7 @@
 	return true
 }
 
-// Probe implements membership.Prober. It also takes the load report of the answer.
+// Probe implements membership.Prober. It also applies the load report in the response.
 func (f *Fleet) Probe(ctx context.Context, m membership.Member) (membership.ProbeResult, error) {
 	if m.Role != external.RoleSidecar {
 		return f.probeEntry(ctx, m)
@@ -137,12 +138,13 @@
 	}
 	r := resp.Msg.GetLoad()
 	if r.GetInstance() != m.ID {
-		return membership.ProbeResult{}, fmt.Errorf("address %s belongs to instance %q", m.Address, r.GetInstance())
+		return membership.ProbeResult{}, fmt.Errorf("probe of address %s was answered by instance %q", m.Address, r.GetInstance())
 	}
 	f.Report(r, time.Now())
 	return membership.ProbeResult{Incarnation: r.GetIncarnation(), Draining: r.GetDraining()}, nil
 }
 
+// probeEntry probes an entry through its status.
 func (f *Fleet) probeEntry(ctx context.Context, m membership.Member) (membership.ProbeResult, error) {
 	resp, err := f.clients.Peer(m.Address).Status(ctx, connect.NewRequest(&v1.StatusRequest{Cluster: f.cluster}))
 	if err != nil {
@@ -151,6 +153,7 @@
 	return membership.ProbeResult{Incarnation: resp.Msg.GetIncarnation()}, nil
 }
 
+// probeError marks connection failures with membership.ErrConnectionRefused.
 func probeError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -159,7 +162,8 @@
 	return err
 }
 
-// MeanSpeed returns the mean learned speed of the given workers.
+// MeanSpeed returns the mean of the estimated speeds of the given workers, or the default speed if
+// there are none.
 func (f *Fleet) MeanSpeed(instances []string) load.Speed {
 	if len(instances) == 0 {
 		return load.DefaultSpeed()
@@ -180,7 +184,7 @@
 	}
 }
 
-// Status lists the workers for operators.
+// Status returns the state and the last report of all workers.
 func (f *Fleet) Status() []*v1.WorkerStatus {
 	snapshot := f.view.Snapshot()
 	f.mu.RLock()
--- a/entry/run.go
+++ b/entry/run.go
@@ -16,29 +16,31 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts is the largest number of attempts for one request.
 	maxAttempts = 6
-	// minStall is the shortest silence of a stream that ends a repeatable attempt.
+	// minStallTimeout is the smallest timeout between frames of a repeatable attempt.
 	minStallTimeout = 500 * time.Millisecond
-	// minFirstStall is the shortest wait for the first frame of a repeatable attempt.
+	// minFirstFrameTimeout is the smallest timeout for the first frame of a repeatable attempt.
 	minFirstFrameTimeout = 2 * time.Second
-	// stallFactor times a latency target is the silence that ends a repeatable attempt.
+	// stallFactor is the ratio of the timeout between frames to the latency target between tokens.
 	stallFactor = 8
-	// workerWait is how long a request that was refused or interrupted waits for a usable worker.
-	// It covers the age of a load report by which a changed engine still counts as draining.
+	// maxWorkerWait is how long a request that was refused or interrupted waits for a usable worker.
+	// It allows for out-of-date load reports that still show a reconfigured engine as draining.
 	maxWorkerWait = 3 * time.Second
-	// workerWaitTick is the time between looks for a usable worker.
+	// workerPollInterval is the interval between checks for a usable worker.
 	workerPollInterval = 50 * time.Millisecond
 )
 
-var errStalled = errors.New("no frame within the stall time")
+// errStalled is the cancellation cause of an attempt whose worker sent no frame in time.
+var errStalled = errors.New("no frame within the stall timeout")
 
-// sink takes the parts of an answer in order. An error means that the caller has left.
+// sink receives the parts of an answer in order. A write error means that the caller has
+// disconnected or reads too slowly.
 type sink interface {
 	write(data []byte) error
 }
 
-// run answers one request with as many attempts as are needed and allowed.
+// run makes attempts until the request is answered or no further attempt is allowed.
 func (e *Entry) run(ctx context.Context, c *call, out sink) (*v1.Final, *Error) {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
@@ -52,7 +54,7 @@
 	}
 }
 
-// runner holds the state of one request's attempts.
+// runner holds the state of one request over its attempts.
 type runner struct {
 	*Entry
 	call      *call
@@ -60,11 +62,11 @@
 	assembler *stream.Assembler
 
 	tried []string
-	// ran is true once an attempt may have run.
+	// mayHaveRun is true once any attempt may have run.
 	mayHaveRun bool
 	attempts   int
 	last       Result
-	// waited is the time spent without a usable worker.
+	// waited is the time spent waiting for a usable worker.
 	waited time.Duration
 }
 
@@ -94,8 +96,8 @@
 	return nil, r.prepareRetry(ctx, res)
 }
 
-// discardPlain drops the part of a plain answer that a failed attempt has left. A plain answer does
-// not resume: another run may have another status, content type and body.
+// resetPlainAnswer discards the partial plain answer of a failed attempt. Plain answers cannot be
+// resumed, because another run may have a different status, content type and body.
 func (r *runner) resetPlainAnswer() {
 	if out, ok := r.out.(*bufferSink); ok && r.call.plain != nil {
 		out.buf.Reset()
@@ -103,7 +105,8 @@
 	}
 }
 
-// next decides whether another attempt may follow a failed one.
+// prepareRetry returns an error if no other attempt may follow a failed one. Otherwise it waits for
+// the backoff time, unless the attempt ended by a planned change, and returns nil.
 func (r *runner) prepareRetry(ctx context.Context, res Result) *Error {
 	detail := res.Reason.String()
 	switch {
@@ -123,10 +126,10 @@
 	return nil
 }
 
-// backOff waits before a retry, so that requests that failed together do not return together. The
-// deadline is checked by the next attempt.
+// backOff waits for a random time before a retry, so that requests that failed at the same time do
+// not retry at the same time. The next attempt checks the deadline.
 func (r *runner) backOff(ctx context.Context) {
-	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // jitter needs no secrecy
+	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // jitter is not security-sensitive
 	t := time.NewTimer(r.budget.Backoff(r.attempts, 0, rnd))
 	defer t.Stop()
 	select {
@@ -135,9 +138,10 @@
 	}
 }
 
-// movedOn reports whether an attempt ended because its worker is being changed, stopped or
-// replaced. The retry budget does not count these: they are bounded by the changes themselves,
-// and a budget that is spent would cut answers that a planned change only moves elsewhere.
+// plannedChange reports whether an attempt ended because its worker is being reconfigured, stopped or
+// replaced. Such retries are not counted against the retry budget: their number is bounded by the
+// number of changes, and an exhausted budget would fail requests that only have to move to another
+// worker.
 func plannedChange(res Result) bool {
 	switch res.Reason {
 	case v1.Reason_REASON_DRAINING:
@@ -148,9 +152,10 @@
 	return false
 }
 
-// noWorker waits a little for a worker, if one has already refused or interrupted the request:
-// several engines may change at once, and one that has just changed may not be known to be ready.
-// The workers tried so far are then considered again.
+// waitForWorker waits for one poll interval if a worker has already refused or interrupted the
+// request: several engines may be reconfigured at once, and one that is ready again may still be
+// reported as draining. The next attempt may use workers that were already tried. Without an earlier
+// attempt, or after maxWorkerWait, it returns an error.
 func (r *runner) waitForWorker(ctx context.Context, cause error) *Error {
 	if r.attempts == 0 || r.waited >= maxWorkerWait {
 		return r.finalError(ReasonNoWorker, cause.Error())
@@ -167,7 +172,8 @@
 	return nil
 }
 
-// giveUp returns "not run" only if no attempt can have run.
+// finalError returns the error for the caller: "not run" only if no attempt can have run, otherwise
+// "unknown".
 func (r *runner) finalError(reason Reason, detail string) *Error {
 	if r.mayHaveRun {
 		return unknownError(reason, "%s", detail)
@@ -175,6 +181,7 @@
 	return notRunError(reason, "%s", detail)
 }
 
+// recordDecision logs the choice of a worker and adds it to the decision log.
 func (r *runner) recordDecision(attempt uint32, offset uint64, w Worker, reason string) {
 	prefill := ""
 	if w.Prefill != nil {
@@ -183,11 +190,11 @@
 	r.log.WithFields(logrus.Fields{
 		"request_id": r.call.id, "service": r.call.service.Service, "kind": r.call.kind.Name,
 		"attempt": attempt, "offset": offset, "worker": w.Instance, "prefill": prefill, "reason": reason,
-	}).Info("routed")
+	}).Info("request routed")
 	r.decisions.Add(r.call.id, w.Instance, reason, slices.Clone(r.tried))
 }
 
-// attempt sends one attempt and relays its frames until its final frame.
+// attempt sends the request to a worker and passes its frames to the sink until the final frame.
 func (r *runner) attempt(ctx context.Context, w Worker, attempt uint32, offset uint64) (*v1.Final, Result) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -208,7 +215,7 @@
 		f := s.Msg()
 		verdict, err := r.assembler.Accept(f)
 		if err != nil {
-			r.log.WithField("request_id", r.call.id).WithError(err).Warn("frame refused")
+			r.log.WithField("request_id", r.call.id).WithError(err).Warn("invalid frame from worker")
 			return nil, res
 		}
 		switch verdict {
@@ -228,6 +235,7 @@
 	return nil, classifyFailure(ctx, s.Err(), started)
 }
 
+// recordLatency updates the result and the latency metrics for a frame that was delivered.
 func (r *runner) recordLatency(res *Result, f *v1.Frame, started, previous, now time.Time) {
 	c := r.call
 	if res.Tokens == 0 {
@@ -241,6 +249,7 @@
 	res.Tokens += uint64(f.GetTokens())
 }
 
+// applyFinal completes the result of an attempt from its final frame.
 func (r *runner) applyFinal(f *v1.Final, res Result, started time.Time) (*v1.Final, Result) {
 	r.docs.Observe(r.call.service.Service, f.GetConfigRevision())
 	res.Outcome, res.Reason, res.Load = f.GetOutcome(), f.GetReason(), f.GetLoad()
@@ -248,8 +257,8 @@
 	return f, res
 }
 
-// failed classifies an attempt that ended without a final frame. Only a connection that was
-// never made proves that the request did not run.
+// classifyFailure returns the result of an attempt that ended without a final frame. The request
+// certainly did not run only if no connection was established or the peer rejected the credentials.
 func classifyFailure(ctx context.Context, err error, started time.Time) Result {
 	res := Result{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_BACKEND_FAILED, Elapsed: time.Since(started)}
 	var op *net.OpError
@@ -269,8 +278,9 @@
 	return res
 }
 
-// stallTimes returns how long an attempt may be silent before its first frame and between
-// frames. An unrepeatable request waits for its deadline, since another attempt is not allowed.
+// stallTimeouts returns the timeouts of an attempt for its first frame and between frames.
+// Non-repeatable requests wait until their deadline, because another attempt would not be allowed.
+// Plain requests wait until their deadline too.
 func (r *runner) stallTimeouts() (first, between time.Duration) {
 	remaining := time.Until(r.call.deadline) + time.Second
 	if !r.call.kind.Repeatable || r.call.model == nil {
--- a/entry/run_internal_test.go
+++ b/entry/run_internal_test.go
@@ -21,7 +21,8 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
-// scriptedWorker ends each attempt as its script says.
+// scriptedWorker ends each attempt with the next final frame of its script. Unless the outcome is "not
+// run", it sends one data frame first.
 type scriptedWorker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 
@@ -46,12 +47,15 @@
 	return out.Send(&v1.Frame{RequestId: m.GetRequestId(), Attempt: m.GetAttempt(), Offset: offset, Final: f})
 }
 
-// scarcePicker has one worker, which is not usable for the given number of picks after each attempt.
+// intermittentPicker has one worker, which becomes unavailable for some picks after each attempt. It
+// never picks a worker for a request with excluded instances.
 type intermittentPicker struct {
-	worker           Worker
+	worker Worker
+	// unavailableAfter is the number of picks without a worker after each attempt.
 	unavailableAfter int
-	unavailable      int
-	// picks counts the choices made.
+	// unavailable is the number of picks without a worker that are left.
+	unavailable int
+	// picks is the number of picks that returned the worker.
 	picks int
 }
 
@@ -67,6 +71,7 @@
 func (*intermittentPicker) Sent(Worker, PickRequest)         {}
 func (*intermittentPicker) Done(Worker, PickRequest, Result) {}
 
+// exhaustedBudget allows no retries.
 type exhaustedBudget struct{}
 
 func (exhaustedBudget) Fresh(time.Time)                                      {}
@@ -86,7 +91,7 @@
 func (noDocuments) Services() []*document.Service             { return nil }
 func (noDocuments) Observe(string, uint64)                    {}
 
-// runScript runs a repeatable chat request against a worker that follows a script.
+// runScript runs a repeatable chat request on a scripted worker. It returns the text and the error.
 func runScript(t *testing.T, p *intermittentPicker, script ...*v1.Final) (string, *Error) {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -116,8 +121,8 @@
 
 func finalOf(o v1.Outcome, r v1.Reason) *v1.Final { return &v1.Final{Outcome: o, Reason: r} }
 
-// Guards against an answer that is cut by a planned change: all engines but those that have just
-// changed are draining, the retry budget is spent, or the only worker was tried before.
+// A planned change must not truncate an answer. The request has to move on although no worker is
+// usable for a short time, the retry budget is exhausted and the only worker was tried before.
 func TestPlannedChangeMovesAnAnswer(t *testing.T) {
 	interrupted := func() *v1.Final { return finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING) }
 	p := &intermittentPicker{unavailableAfter: 3}
@@ -130,8 +135,8 @@
 	require.Equal(t, 5, p.picks)
 }
 
-// Guards against retries that the budget does not allow after failures and overload, and against
-// a wait without bound for a worker.
+// After failures and overload, a request must not be retried beyond the retry budget, and the wait for
+// a usable worker must be bounded.
 func TestRetryIsBounded(t *testing.T) {
 	for _, f := range []*v1.Final{
 		finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_BACKEND_FAILED),
@@ -144,15 +149,15 @@
 	require.Equal(t, ReasonNoWorker, err.Reason)
 	require.Equal(t, OutcomeUnknown, err.Outcome)
 
-	// The first attempt is not waited for: another entry may have a worker.
+	// Before the first attempt there is no wait, because another entry may have a usable worker.
 	started := &intermittentPicker{unavailable: 1 << 20}
 	_, err = runScript(t, started)
 	require.Equal(t, OutcomeNotRun, err.Outcome)
 	require.Equal(t, 1<<20-1, started.unavailable)
 }
 
-// Guards against an engine without models, or one that does not answer, that attracts all
-// requests because it looks like a plain backend server without load.
+// An engine that has no models or does not answer must not be offered to the router, which would take
+// it for a plain backend server without load and send it all requests.
 func TestEngineWithoutModelsIsNotOffered(t *testing.T) {
 	require.True(t, hasNoModels(&v1.LoadReport{Role: "mixed"}))
 	require.False(t, hasNoModels(&v1.LoadReport{Role: "mixed", Models: []string{"m"}}))
@@ -160,13 +165,13 @@
 	require.False(t, hasNoModels(&v1.LoadReport{Plain: true}))
 }
 
-// Guards against an entry that takes requests right after its start and refuses them all, because
-// no worker has reported yet.
+// Reported must be false until each service has a report. Otherwise an entry accepts requests right
+// after its start and refuses them all, because no worker has reported yet.
 func TestReportedNeedsEachService(t *testing.T) {
 	view, err := membership.NewView(membership.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	require.NoError(t, err)
 	f := NewFleet("c", "d", view, rpc.NewClients(rpc.ClientConfig{}), 1)
-	require.False(t, f.Reported(), "the list has not been read")
+	require.False(t, f.Reported(), "the membership list has not been read")
 	sidecar := func(id, service string) external.Instance {
 		return external.Instance{ID: id, Role: external.RoleSidecar, Service: service, Address: "127.0.0.1:1", State: external.InstanceLive}
 	}
@@ -178,8 +183,9 @@
 	require.True(t, f.Reported())
 }
 
-// Guards against a worker that stays in use although each connection to it breaks: something else
-// accepts connections at its address, and every unrepeatable request there ends as unknown.
+// A connection that breaks before the first frame must not count as an answer of the worker. If
+// another process accepts connections at its address, the worker would stay in use and every
+// non-repeatable request to it would end as unknown.
 func TestBrokenConnectionIsNoAnswer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -208,13 +214,13 @@
 	require.Equal(t, membership.Answered, evidence(w, res, time.Now()).Kind, "a frame has arrived")
 }
 
-// Probe implements WorkerService. The worker has ended its drain.
+// Probe implements WorkerService. It reports a worker that is no longer draining.
 func (*scriptedWorker) Probe(context.Context, *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
 	return connect.NewResponse(&v1.ProbeResponse{Load: &v1.LoadReport{Instance: "a", Incarnation: "1", Models: []string{"m"}}}), nil
 }
 
-// Guards against an engine that stays unused after its change, because membership's own probes
-// have backed off and the refreshed report does not reach membership.
+// A refresh must pass its result to membership. Otherwise an engine stays unused after a planned
+// change, because the probes of membership itself have backed off.
 func TestRefreshEndsADrainInMembership(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(&scriptedWorker{}))
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -25,10 +25,11 @@
 	"github.com/quetzallug/quetzallug/internal/rpc"
 )
 
-// script is what a worker does with one attempt.
+// script handles one attempt on a worker.
 type script func(r *v1.ExecuteRequest, send func(*v1.Frame))
 
-// scripted serves attempts by scripts, in order over all workers.
+// scriptedWorker handles each attempt with the next script, and repeats the last one. It records the
+// requests.
 type scriptedWorker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 
@@ -56,6 +57,7 @@
 	}}
 }
 
+// completeAnswer sends the frames "a", "b" and "c" from the offset on, and the final frame.
 func completeAnswer(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	for i, text := range []string{"a", "b", "c"}[r.GetOffset():] {
 		send(dataFrame(r, r.GetOffset()+uint64(i), text))
@@ -63,13 +65,15 @@
 	send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 3))
 }
 
-// cut sends the first part of the answer and no final frame.
+// partial sends the first frame of the answer and no final frame.
 func partial(r *v1.ExecuteRequest, send func(*v1.Frame)) { send(dataFrame(r, r.GetOffset(), "a")) }
 
+// refuseAttempt ends the attempt with the outcome "not run".
 func refuseAttempt(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	send(finalFrame(r, v1.Outcome_OUTCOME_NOT_RUN, 0))
 }
 
+// otherRequestFrame sends a frame of another request before the answer.
 func otherRequestFrame(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	f := dataFrame(r, 0, "x")
 	f.RequestId = "other"
@@ -77,6 +81,7 @@
 	completeAnswer(r, send)
 }
 
+// otherAttemptFrame sends a frame of another attempt before the answer.
 func otherAttemptFrame(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	f := dataFrame(r, 0, "x")
 	f.Attempt = r.GetAttempt() + 1
@@ -84,12 +89,13 @@
 	completeAnswer(r, send)
 }
 
+// earlyFinal sends a final frame whose total is larger than what was sent.
 func earlyFinal(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	send(dataFrame(r, r.GetOffset(), "a"))
 	send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 3))
 }
 
-// picker offers one worker.
+// picker always picks the same worker, or fails if it has no address.
 type picker struct{ worker entry.Worker }
 
 func (p *picker) Pick(entry.PickRequest) (entry.Worker, string, error) {
@@ -118,7 +124,7 @@
 
 func (admitAll) Admit(entry.AdmitRequest) (func(), int, *entry.Error) { return func() {}, 1, nil }
 
-// unlimited lets the tests reach the bound on attempts.
+// unlimitedBudget allows all retries, so that tests reach the limit of attempts.
 type unlimitedBudget struct{}
 
 func (unlimitedBudget) Fresh(time.Time)                                      {}
@@ -132,6 +138,8 @@
 func (noMetrics) BetweenTokens(string, string, time.Duration)                       {}
 func (noMetrics) Retry(string, v1.Reason)                                           {}
 
+// newHandler returns the handler of an entry with one model service and one plain service, both served
+// by the scripted worker.
 func newHandler(t testing.TB, s *scriptedWorker) http.Handler {
 	t.Helper()
 	log := logrus.New()
@@ -162,16 +170,16 @@
 	return e.Handler()
 }
 
-// Guards against an answer that is cut, repeated or mixed and shown as whole, against a retry
-// of a request that may have run and may not be repeated, and against "not run" for a request
-// that may have run.
+// An answer with missing, repeated or foreign parts must not be presented as complete. A non-repeatable
+// request that may have run must not be retried, and no request that may have run must be reported as
+// "not run".
 func TestAttempts(t *testing.T) {
 	tests := []struct {
 		name     string
 		kind     string
 		scripts  []script
 		attempts int
-		outcome  string // empty: whole
+		outcome  string // empty for a complete answer
 	}{
 		{"whole", "once", []script{completeAnswer}, 1, ""},
 		{"resumed at the offset", "again", []script{partial, completeAnswer}, 2, ""},
@@ -204,7 +212,7 @@
 	}
 }
 
-// Guards against a stream that ends with [DONE] although the answer is not whole.
+// A stream whose answer is incomplete must end with an error event, not with [DONE].
 func TestStreamEndsWithError(t *testing.T) {
 	status, body := request(newHandler(t, &scriptedWorker{scripts: []script{partial}}), "once", true)
 	require.Equal(t, http.StatusOK, status)
@@ -213,6 +221,7 @@
 	require.NotContains(t, body, "[DONE]")
 }
 
+// request sends a completion request and returns the status and the body of the response.
 func request(h http.Handler, kind string, stream bool) (int, string) {
 	body := `{"model": "m", "prompt": "next arrival", "max_tokens": 3, "stream": ` + map[bool]string{true: "true", false: "false"}[stream] + `}`
 	r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
@@ -222,8 +231,8 @@
 	return w.Code, w.Body.String()
 }
 
-// Guards against an answer of a plain backend server that joins the body of one run with the status
-// of another one.
+// After a retry, the answer of a plain backend server must not combine the body of one run with the
+// status of another.
 func TestPlainAnswerIsOfOneRun(t *testing.T) {
 	s := &scriptedWorker{scripts: []script{
 		partial,
@@ -240,7 +249,7 @@
 	require.Equal(t, "second", w.Body.String())
 }
 
-// Guards against bad input that is accepted, or refused without a typed error.
+// Invalid input must be refused with a typed error, and must not reach a worker.
 func TestBadInput(t *testing.T) {
 	tests := []struct {
 		name, path, kind, body string
--- a/entry/waiting_test.go
+++ b/entry/waiting_test.go
@@ -10,11 +10,11 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// waitingRequests is the number of requests that wait at once.
+// waitingRequests is the number of requests that wait at the same time.
 const waitingRequests = 10_000
 
-// BenchmarkWaitingRequests measures the memory of requests that wait for their first token. The
-// scripted worker runs in the same process, so its half of each HTTP/2 stream is in the figure too.
+// BenchmarkWaitingRequests measures the memory per request while requests wait for their first token.
+// The scripted worker runs in the same process, so the figure includes its side of each HTTP/2 stream.
 func BenchmarkWaitingRequests(b *testing.B) {
 	for b.Loop() {
 		var waiting, done sync.WaitGroup
@@ -41,7 +41,7 @@
 	}
 }
 
-// memoryInUse returns the live heap and the stacks.
+// memoryInUse returns the size of the live heap and of the goroutine stacks in bytes.
 func memoryInUse() uint64 {
 	runtime.GC()
 	time.Sleep(10 * time.Millisecond)
