--- a/entry/forward.go
+++ b/entry/forward.go
@@ -16,7 +16,7 @@
 	"github.com/quetzallug/quetzallug/once"
 )
 
-// ClaimForwarder sends claims to the entry that owns their shard.
+// ClaimForwarder forwards claims to the entry that owns the shard of their key.
 type ClaimForwarder struct {
 	Clients *rpc.Clients
 	Cluster string
@@ -45,7 +45,7 @@
 	}, nil
 }
 
-// DocumentFetcher polls one entry for documents.
+// DocumentFetcher fetches configuration documents from one entry by long polling.
 type DocumentFetcher struct {
 	Clients *rpc.Clients
 	Cluster string
@@ -54,12 +54,12 @@
 
 var _ dissemination.Fetcher = (*DocumentFetcher)(nil)
 
-// fetchSlack is added to the wait of a long poll for the call's own time.
-const fetchSlack = 2 * time.Second
+// longPollMargin is added to the wait time of a long poll to allow for network and processing time.
+const longPollMargin = 2 * time.Second
 
 // Fetch implements dissemination.Fetcher.
 func (f *DocumentFetcher) Fetch(ctx context.Context, have map[string]uint64, wait time.Duration) ([]dissemination.Document, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+fetchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+longPollMargin)
 	defer cancel()
 	resp, err := f.Clients.Peer(f.Address).FetchDocuments(ctx, connect.NewRequest(&v1.FetchDocumentsRequest{
 		Cluster: f.Cluster, Have: have, WaitMs: uint32(wait.Milliseconds()),
--- a/entry/http.go
+++ b/entry/http.go
@@ -14,23 +14,24 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// Handler serves callers.
+// Handler returns the HTTP handler of the API for callers.
 func (e *Entry) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
-	g.Use(gin.CustomRecoveryWithWriter(io.Discard, e.recover))
+	g.Use(gin.CustomRecoveryWithWriter(io.Discard, e.handlePanic))
 	g.POST("/v1/completions", func(c *gin.Context) { e.serveCompletion(c, false) })
 	g.POST("/v1/chat/completions", func(c *gin.Context) { e.serveCompletion(c, true) })
 	g.GET("/v1/models", e.serveModels)
 	g.Any("/svc/:service/*path", e.servePlain)
 	g.NoRoute(func(c *gin.Context) {
-		writeError(c, "", invalid(http.StatusNotFound, ReasonInvalid, "no such path: %s", c.Request.URL.Path))
+		writeError(c, "", invalidError(http.StatusNotFound, ReasonInvalid, "no such path: %s", c.Request.URL.Path))
 	})
 	return g
 }
 
-func (e *Entry) recover(c *gin.Context, v any) {
-	e.log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("request handler failed")
+// handlePanic logs a panic of a request handler and responds with status 500.
+func (e *Entry) handlePanic(c *gin.Context, v any) {
+	e.log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("panic in request handler")
 	c.AbortWithStatus(http.StatusInternalServerError)
 }
 
@@ -62,7 +63,7 @@
 	}
 	call, err := e.modelCall(c, r)
 	if err == nil {
-		err = checkServiceLimit(call.service, len(body))
+		err = checkBodyLimit(call.service, len(body))
 	}
 	if err != nil {
 		writeError(c, "", err)
@@ -70,26 +71,27 @@
 	}
 	c.Header(headerRequestID, call.id)
 	if r.Stream {
-		e.serveEvents(c, call, chat)
+		e.serveStream(c, call, chat)
 		return
 	}
-	e.serveWhole(c, call, chat)
+	e.serveBuffered(c, call, chat)
 }
 
-func checkServiceLimit(s *document.Service, size int) *Error {
+// checkBodyLimit checks the size of a request body against the limit of its service.
+func checkBodyLimit(s *document.Service, size int) *Error {
 	if limit := s.Limits.BodyKiB << 10; limit > 0 && size > limit {
-		return invalid(http.StatusRequestEntityTooLarge, ReasonTooLarge, "body is larger than %d bytes, the limit of service %s", limit, s.Service)
+		return invalidError(http.StatusRequestEntityTooLarge, ReasonRequestTooLarge, "body is larger than %d bytes, the limit of service %s", limit, s.Service)
 	}
 	return nil
 }
 
-func (e *Entry) serveEvents(c *gin.Context, call *call, chat bool) {
+func (e *Entry) serveStream(c *gin.Context, call *call, chat bool) {
 	out := newEventSink(c, call, chat, e.cfg.WriteTimeout)
 	final, err := e.serve(c.Request.Context(), call, out)
 	switch {
 	case err == nil:
 		if err := out.end(final); err != nil {
-			e.log.WithField("request_id", call.id).WithError(err).Debug("caller left before the end")
+			e.log.WithField("request_id", call.id).WithError(err).Debug("caller disconnected before the end of the stream")
 		}
 	case out.started:
 		_ = out.fail(call.id, err)
@@ -98,14 +100,14 @@
 	}
 }
 
-func (e *Entry) serveWhole(c *gin.Context, call *call, chat bool) {
-	out := &wholeSink{}
+func (e *Entry) serveBuffered(c *gin.Context, call *call, chat bool) {
+	out := &bufferSink{}
 	final, err := e.serve(c.Request.Context(), call, out)
 	if err != nil {
 		writeError(c, call.id, err)
 		return
 	}
-	c.JSON(http.StatusOK, wholeAnswer(call, chat, out.buf.String(), final))
+	c.JSON(http.StatusOK, newCompletion(call, chat, out.buf.String(), final))
 }
 
 func (e *Entry) servePlain(c *gin.Context) {
@@ -116,14 +118,14 @@
 	}
 	call, err := e.plainCall(c, c.Param("service"), c.Param("path"), body)
 	if err == nil {
-		err = checkServiceLimit(call.service, len(body))
+		err = checkBodyLimit(call.service, len(body))
 	}
 	if err != nil {
 		writeError(c, "", err)
 		return
 	}
 	c.Header(headerRequestID, call.id)
-	out := &wholeSink{}
+	out := &bufferSink{}
 	final, err := e.servePlainCall(c.Request.Context(), call, out)
 	if err != nil {
 		writeError(c, call.id, err)
@@ -132,25 +134,25 @@
 	c.Data(int(final.GetStatus()), final.GetContentType(), out.buf.Bytes())
 }
 
-// serve admits, runs and measures one request.
+// serve admits a request, runs it and records its outcome.
 func (e *Entry) serve(ctx context.Context, call *call, out sink) (*v1.Final, *Error) {
-	release, priority, err := e.admit.Admit(AdmitRequest{
+	release, priority, err := e.admitter.Admit(AdmitRequest{
 		Caller: call.caller, Service: call.service, Kind: call.kind, Deadline: call.deadline,
 		Pick: call.pickRequest(), Now: call.started,
 	})
 	if err != nil {
-		e.finish(call, err)
+		e.recordOutcome(call, err)
 		return nil, err
 	}
 	defer release()
 	call.priority = priority
 	final, err := e.run(ctx, call, out)
-	e.finish(call, err)
+	e.recordOutcome(call, err)
 	return final, err
 }
 
-// finish logs and measures the end of a request.
-func (e *Entry) finish(call *call, err *Error) {
+// recordOutcome records the metrics of a finished request and logs it if it failed.
+func (e *Entry) recordOutcome(call *call, err *Error) {
 	elapsed := time.Since(call.started)
 	outcome, reason := "complete", Reason("")
 	if err != nil {
@@ -164,5 +166,5 @@
 	e.log.WithFields(logrus.Fields{
 		"request_id": call.id, "service": call.service.Service, "kind": call.kind.Name,
 		"outcome": err.Outcome, "reason": err.Reason, "detail": err.Detail,
-	}).Info("request not answered whole")
+	}).Info("request failed")
 }
--- a/entry/newcall.go
+++ b/entry/newcall.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// maxPrefixBlocks bounds the leading blocks that take part in routing.
+	// maxPrefixBlocks is the number of leading prompt blocks that are used for routing by prefix.
 	maxPrefixBlocks = 8
-	// digestBytes of a hash are enough to tell callers apart.
+	// digestBytes is the length of a truncated hash. 96 bits make collisions between callers
+	// negligible.
 	digestBytes = 12
 )
 
-// newCall builds a call and checks the idempotency key.
-func (e *Entry) newCall(c *gin.Context, s *document.Service, k *document.Kind, user string, fill func(*call)) (*call, *Error) {
-	key := c.GetHeader(headerKey)
-	if len(key) > maxKeyBytes {
-		return nil, invalid(http.StatusBadRequest, ReasonInvalid, "header %s is longer than %d bytes", headerKey, maxKeyBytes)
+// newCall checks the idempotency key and builds a call. setRequest adds the model or plain request.
+func (e *Entry) newCall(c *gin.Context, s *document.Service, k *document.Kind, user string, setRequest func(*call)) (*call, *Error) {
+	key := c.GetHeader(headerIdempotencyKey)
+	if len(key) > maxIdempotencyKeyBytes {
+		return nil, invalidError(http.StatusBadRequest, ReasonInvalid, "header %s is longer than %d bytes", headerIdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	id, err := uuid.NewV7()
 	if err != nil {
-		return nil, notRun(ReasonInvalid, "generate request ID: %v", err)
+		return nil, notRunError(ReasonInvalid, "generate request ID: %v", err)
 	}
 	now := time.Now()
 	_, revision := e.docs.Lookup(s.Service)
@@ -35,17 +36,17 @@
 		id: id.String(), caller: callerID(c, user), service: s, revision: revision, kind: k,
 		deadline: now.Add(k.Deadlines.Total.Std()), key: key, started: now,
 	}
-	fill(out)
+	setRequest(out)
 	return out, nil
 }
 
-// digest shortens credentials, so that they are neither kept nor logged.
+// digest returns a truncated hash of credentials, so that they are neither stored nor logged.
 func digest(s string) string {
 	sum := sha256.Sum256([]byte(s))
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// countTokens estimates the number of tokens of a prompt as its number of words.
+// countTokens estimates the number of tokens of a prompt by its number of words.
 func countTokens(s string) int {
 	n, inWord := 0, false
 	for i := range len(s) {
--- a/entry/run.go
+++ b/entry/run.go
@@ -16,33 +16,35 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts is the largest number of attempts for one request.
 	maxAttempts = 6
-	// minStall is the shortest silence of a stream that ends a repeatable attempt.
-	minStall = 500 * time.Millisecond
-	// minFirstStall is the shortest wait for the first frame of a repeatable attempt.
-	minFirstStall = 2 * time.Second
-	// stallFactor times a latency target is the silence that ends a repeatable attempt.
+	// minStallTimeout is the smallest timeout between frames of a repeatable attempt.
+	minStallTimeout = 500 * time.Millisecond
+	// minFirstFrameTimeout is the smallest timeout for the first frame of a repeatable attempt.
+	minFirstFrameTimeout = 2 * time.Second
+	// stallFactor is the ratio of the timeout between frames to the latency target between tokens.
 	stallFactor = 8
-	// workerWait is how long a request that was refused or interrupted waits for a usable worker.
-	// It covers the age of a load report by which a changed engine still counts as draining.
-	workerWait = 3 * time.Second
-	// workerWaitTick is the time between looks for a usable worker.
-	workerWaitTick = 50 * time.Millisecond
+	// maxWorkerWait is how long a request that was refused or interrupted waits for a usable worker.
+	// It allows for out-of-date load reports that still show a reconfigured engine as draining.
+	maxWorkerWait = 3 * time.Second
+	// workerPollInterval is the interval between checks for a usable worker.
+	workerPollInterval = 50 * time.Millisecond
 )
 
-var errStalled = errors.New("no frame within the stall time")
+// errStalled is the cancellation cause of an attempt whose worker sent no frame in time.
+var errStalled = errors.New("no frame within the stall timeout")
 
-// sink takes the parts of an answer in order. An error means that the caller has left.
+// sink receives the parts of an answer in order. A write error means that the caller has
+// disconnected or reads too slowly.
 type sink interface {
 	write(data []byte) error
 }
 
-// run answers one request with as many attempts as are needed and allowed.
+// run makes attempts until the request is answered or no further attempt is allowed.
 func (e *Entry) run(ctx context.Context, c *call, out sink) (*v1.Final, *Error) {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	r := &runner{Entry: e, call: c, out: out, asm: stream.NewAssembler(c.id)}
+	r := &runner{Entry: e, call: c, out: out, assembler: stream.NewAssembler(c.id)}
 	e.budget.Fresh(time.Now())
 	for {
 		final, err := r.step(ctx)
@@ -52,19 +54,19 @@
 	}
 }
 
-// runner holds the state of one request's attempts.
+// runner holds the state of one request over its attempts.
 type runner struct {
 	*Entry
-	call *call
-	out  sink
-	asm  *stream.Assembler
+	call      *call
+	out       sink
+	assembler *stream.Assembler
 
 	tried []string
-	// ran is true once an attempt may have run.
-	ran      bool
-	attempts int
-	last     Result
-	// waited is the time spent without a usable worker.
+	// mayHaveRun is true once any attempt may have run.
+	mayHaveRun bool
+	attempts   int
+	last       Result
+	// waited is the time spent waiting for a usable worker.
 	waited time.Duration
 }
 
@@ -74,11 +76,11 @@
 	p.Tried = r.tried
 	w, reason, err := r.picker.Pick(p)
 	if err != nil {
-		return nil, r.noWorker(ctx, err)
+		return nil, r.waitForWorker(ctx, err)
 	}
-	attempt, offset := r.asm.Begin()
+	attempt, offset := r.assembler.Begin()
 	r.attempts++
-	r.logChoice(attempt, offset, w, reason)
+	r.recordDecision(attempt, offset, w, reason)
 	r.picker.Sent(w, p)
 	final, res := r.attempt(ctx, w, attempt, offset)
 	r.picker.Done(w, p, res)
@@ -87,46 +89,47 @@
 		return final, nil
 	}
 	if res.Outcome != v1.Outcome_OUTCOME_NOT_RUN {
-		r.ran = true
-		r.discardPlain()
+		r.mayHaveRun = true
+		r.resetPlainAnswer()
 	}
 	r.tried = append(r.tried, w.Instance)
-	return nil, r.next(ctx, res)
+	return nil, r.prepareRetry(ctx, res)
 }
 
-// discardPlain drops the part of a plain answer that a failed attempt has left. A plain answer does
-// not resume: another run may have another status, content type and body.
-func (r *runner) discardPlain() {
-	if out, ok := r.out.(*wholeSink); ok && r.call.plain != nil {
+// resetPlainAnswer discards the partial plain answer of a failed attempt. Plain answers cannot be
+// resumed, because another run may have a different status, content type and body.
+func (r *runner) resetPlainAnswer() {
+	if out, ok := r.out.(*bufferSink); ok && r.call.plain != nil {
 		out.buf.Reset()
-		r.asm.Restart()
+		r.assembler.Restart()
 	}
 }
 
-// next decides whether another attempt may follow a failed one.
-func (r *runner) next(ctx context.Context, res Result) *Error {
+// prepareRetry returns an error if no other attempt may follow a failed one. Otherwise it waits for
+// the backoff time, unless the attempt ended by a planned change, and returns nil.
+func (r *runner) prepareRetry(ctx context.Context, res Result) *Error {
 	detail := res.Reason.String()
 	switch {
-	case r.ran && !r.call.kind.Repeatable:
-		return r.giveUp(reasonOf(res.Reason), detail)
+	case r.mayHaveRun && !r.call.kind.Repeatable:
+		return r.finalError(callerReason(res.Reason), detail)
 	case ctx.Err() != nil || !time.Now().Before(r.call.deadline):
-		return r.giveUp(ReasonDeadline, "deadline passed")
+		return r.finalError(ReasonDeadline, "deadline passed")
 	case r.attempts >= maxAttempts:
-		return r.giveUp(reasonOf(res.Reason), detail)
-	case !movedOn(res) && !r.budget.Take(time.Now()):
-		return r.giveUp(ReasonRetryBudget, "retry budget is spent after "+detail)
+		return r.finalError(callerReason(res.Reason), detail)
+	case !plannedChange(res) && !r.budget.Take(time.Now()):
+		return r.finalError(ReasonRetryBudget, "retry budget is spent after "+detail)
 	}
 	r.metrics.Retry(r.call.service.Service, res.Reason)
-	if !movedOn(res) {
+	if !plannedChange(res) {
 		r.backOff(ctx)
 	}
 	return nil
 }
 
-// backOff waits before a retry, so that requests that failed together do not return together. The
-// deadline is checked by the next attempt.
+// backOff waits for a random time before a retry, so that requests that failed at the same time do
+// not retry at the same time. The next attempt checks the deadline.
 func (r *runner) backOff(ctx context.Context) {
-	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // jitter needs no secrecy
+	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // jitter is not security-sensitive
 	t := time.NewTimer(r.budget.Backoff(r.attempts, 0, rnd))
 	defer t.Stop()
 	select {
@@ -135,10 +138,11 @@
 	}
 }
 
-// movedOn reports whether an attempt ended because its worker is being changed, stopped or
-// replaced. The retry budget does not count these: they are bounded by the changes themselves,
-// and a budget that is spent would cut answers that a planned change only moves elsewhere.
-func movedOn(res Result) bool {
+// plannedChange reports whether an attempt ended because its worker is being reconfigured, stopped or
+// replaced. Such retries are not counted against the retry budget: their number is bounded by the
+// number of changes, and an exhausted budget would fail requests that only have to move to another
+// worker.
+func plannedChange(res Result) bool {
 	switch res.Reason {
 	case v1.Reason_REASON_DRAINING:
 		return true
@@ -148,34 +152,37 @@
 	return false
 }
 
-// noWorker waits a little for a worker, if one has already refused or interrupted the request:
-// several engines may change at once, and one that has just changed may not be known to be ready.
-// The workers tried so far are then considered again.
-func (r *runner) noWorker(ctx context.Context, cause error) *Error {
-	if r.attempts == 0 || r.waited >= workerWait {
-		return r.giveUp(ReasonNoWorker, cause.Error())
+// waitForWorker waits for one poll interval if a worker has already refused or interrupted the
+// request: several engines may be reconfigured at once, and one that is ready again may still be
+// reported as draining. The next attempt may use workers that were already tried. Without an earlier
+// attempt, or after maxWorkerWait, it returns an error.
+func (r *runner) waitForWorker(ctx context.Context, cause error) *Error {
+	if r.attempts == 0 || r.waited >= maxWorkerWait {
+		return r.finalError(ReasonNoWorker, cause.Error())
 	}
-	t := time.NewTimer(workerWaitTick)
+	t := time.NewTimer(workerPollInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return r.giveUp(ReasonDeadline, cause.Error())
+		return r.finalError(ReasonDeadline, cause.Error())
 	case <-t.C:
 	}
-	r.waited += workerWaitTick
+	r.waited += workerPollInterval
 	r.tried = nil
 	return nil
 }
 
-// giveUp returns "not run" only if no attempt can have run.
-func (r *runner) giveUp(reason Reason, detail string) *Error {
-	if r.ran {
-		return unknown(reason, "%s", detail)
+// finalError returns the error for the caller: "not run" only if no attempt can have run, otherwise
+// "unknown".
+func (r *runner) finalError(reason Reason, detail string) *Error {
+	if r.mayHaveRun {
+		return unknownError(reason, "%s", detail)
 	}
-	return notRun(reason, "%s", detail)
+	return notRunError(reason, "%s", detail)
 }
 
-func (r *runner) logChoice(attempt uint32, offset uint64, w Worker, reason string) {
+// recordDecision logs the choice of a worker and adds it to the decision log.
+func (r *runner) recordDecision(attempt uint32, offset uint64, w Worker, reason string) {
 	prefill := ""
 	if w.Prefill != nil {
 		prefill = w.Prefill.Instance
@@ -183,22 +190,22 @@
 	r.log.WithFields(logrus.Fields{
 		"request_id": r.call.id, "service": r.call.service.Service, "kind": r.call.kind.Name,
 		"attempt": attempt, "offset": offset, "worker": w.Instance, "prefill": prefill, "reason": reason,
-	}).Info("routed")
+	}).Info("request routed")
 	r.decisions.Add(r.call.id, w.Instance, reason, slices.Clone(r.tried))
 }
 
-// attempt sends one attempt and relays its frames until its final frame.
+// attempt sends the request to a worker and passes its frames to the sink until the final frame.
 func (r *runner) attempt(ctx context.Context, w Worker, attempt uint32, offset uint64) (*v1.Final, Result) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	started := time.Now()
-	first, between := r.stallTimes()
+	first, between := r.stallTimeouts()
 	timer := time.AfterFunc(first, func() { cancel(errStalled) })
 	defer timer.Stop()
 	req := r.call.request(r.cfg.Cluster, w, attempt, offset, started)
 	s, err := r.clients.Worker(w.Address).Execute(ctx, connect.NewRequest(req))
 	if err != nil {
-		return nil, failed(ctx, err, started)
+		return nil, classifyFailure(ctx, err, started)
 	}
 	defer s.Close()
 	res := Result{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_BACKEND_FAILED}
@@ -206,29 +213,30 @@
 	for s.Receive() {
 		timer.Reset(between)
 		f := s.Msg()
-		verdict, err := r.asm.Accept(f)
+		verdict, err := r.assembler.Accept(f)
 		if err != nil {
-			r.log.WithField("request_id", r.call.id).WithError(err).Warn("frame refused")
+			r.log.WithField("request_id", r.call.id).WithError(err).Warn("invalid frame from worker")
 			return nil, res
 		}
 		switch verdict {
 		case stream.Drop:
 		case stream.Deliver:
 			now := time.Now()
-			r.measure(&res, f, started, previous, now)
+			r.recordLatency(&res, f, started, previous, now)
 			previous = now
 			if err := r.out.write(f.GetData()); err != nil {
 				res.Reason = v1.Reason_REASON_CANCELLED
 				return nil, res
 			}
 		case stream.End:
-			return r.ended(f.GetFinal(), res, started)
+			return r.applyFinal(f.GetFinal(), res, started)
 		}
 	}
-	return nil, failed(ctx, s.Err(), started)
+	return nil, classifyFailure(ctx, s.Err(), started)
 }
 
-func (r *runner) measure(res *Result, f *v1.Frame, started, previous, now time.Time) {
+// recordLatency updates the result and the latency metrics for a frame that was delivered.
+func (r *runner) recordLatency(res *Result, f *v1.Frame, started, previous, now time.Time) {
 	c := r.call
 	if res.Tokens == 0 {
 		res.FirstToken = now.Sub(started)
@@ -241,43 +249,45 @@
 	res.Tokens += uint64(f.GetTokens())
 }
 
-func (r *runner) ended(f *v1.Final, res Result, started time.Time) (*v1.Final, Result) {
+// applyFinal completes the result of an attempt from its final frame.
+func (r *runner) applyFinal(f *v1.Final, res Result, started time.Time) (*v1.Final, Result) {
 	r.docs.Observe(r.call.service.Service, f.GetConfigRevision())
 	res.Outcome, res.Reason, res.Load = f.GetOutcome(), f.GetReason(), f.GetLoad()
 	res.Elapsed = time.Since(started)
 	return f, res
 }
 
-// failed classifies an attempt that ended without a final frame. Only a connection that was
-// never made proves that the request did not run.
-func failed(ctx context.Context, err error, started time.Time) Result {
+// classifyFailure returns the result of an attempt that ended without a final frame. The request
+// certainly did not run only if no connection was established or the peer rejected the credentials.
+func classifyFailure(ctx context.Context, err error, started time.Time) Result {
 	res := Result{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_BACKEND_FAILED, Elapsed: time.Since(started)}
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		res.Outcome, res.Refused = v1.Outcome_OUTCOME_NOT_RUN, true
+		res.Outcome, res.ConnectionRefused = v1.Outcome_OUTCOME_NOT_RUN, true
 	case errors.Is(context.Cause(ctx), errStalled):
-		res.Silent = true
+		res.TimedOut = true
 	case connect.CodeOf(err) == connect.CodeUnauthenticated:
 		res.Outcome, res.Reason = v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_INVALID
 	case ctx.Err() != nil:
 		res.Reason = v1.Reason_REASON_DEADLINE
-		res.Silent = errors.Is(ctx.Err(), context.DeadlineExceeded)
+		res.TimedOut = errors.Is(ctx.Err(), context.DeadlineExceeded)
 	default:
-		res.Broken = true
+		res.ConnectionBroken = true
 	}
 	return res
 }
 
-// stallTimes returns how long an attempt may be silent before its first frame and between
-// frames. An unrepeatable request waits for its deadline, since another attempt is not allowed.
-func (r *runner) stallTimes() (first, between time.Duration) {
-	rest := time.Until(r.call.deadline) + time.Second
+// stallTimeouts returns the timeouts of an attempt for its first frame and between frames.
+// Non-repeatable requests wait until their deadline, because another attempt would not be allowed.
+// Plain requests wait until their deadline too.
+func (r *runner) stallTimeouts() (first, between time.Duration) {
+	remaining := time.Until(r.call.deadline) + time.Second
 	if !r.call.kind.Repeatable || r.call.model == nil {
-		return rest, rest
+		return remaining, remaining
 	}
 	d := r.call.kind.Deadlines
-	first = max(minFirstStall, 4*d.FirstToken.Std())
-	between = max(minStall, stallFactor*d.BetweenTokens.Std())
-	return min(first, rest), min(between, rest)
+	first = max(minFirstFrameTimeout, 4*d.FirstToken.Std())
+	between = max(minStallTimeout, stallFactor*d.BetweenTokens.Std())
+	return min(first, remaining), min(between, remaining)
 }
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -25,11 +25,12 @@
 	"github.com/quetzallug/quetzallug/internal/rpc"
 )
 
-// script is what a worker does with one attempt.
+// script handles one attempt on a worker.
 type script func(r *v1.ExecuteRequest, send func(*v1.Frame))
 
-// scripted serves attempts by scripts, in order over all workers.
-type scripted struct {
+// scriptedWorker handles each attempt with the next script, and repeats the last one. It records the
+// requests.
+type scriptedWorker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 
 	mu       sync.Mutex
@@ -37,7 +38,7 @@
 	requests []*v1.ExecuteRequest
 }
 
-func (s *scripted) Execute(_ context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
+func (s *scriptedWorker) Execute(_ context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
 	s.mu.Lock()
 	next := s.scripts[min(len(s.requests), len(s.scripts)-1)]
 	s.requests = append(s.requests, r.Msg)
@@ -46,50 +47,55 @@
 	return nil
 }
 
-func data(r *v1.ExecuteRequest, offset uint64, text string) *v1.Frame {
+func dataFrame(r *v1.ExecuteRequest, offset uint64, text string) *v1.Frame {
 	return &v1.Frame{RequestId: r.GetRequestId(), Attempt: r.GetAttempt(), Offset: offset, Tokens: 1, Data: []byte(text)}
 }
 
-func end(r *v1.ExecuteRequest, o v1.Outcome, total uint64) *v1.Frame {
+func finalFrame(r *v1.ExecuteRequest, o v1.Outcome, total uint64) *v1.Frame {
 	return &v1.Frame{RequestId: r.GetRequestId(), Attempt: r.GetAttempt(), Final: &v1.Final{
 		Outcome: o, Total: total, Status: http.StatusOK, ContentType: "text/plain", FinishReason: "stop",
 	}}
 }
 
-func whole(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+// completeAnswer sends the frames "a", "b" and "c" from the offset on, and the final frame.
+func completeAnswer(r *v1.ExecuteRequest, send func(*v1.Frame)) {
 	for i, text := range []string{"a", "b", "c"}[r.GetOffset():] {
-		send(data(r, r.GetOffset()+uint64(i), text))
+		send(dataFrame(r, r.GetOffset()+uint64(i), text))
 	}
-	send(end(r, v1.Outcome_OUTCOME_COMPLETE, 3))
+	send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 3))
 }
 
-// cut sends the first part of the answer and no final frame.
-func cut(r *v1.ExecuteRequest, send func(*v1.Frame)) { send(data(r, r.GetOffset(), "a")) }
+// partial sends the first frame of the answer and no final frame.
+func partial(r *v1.ExecuteRequest, send func(*v1.Frame)) { send(dataFrame(r, r.GetOffset(), "a")) }
 
-func refuse(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	send(end(r, v1.Outcome_OUTCOME_NOT_RUN, 0))
+// refuseAttempt ends the attempt with the outcome "not run".
+func refuseAttempt(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	send(finalFrame(r, v1.Outcome_OUTCOME_NOT_RUN, 0))
 }
 
-func foreign(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	f := data(r, 0, "x")
+// otherRequestFrame sends a frame of another request before the answer.
+func otherRequestFrame(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	f := dataFrame(r, 0, "x")
 	f.RequestId = "other"
 	send(f)
-	whole(r, send)
+	completeAnswer(r, send)
 }
 
-func late(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	f := data(r, 0, "x")
+// otherAttemptFrame sends a frame of another attempt before the answer.
+func otherAttemptFrame(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	f := dataFrame(r, 0, "x")
 	f.Attempt = r.GetAttempt() + 1
 	send(f)
-	whole(r, send)
+	completeAnswer(r, send)
 }
 
-func short(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-	send(data(r, r.GetOffset(), "a"))
-	send(end(r, v1.Outcome_OUTCOME_COMPLETE, 3))
+// earlyFinal sends a final frame whose total is larger than what was sent.
+func earlyFinal(r *v1.ExecuteRequest, send func(*v1.Frame)) {
+	send(dataFrame(r, r.GetOffset(), "a"))
+	send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 3))
 }
 
-// picker offers one worker.
+// picker always picks the same worker, or fails if it has no address.
 type picker struct{ worker entry.Worker }
 
 func (p *picker) Pick(entry.PickRequest) (entry.Worker, string, error) {
@@ -118,12 +124,12 @@
 
 func (admitAll) Admit(entry.AdmitRequest) (func(), int, *entry.Error) { return func() {}, 1, nil }
 
-// unlimited lets the tests reach the bound on attempts.
-type unlimited struct{}
+// unlimitedBudget allows all retries, so that tests reach the limit of attempts.
+type unlimitedBudget struct{}
 
-func (unlimited) Fresh(time.Time)                                      {}
-func (unlimited) Take(time.Time) bool                                  { return true }
-func (unlimited) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
+func (unlimitedBudget) Fresh(time.Time)                                      {}
+func (unlimitedBudget) Take(time.Time) bool                                  { return true }
+func (unlimitedBudget) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
 
 type noMetrics struct{}
 
@@ -132,7 +138,9 @@
 func (noMetrics) BetweenTokens(string, string, time.Duration)                       {}
 func (noMetrics) Retry(string, v1.Reason)                                           {}
 
-func newEntry(t testing.TB, s *scripted) http.Handler {
+// newHandler returns the handler of an entry with one model service and one plain service, both served
+// by the scripted worker.
+func newHandler(t testing.TB, s *scriptedWorker) http.Handler {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -157,37 +165,37 @@
 		}},
 		Picker:  &picker{entry.Worker{Instance: "w", Address: l.Addr().String(), Incarnation: "i"}},
 		Clients: rpc.NewClients(rpc.ClientConfig{}), Admitter: admitAll{}, Metrics: noMetrics{}, Log: log,
-		Budget: unlimited{}, Decisions: entry.NewDecisionLog(8),
+		Budget: unlimitedBudget{}, Decisions: entry.NewDecisionLog(8),
 	})
 	return e.Handler()
 }
 
-// Guards against an answer that is cut, repeated or mixed and shown as whole, against a retry
-// of a request that may have run and may not be repeated, and against "not run" for a request
-// that may have run.
+// An answer with missing, repeated or foreign parts must not be presented as complete. A non-repeatable
+// request that may have run must not be retried, and no request that may have run must be reported as
+// "not run".
 func TestAttempts(t *testing.T) {
 	tests := []struct {
 		name     string
 		kind     string
 		scripts  []script
 		attempts int
-		outcome  string // empty: whole
+		outcome  string // empty for a complete answer
 	}{
-		{"whole", "once", []script{whole}, 1, ""},
-		{"resumed at the offset", "again", []script{cut, whole}, 2, ""},
-		{"cut, not repeatable", "once", []script{cut, whole}, 1, "unknown"},
-		{"not run, then whole", "once", []script{refuse, whole}, 2, ""},
-		{"never run", "once", []script{refuse}, 6, "not_run"},
-		{"cut, then never run", "again", []script{cut, refuse}, 6, "unknown"},
-		{"frame of another request", "once", []script{foreign}, 1, "unknown"},
-		{"frame of another request, repeated", "again", []script{foreign, whole}, 2, ""},
-		{"frame of another attempt", "once", []script{late}, 1, ""},
-		{"final frame before the end", "once", []script{short}, 1, "unknown"},
+		{"whole", "once", []script{completeAnswer}, 1, ""},
+		{"resumed at the offset", "again", []script{partial, completeAnswer}, 2, ""},
+		{"cut, not repeatable", "once", []script{partial, completeAnswer}, 1, "unknown"},
+		{"not run, then whole", "once", []script{refuseAttempt, completeAnswer}, 2, ""},
+		{"never run", "once", []script{refuseAttempt}, 6, "not_run"},
+		{"cut, then never run", "again", []script{partial, refuseAttempt}, 6, "unknown"},
+		{"frame of another request", "once", []script{otherRequestFrame}, 1, "unknown"},
+		{"frame of another request, repeated", "again", []script{otherRequestFrame, completeAnswer}, 2, ""},
+		{"frame of another attempt", "once", []script{otherAttemptFrame}, 1, ""},
+		{"final frame before the end", "once", []script{earlyFinal}, 1, "unknown"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &scripted{scripts: tt.scripts}
-			h := newEntry(t, s)
+			s := &scriptedWorker{scripts: tt.scripts}
+			h := newHandler(t, s)
 			status, body := request(h, tt.kind, false)
 			require.Len(t, s.requests, tt.attempts)
 			if tt.outcome == "" {
@@ -204,15 +212,16 @@
 	}
 }
 
-// Guards against a stream that ends with [DONE] although the answer is not whole.
+// A stream whose answer is incomplete must end with an error event, not with [DONE].
 func TestStreamEndsWithError(t *testing.T) {
-	status, body := request(newEntry(t, &scripted{scripts: []script{cut}}), "once", true)
+	status, body := request(newHandler(t, &scriptedWorker{scripts: []script{partial}}), "once", true)
 	require.Equal(t, http.StatusOK, status)
 	require.Contains(t, body, "event: error")
 	require.Contains(t, body, `"type":"unknown"`)
 	require.NotContains(t, body, "[DONE]")
 }
 
+// request sends a completion request and returns the status and the body of the response.
 func request(h http.Handler, kind string, stream bool) (int, string) {
 	body := `{"model": "m", "prompt": "next arrival", "max_tokens": 3, "stream": ` + map[bool]string{true: "true", false: "false"}[stream] + `}`
 	r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
@@ -222,25 +231,25 @@
 	return w.Code, w.Body.String()
 }
 
-// Guards against an answer of a plain backend server that joins the body of one run with the status
-// of another one.
+// After a retry, the answer of a plain backend server must not combine the body of one run with the
+// status of another.
 func TestPlainAnswerIsOfOneRun(t *testing.T) {
-	s := &scripted{scripts: []script{
-		cut,
+	s := &scriptedWorker{scripts: []script{
+		partial,
 		func(r *v1.ExecuteRequest, send func(*v1.Frame)) {
-			send(data(r, 0, "second"))
-			send(end(r, v1.Outcome_OUTCOME_COMPLETE, 1))
+			send(dataFrame(r, 0, "second"))
+			send(finalFrame(r, v1.Outcome_OUTCOME_COMPLETE, 1))
 		},
 	}}
 	r := httptest.NewRequest(http.MethodGet, "/svc/p/schedule", nil)
 	r.Header.Set("X-Quetzallug-Kind", "again")
 	w := httptest.NewRecorder()
-	newEntry(t, s).ServeHTTP(w, r)
+	newHandler(t, s).ServeHTTP(w, r)
 	require.Len(t, s.requests, 2)
 	require.Equal(t, "second", w.Body.String())
 }
 
-// Guards against bad input that is accepted, or refused without a typed error.
+// Invalid input must be refused with a typed error, and must not reach a worker.
 func TestBadInput(t *testing.T) {
 	tests := []struct {
 		name, path, kind, body string
@@ -259,11 +268,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &scripted{scripts: []script{whole}}
+			s := &scriptedWorker{scripts: []script{completeAnswer}}
 			r := httptest.NewRequest(http.MethodPost, tt.path, strings.NewReader(tt.body))
 			r.Header.Set("X-Quetzallug-Kind", tt.kind)
 			w := httptest.NewRecorder()
-			newEntry(t, s).ServeHTTP(w, r)
+			newHandler(t, s).ServeHTTP(w, r)
 			require.Equal(t, tt.status, w.Code)
 			require.Contains(t, w.Body.String(), `"code":"`+tt.code+`"`)
 			require.Contains(t, w.Body.String(), `"type":"not_run"`)
