--- a/stream/assembler.go
+++ b/stream/assembler.go
@@ -1,6 +1,7 @@
-// Package stream reassembles an answer from frames. A frame carries its request ID, attempt
-// and offset; the assembler lets through only frames of the current attempt at the next
-// offset, so an answer reaches its caller whole, once and in order.
+// Package stream reassembles an answer from the frames of one or more attempts. Each frame carries
+// its request ID, attempt number and token offset. The assembler accepts only frames of the current
+// attempt at the next offset, so each token is delivered exactly once and in order, and an answer is
+// reported as complete only if no token is missing.
 package stream
 
 import (
@@ -10,32 +11,32 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// Errors of an attempt whose frames cannot be part of the answer.
+// Errors for frames that cannot be part of the answer. Each of them fails the attempt.
 var (
-	// ErrForeignFrame means that a frame belongs to another request.
-	ErrForeignFrame = errors.New("frame belongs to another request")
-	// ErrGap means that frames are missing before this one.
+	// ErrWrongRequest means that a frame belongs to another request.
+	ErrWrongRequest = errors.New("frame belongs to another request")
+	// ErrGap means that one or more frames before this one are missing.
 	ErrGap = errors.New("frame is beyond the next offset")
-	// ErrOverlap means that a frame repeats a part of the answer and adds to it.
+	// ErrOverlap means that a frame starts within the delivered part of the answer and ends beyond it.
 	ErrOverlap = errors.New("frame overlaps the delivered answer")
-	// ErrLength means that a final frame's total does not match the delivered length.
-	ErrLength = errors.New("final length does not match the delivered answer")
+	// ErrLengthMismatch means that the total of a final frame differs from the number of tokens delivered.
+	ErrLengthMismatch = errors.New("final length does not match the delivered answer")
 )
 
-// Verdict says what to do with a frame.
-type Verdict int
+// Action tells the caller of Accept what to do with a frame.
+type Action int
 
-// Verdicts.
+// Actions for a frame.
 const (
-	// Drop means that the frame is late or repeated and must not be delivered.
-	Drop Verdict = iota
+	// Drop means that the frame is stale, repeated or invalid and must not be delivered.
+	Drop Action = iota
 	// Deliver means that the frame's data is the next part of the answer.
 	Deliver
-	// End means that the frame ends the attempt with its outcome.
+	// End means that the frame is final and carries the outcome of the attempt.
 	End
 )
 
-// Assembler holds the state of one answer. It is not safe for concurrent use.
+// Assembler tracks the delivery of one answer across attempts. It is not safe for concurrent use.
 //
 // Invariants: next decreases only by Restart, and data is delivered only at offset next.
 type Assembler struct {
@@ -45,33 +46,34 @@
 	complete  bool
 }
 
-// NewAssembler returns an assembler for one request.
+// NewAssembler returns an assembler for the answer to one request. Begin must be called before the
+// first Accept.
 func NewAssembler(requestID string) *Assembler {
 	return &Assembler{requestID: requestID}
 }
 
-// Begin starts the next attempt and returns its number and the offset from which it resumes.
-// Frames of earlier attempts are dropped from now on.
+// Begin starts the next attempt and returns its number and the offset at which it resumes. From then
+// on, frames of earlier attempts are dropped.
 func (a *Assembler) Begin() (attempt uint32, offset uint64) {
 	a.attempt++
 	return a.attempt, a.next
 }
 
-// Restart forgets the delivered part of an answer that its caller has discarded. Frames of the
-// attempts so far are dropped from the next Begin on.
+// Restart resets the offset to zero after the caller has discarded the delivered part of the answer.
+// Begin must follow: only then are frames of the earlier attempts dropped.
 func (a *Assembler) Restart() { a.next = 0 }
 
-// Offset returns the number of tokens delivered so far.
+// Offset returns the number of tokens delivered so far, which is the next expected offset.
 func (a *Assembler) Offset() uint64 { return a.next }
 
 // Complete reports whether the whole answer has been delivered.
 func (a *Assembler) Complete() bool { return a.complete }
 
-// Accept decides about one frame. An error means that the attempt has failed; the tokens
-// delivered so far stay valid.
-func (a *Assembler) Accept(f *v1.Frame) (Verdict, error) {
+// Accept checks one frame and returns what to do with it. An error means that the attempt has failed;
+// the tokens delivered so far remain valid.
+func (a *Assembler) Accept(f *v1.Frame) (Action, error) {
 	if f.GetRequestId() != a.requestID {
-		return Drop, fmt.Errorf("%w: got %q, want %q", ErrForeignFrame, f.GetRequestId(), a.requestID)
+		return Drop, fmt.Errorf("%w: got %q, want %q", ErrWrongRequest, f.GetRequestId(), a.requestID)
 	}
 	if f.GetAttempt() != a.attempt || a.complete {
 		return Drop, nil
@@ -82,7 +84,8 @@
 	return a.acceptData(f)
 }
 
-func (a *Assembler) acceptData(f *v1.Frame) (Verdict, error) {
+// acceptData checks a frame that carries tokens.
+func (a *Assembler) acceptData(f *v1.Frame) (Action, error) {
 	end := f.GetOffset() + uint64(f.GetTokens())
 	switch {
 	case f.GetOffset() == a.next:
@@ -97,12 +100,13 @@
 	}
 }
 
-func (a *Assembler) acceptFinal(f *v1.Final) (Verdict, error) {
+// acceptFinal checks a final frame. An incomplete outcome ends the attempt but not the answer.
+func (a *Assembler) acceptFinal(f *v1.Final) (Action, error) {
 	if f.GetOutcome() != v1.Outcome_OUTCOME_COMPLETE {
 		return End, nil
 	}
 	if f.GetTotal() != a.next {
-		return Drop, fmt.Errorf("%w: total %d, delivered %d", ErrLength, f.GetTotal(), a.next)
+		return Drop, fmt.Errorf("%w: total %d, delivered %d", ErrLengthMismatch, f.GetTotal(), a.next)
 	}
 	a.complete = true
 	return End, nil
