--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -7,43 +7,45 @@
 	"github.com/sirupsen/logrus"
 )
 
-// errInterrupted is the cause of the cancellation of an interruptible attempt.
+// errInterrupted is the cancellation cause of an interruptible attempt that a planned change ends.
 var errInterrupted = errors.New("interrupted by a planned change")
 
-// Leave stops new work for good: the backend server or this process is leaving.
+// Leave refuses new attempts until Stay is called, because the backend server or this process is
+// shutting down. Attempts in flight continue.
 func (s *Sidecar) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
 		s.leaving = true
-		s.log.WithField("in_flight", len(s.inFlight)).Info("leaving: no new work is accepted")
+		s.log.WithField("in_flight", len(s.inFlight)).Info("draining: new attempts are refused")
 	}
 }
 
-// Stay takes back Leave after an operator's drain has been undone.
+// Stay reverses Leave when an operator undoes a drain.
 func (s *Sidecar) Stay() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = false
 }
 
-// Listed follows the platform's list: new work is refused while the list gives this slot as
-// leaving. The list lags, so a replacement may find the slot still listed as leaving when it
-// starts; it takes work once the list has caught up.
+// Listed records whether the platform's instance list marks this instance as leaving. New attempts
+// are refused while it does. The list is updated with a delay: a replacement process may start while
+// the instance is still marked as leaving, and accepts attempts once the list is up to date.
 func (s *Sidecar) Listed(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.listed != leaving {
-		s.listed = leaving
-		s.log.WithFields(logrus.Fields{"leaving": leaving, "in_flight": len(s.inFlight)}).Info("the list's state of this slot changed")
+	if s.listedLeaving != leaving {
+		s.listedLeaving = leaving
+		s.log.WithFields(logrus.Fields{"leaving": leaving, "in_flight": len(s.inFlight)}).Info("leaving state in the instance list changed")
 	}
 }
 
-// BeginDrain stops new work for a planned change and interrupts the attempts that allow it.
+// BeginDrain refuses new attempts during a planned change and cancels the interruptible ones in
+// flight. It implements order.Drainer.
 func (s *Sidecar) BeginDrain(_ context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ordered = true
+	s.reconfiguring = true
 	for _, a := range s.inFlight {
 		if a.interruptible {
 			a.cancel(errInterrupted)
@@ -52,18 +54,18 @@
 	return nil
 }
 
-// EndDrain accepts work again after a planned change.
+// EndDrain accepts attempts again after a planned change.
 func (s *Sidecar) EndDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ordered = false
+	s.reconfiguring = false
 }
 
-// Wait returns when nothing is in flight, or with the context's error.
+// Wait blocks until no attempt is in flight and returns nil, or returns the context's error.
 func (s *Sidecar) Wait(ctx context.Context) error {
 	for {
 		s.mu.Lock()
-		n, idle := len(s.inFlight), s.idle
+		n, ended := len(s.inFlight), s.attemptEnded
 		s.mu.Unlock()
 		if n == 0 {
 			return nil
@@ -71,7 +73,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-idle:
+		case <-ended:
 		}
 	}
 }
@@ -83,12 +85,12 @@
 	return len(s.inFlight)
 }
 
-// Draining reports whether new work is refused.
+// Draining reports whether new attempts are refused.
 func (s *Sidecar) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainingLocked()
 }
 
-// drainingLocked reports whether new work is refused. The caller holds mu.
-func (s *Sidecar) drainingLocked() bool { return s.leaving || s.listed || s.ordered }
+// drainingLocked reports whether new attempts are refused. The caller must hold mu.
+func (s *Sidecar) drainingLocked() bool { return s.leaving || s.listedLeaving || s.reconfiguring }
--- a/sidecar/execute.go
+++ b/sidecar/execute.go
@@ -13,59 +13,60 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// Sender sends the frames of one attempt to the entry.
+// Sender sends the frames of one attempt to the entry that requested it.
 type Sender interface {
-	// Send must not keep the frame: it and its data are reused for the next one.
+	// Send must not retain the frame: the frame and its data are reused for the next one.
 	Send(f *v1.Frame) error
 }
 
-// Execute runs one attempt and sends its frames. The last frame is always a final frame,
-// unless the entry cannot be reached any more.
+// Execute runs one attempt and sends its frames. The last frame is always a final frame, unless
+// sending fails.
 func (s *Sidecar) Execute(ctx context.Context, r *v1.ExecuteRequest, out Sender) error {
 	s.docs.Observe(r.GetService(), r.GetConfigRevision())
 	ctx, stop := context.WithTimeout(ctx, time.Duration(r.GetRemainingMs())*time.Millisecond)
 	defer stop()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if ref := s.admit(r, cancel); ref != nil {
-		return s.finish(ctx, r, out, &v1.Final{Outcome: ref.outcome, Reason: ref.reason, Detail: ref.detail})
+	if refused := s.admit(r, cancel); refused != nil {
+		return s.sendFinal(ctx, r, out, &v1.Final{Outcome: refused.outcome, Reason: refused.reason, Detail: refused.detail})
 	}
-	handed := true
-	defer func() { s.release(r, handed) }()
-	f := s.serve(ctx, r, out)
-	handed = f.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN
-	return s.finish(ctx, r, out, f)
+	dispatched := true
+	defer func() { s.release(r, dispatched) }()
+	f := s.dispatch(ctx, r, out)
+	dispatched = f.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN
+	return s.sendFinal(ctx, r, out, f)
 }
 
-// serve hands an admitted attempt to the backend server and returns the final frame's content.
-func (s *Sidecar) serve(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
+// dispatch runs an admitted attempt on the backend server and returns the content of its final
+// frame.
+func (s *Sidecar) dispatch(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
 	if s.engine != nil {
-		return s.generate(ctx, r, out)
+		return s.runModel(ctx, r, out)
 	}
-	return s.call(ctx, r, out)
+	return s.runPlain(ctx, r, out)
 }
 
-// generate streams an engine's answer and returns the final frame's content.
-func (s *Sidecar) generate(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
-	q := generateRequest(r)
-	q.KVHandle = s.importPrompt(ctx, r)
-	ts, err := s.engine.Generate(ctx, q)
+// runModel streams the engine's answer to out and returns the content of the final frame.
+func (s *Sidecar) runModel(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
+	req := generateRequest(r)
+	req.KVHandle = s.importPromptKV(ctx, r)
+	tokens, err := s.engine.Generate(ctx, req)
 	if err != nil {
-		f := s.failure(ctx, err)
+		f := s.finalForError(ctx, err)
 		if r.GetPrefill() != nil {
-			// The prefill engine may have run the prompt, whatever the engine here has done.
+			// The prefill engine may have run the prompt, even if the local engine refused the request.
 			f.Outcome = v1.Outcome_OUTCOME_UNKNOWN
 		}
 		return f
 	}
-	defer ts.Close()
+	defer tokens.Close()
 	next := r.GetOffset()
-	// Send encodes the frame before it returns, so that the frame and its data are reused.
+	// Send encodes the frame before it returns, so one frame and its buffer serve all chunks.
 	frame := &v1.Frame{RequestId: r.GetRequestId(), Attempt: r.GetAttempt()}
 	for {
-		c, err := ts.Next()
+		c, err := tokens.Next()
 		if err != nil {
-			return s.failure(ctx, err)
+			return s.finalForError(ctx, err)
 		}
 		if c.Tokens > 0 {
 			frame.Offset, frame.Tokens, frame.Data = uint64(c.Offset), uint32(c.Tokens), append(frame.Data[:0], c.Text...)
@@ -73,7 +74,7 @@
 				return &v1.Final{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_CANCELLED, Detail: err.Error()}
 			}
 			next = frame.Offset + uint64(frame.Tokens)
-			s.progress(r, c.Tokens)
+			s.recordTokens(r, c.Tokens)
 		}
 		if c.FinishReason != "" {
 			return &v1.Final{Outcome: v1.Outcome_OUTCOME_COMPLETE, Total: next, FinishReason: c.FinishReason}
@@ -81,21 +82,22 @@
 	}
 }
 
-// engineRequestID differs between attempts, so that the end of one attempt cannot affect
-// another one at the same engine.
+// engineRequestID returns a request ID that is unique for each attempt, so that cancelling or ending
+// one attempt cannot affect another attempt of the same request on the same engine.
 func engineRequestID(r *v1.ExecuteRequest) string {
 	return r.GetRequestId() + "/" + strconv.FormatUint(uint64(r.GetAttempt()), 10)
 }
 
-// call runs a plain request and returns the final frame's content.
-func (s *Sidecar) call(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
+// runPlain sends a plain request to the backend server, sends its answer as a single frame and
+// returns the content of the final frame.
+func (s *Sidecar) runPlain(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
 	p := r.GetPlain()
 	resp, err := s.backend.Do(ctx, &external.PlainRequest{
 		RequestID: r.GetRequestId(), Method: p.GetMethod(), Path: p.GetPath(), ContentType: p.GetContentType(),
 		IdempotencyKey: r.GetIdempotencyKey(), Body: p.GetBody(),
 	})
 	if err != nil {
-		return s.failure(ctx, err)
+		return s.finalForError(ctx, err)
 	}
 	var total uint64
 	if len(resp.Body) > 0 {
@@ -111,9 +113,10 @@
 	}
 }
 
-// failure converts an error of the backend server to a final frame. Only an explicit refusal
-// by the backend server, or a request that was certainly not sent, is "not run".
-func (s *Sidecar) failure(ctx context.Context, err error) *v1.Final {
+// finalForError converts an error of the backend server to the content of a final frame. The outcome
+// is "not run" only if the backend server explicitly refused the request or the request was
+// certainly not sent; otherwise it is "unknown".
+func (s *Sidecar) finalForError(ctx context.Context, err error) *v1.Final {
 	if errors.Is(err, external.ErrEngineRefused) {
 		return &v1.Final{Outcome: v1.Outcome_OUTCOME_NOT_RUN, Reason: v1.Reason_REASON_BACKEND_FAILED, Detail: err.Error()}
 	}
@@ -131,8 +134,8 @@
 	return f
 }
 
-// finish sends the final frame with a fresh load report.
-func (s *Sidecar) finish(ctx context.Context, r *v1.ExecuteRequest, out Sender, f *v1.Final) error {
+// sendFinal sends the final frame with a current load report and the latest cache events.
+func (s *Sidecar) sendFinal(ctx context.Context, r *v1.ExecuteRequest, out Sender, f *v1.Final) error {
 	f.ConfigRevision = s.docs.Revision(s.cfg.Service)
 	f.Load = s.Report(ctx)
 	f.Load.CacheEvents = s.recentCacheEvents()
@@ -146,8 +149,8 @@
 	return out.Send(&v1.Frame{RequestId: r.GetRequestId(), Attempt: r.GetAttempt(), Offset: f.GetTotal(), Final: f})
 }
 
-// Report returns a fresh load report. Cache events travel with answers only: in probes they would
-// take up to 2.5 KB/s of an entry's 4 KB/s for control.
+// Report returns a current load report without cache events. Only final frames carry cache events:
+// in probe responses they would use up to 2.5 KB/s of an entry's 4 KB/s budget for control traffic.
 func (s *Sidecar) Report(_ context.Context) *v1.LoadReport {
 	r := &v1.LoadReport{
 		Instance: s.cfg.Instance, Incarnation: s.cfg.Incarnation, Sequence: s.sequence.Add(1),
@@ -174,7 +177,8 @@
 	return r
 }
 
-// Cancel ends an attempt whose caller has left.
+// Cancel cancels an attempt whose caller has disconnected. It does nothing if the attempt is not in
+// flight.
 func (s *Sidecar) Cancel(requestID string, number uint32) {
 	s.mu.Lock()
 	a := s.inFlight[attemptKey{requestID, number}]
--- a/sidecar/prefill.go
+++ b/sidecar/prefill.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// chunkBytes is the size of a part of an exported KV cache.
-	chunkBytes = 1 << 20
-	// maxExportBytes bounds the KV cache of one prompt: 128 Ki tokens of 16 KiB each.
+	// prefillChunkBytes is the maximum size of one chunk of an exported KV cache.
+	prefillChunkBytes = 1 << 20
+	// maxExportBytes is the maximum size of one prompt's KV cache: 128 Ki tokens of 16 KiB each.
 	maxExportBytes = 2 << 30
 )
 
-// Errors of a transfer of KV cache.
+// Errors of a KV cache transfer.
 var (
-	errExportNotWhole = errors.New("exported KV cache ended early")
-	errExportTooLarge = errors.New("exported KV cache is too large")
+	errExportTruncated = errors.New("KV cache transfer ended before its last chunk")
+	errExportTooLarge  = errors.New("KV cache transfer exceeds the maximum size")
 )
 
-// ChunkSender sends the parts of an exported KV cache.
+// ChunkSender sends the chunks of an exported KV cache.
 type ChunkSender interface {
 	Send(c *v1.PrefillChunk) error
 }
 
-// Prefill computes the KV cache of a prompt and sends it. It counts as work in flight, so a
-// drain waits for it.
+// Prefill computes the KV cache of a prompt and sends it. It is admitted and counted as an attempt in
+// flight, so a drain waits for it.
 func (s *Sidecar) Prefill(ctx context.Context, r *v1.ExecuteRequest, out ChunkSender) error {
 	if s.engine == nil {
 		return connect.NewError(connect.CodeFailedPrecondition, errWrongTarget)
@@ -41,65 +41,68 @@
 	defer stop()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if ref := s.admit(r, cancel); ref != nil {
-		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("prefill refused: %s: %s", ref.reason, ref.detail))
+	if refused := s.admit(r, cancel); refused != nil {
+		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("prefill refused: %s: %s", refused.reason, refused.detail))
 	}
 	defer s.release(r, true)
-	data, err := s.exportPrompt(ctx, r)
+	data, err := s.exportPromptKV(ctx, r)
 	if err != nil {
 		return connect.NewError(connect.CodeUnavailable, err)
 	}
 	return sendChunks(data, out)
 }
 
-// exportPrompt lets the engine generate one token, so that the prompt is prefilled, and exports
-// the KV cache. The token is generated again by the engine that decodes.
-func (s *Sidecar) exportPrompt(ctx context.Context, r *v1.ExecuteRequest) ([]byte, error) {
-	q := generateRequest(r)
-	q.MaxTokens = q.Offset + 1
-	ts, err := s.engine.Generate(ctx, q)
+// exportPromptKV makes the engine prefill the prompt by generating one token, and exports the KV
+// cache. The token is discarded; the decode engine generates it again.
+func (s *Sidecar) exportPromptKV(ctx context.Context, r *v1.ExecuteRequest) ([]byte, error) {
+	req := generateRequest(r)
+	req.MaxTokens = req.Offset + 1
+	tokens, err := s.engine.Generate(ctx, req)
 	if err != nil {
 		return nil, err
 	}
-	defer ts.Close()
+	defer tokens.Close()
 	for {
-		c, err := ts.Next()
+		c, err := tokens.Next()
 		if err != nil {
 			return nil, err
 		}
 		if c.FinishReason != "" {
-			return s.engine.ExportKV(ctx, q.RequestID)
+			return s.engine.ExportKV(ctx, req.RequestID)
 		}
 	}
 }
 
+// sendChunks sends data in chunks of at most prefillChunkBytes and marks the last one.
 func sendChunks(data []byte, out ChunkSender) error {
-	for len(data) > chunkBytes {
-		if err := out.Send(&v1.PrefillChunk{Data: data[:chunkBytes]}); err != nil {
+	for len(data) > prefillChunkBytes {
+		if err := out.Send(&v1.PrefillChunk{Data: data[:prefillChunkBytes]}); err != nil {
 			return err
 		}
-		data = data[chunkBytes:]
+		data = data[prefillChunkBytes:]
 	}
 	return out.Send(&v1.PrefillChunk{Data: data, Last: true})
 }
 
-// importPrompt fetches the KV cache of a prompt from another sidecar and imports it. It returns
-// an empty handle if that fails: the serving engine then prefills the prompt itself.
-func (s *Sidecar) importPrompt(ctx context.Context, r *v1.ExecuteRequest) string {
+// importPromptKV fetches the KV cache of a prompt from the prefill sidecar named in the request,
+// imports it into the local engine and returns its handle. The handle is empty if the request names
+// no prefill sidecar or the transfer fails; the local engine then prefills the prompt itself.
+func (s *Sidecar) importPromptKV(ctx context.Context, r *v1.ExecuteRequest) string {
 	if r.GetPrefill() == nil {
 		return ""
 	}
-	handle, err := s.fetchPrompt(ctx, r)
+	handle, err := s.fetchPromptKV(ctx, r)
 	if err != nil {
 		s.log.WithFields(logrus.Fields{"request_id": r.GetRequestId(), "from": r.GetPrefill().GetInstance()}).
-			WithError(err).Info("prompt is prefilled here: no KV cache from the prefill engine")
+			WithError(err).Info("KV cache transfer from the prefill engine failed; prefilling the prompt locally")
 		return ""
 	}
 	return handle
 }
 
-func (s *Sidecar) fetchPrompt(ctx context.Context, r *v1.ExecuteRequest) (string, error) {
-	stream, err := s.cfg.Peers.Worker(r.GetPrefill().GetAddress()).Prefill(ctx, connect.NewRequest(&v1.PrefillRequest{Attempt: prefillPart(r)}))
+// fetchPromptKV receives the KV cache from the prefill sidecar and imports it into the local engine.
+func (s *Sidecar) fetchPromptKV(ctx context.Context, r *v1.ExecuteRequest) (string, error) {
+	stream, err := s.cfg.Peers.Worker(r.GetPrefill().GetAddress()).Prefill(ctx, connect.NewRequest(&v1.PrefillRequest{Attempt: prefillAttempt(r)}))
 	if err != nil {
 		return "", err
 	}
@@ -117,12 +120,12 @@
 	if err := stream.Err(); err != nil {
 		return "", err
 	}
-	return "", errExportNotWhole
+	return "", errExportTruncated
 }
 
-// prefillPart returns the request for the prefill sidecar. Its incarnation is not named: a
-// prefill has no effect that must happen at most once.
-func prefillPart(r *v1.ExecuteRequest) *v1.ExecuteRequest {
+// prefillAttempt returns the attempt to send to the prefill sidecar. It is repeatable and names no
+// incarnation, because repeating a prefill has no side effects.
+func prefillAttempt(r *v1.ExecuteRequest) *v1.ExecuteRequest {
 	return &v1.ExecuteRequest{
 		Cluster: r.GetCluster(), RequestId: r.GetRequestId(), Attempt: r.GetAttempt(), Offset: r.GetOffset(),
 		Service: r.GetService(), Kind: r.GetKind(), ConfigRevision: r.GetConfigRevision(),
@@ -132,6 +135,7 @@
 	}
 }
 
+// generateRequest converts a model attempt to the engine's request.
 func generateRequest(r *v1.ExecuteRequest) *external.GenerateRequest {
 	m := r.GetModel()
 	return &external.GenerateRequest{
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -26,19 +26,19 @@
 	relayTokens = 2000
 )
 
-// countSender counts the frames of an attempt.
-type countSender struct {
+// frameCounter counts the frames of an attempt and records the outcome of the last one.
+type frameCounter struct {
 	frames  int
 	outcome v1.Outcome
 }
 
-func (s *countSender) Send(f *v1.Frame) error {
+func (s *frameCounter) Send(f *v1.Frame) error {
 	s.frames++
 	s.outcome = f.GetFinal().GetOutcome()
 	return nil
 }
 
-// serveTokens is an engine over HTTP that sends the whole answer at once.
+// serveTokens handles an engine's HTTP requests and writes all events of an answer at once.
 func serveTokens(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == enginewire.PathState {
 		_, _ = io.WriteString(w, `{"config":{"role":"mixed","models":[{"name":"halte-verdict"}]}}`)
@@ -59,8 +59,8 @@
 	_, _ = w.Write(answer)
 }
 
-// BenchmarkRelay measures the sidecar's part of the relay path: reading an engine's events over
-// HTTP and handing frames to the RPC layer.
+// BenchmarkRelay measures the sidecar's part in streaming an answer: it reads the engine's events over
+// HTTP and passes frames to the RPC layer.
 func BenchmarkRelay(b *testing.B) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -72,14 +72,14 @@
 	require.NoError(b, err)
 	sc, err := sidecar.New(sidecar.Config{
 		Cluster: "bench", Instance: "w0", Service: "s", Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
-	}, engine, nil, noDocuments{}, m, log)
+	}, engine, nil, stubDocuments{}, m, log)
 	require.NoError(b, err)
 	require.NoError(b, sc.RefreshState(b.Context()))
 	frames := 0
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for b.Loop() {
-		out := &countSender{}
+		out := &frameCounter{}
 		require.NoError(b, sc.Execute(context.Background(), &v1.ExecuteRequest{
 			Cluster: "bench", RequestId: "r", Attempt: uint32(frames + 1), Service: "s", RemainingMs: 60_000, Repeatable: true,
 			Request: &v1.ExecuteRequest_Model{Model: &v1.ModelRequest{Model: relayModel, Prompt: "p", MaxTokens: relayTokens}},
--- a/sidecar/report_test.go
+++ b/sidecar/report_test.go
@@ -15,17 +15,19 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-type noDocuments struct{}
+// stubDocuments reports revision 1 for every service.
+type stubDocuments struct{}
 
-func (noDocuments) Revision(string) uint64 { return 1 }
-func (noDocuments) Observe(string, uint64) {}
+func (stubDocuments) Revision(string) uint64 { return 1 }
+func (stubDocuments) Observe(string, uint64) {}
 
-type noMetrics struct{}
+// discardMetrics discards all measurements.
+type discardMetrics struct{}
 
-func (noMetrics) Attempt(v1.Outcome, v1.Reason) {}
-func (noMetrics) InFlight(int)                  {}
+func (discardMetrics) Attempt(v1.Outcome, v1.Reason) {}
+func (discardMetrics) InFlight(int)                  {}
 
-// newTestSidecar returns a sidecar beside an engine with the model "m".
+// newTestSidecar returns a sidecar and its engine, which has loaded the model "m".
 func newTestSidecar(t *testing.T) (*Sidecar, *engine.Engine) {
 	t.Helper()
 	e := engine.New(engine.Config{OrderTime: time.Millisecond, Initial: external.EngineConfig{
@@ -35,13 +37,13 @@
 	log := logrus.New()
 	log.SetOutput(t.Output())
 	s, err := New(Config{Cluster: "c", Instance: "i", Service: "s", Incarnation: "1", MaxInFlight: 8, Attempts: once.DefaultExecutorSettings()},
-		e, nil, noDocuments{}, noMetrics{}, log)
+		e, nil, stubDocuments{}, discardMetrics{}, log)
 	require.NoError(t, err)
 	return s, e
 }
 
-// Guards against a report by which an engine that does not answer looks like a plain backend
-// server, which takes any request.
+// Guards against reporting an unreachable engine as a plain backend server, which accepts requests
+// for any model.
 func TestReportTellsEnginesFromPlain(t *testing.T) {
 	s, e := newTestSidecar(t)
 	ctx := context.Background()
@@ -58,13 +60,14 @@
 	require.False(t, r.GetPlain())
 	require.Empty(t, r.GetModels())
 
-	plain, err := New(s.cfg, nil, backend.New(backend.Config{}), noDocuments{}, noMetrics{}, s.log)
+	plain, err := New(s.cfg, nil, backend.New(backend.Config{}), stubDocuments{}, discardMetrics{}, s.log)
 	require.NoError(t, err)
 	require.True(t, plain.Report(ctx).GetPlain())
 }
 
-// Guards against a replacement that starts while the lagging list still gives its slot as leaving
-// and then refuses work for good, and against a list that undoes a stop.
+// Guards against two faults: a replacement process refuses attempts permanently because the delayed
+// instance list still marked the instance as leaving when it started, and a later update of the list
+// cancels a shutdown or an operator's drain.
 func TestListedLeavingEndsWithTheListing(t *testing.T) {
 	s, _ := newTestSidecar(t)
 	s.Listed(true)
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -12,22 +12,25 @@
 	"github.com/quetzallug/quetzallug/order"
 )
 
-// errWrongTarget means that a message names another engine, pool or instance.
+// errWrongTarget means that a message is addressed to another engine, pool or instance, or needs an
+// engine where there is none.
 var errWrongTarget = errors.New("message is for another target")
 
-// Service serves WorkerService for a sidecar. Orders is nil beside a plain backend server.
+// Service implements WorkerService for a sidecar.
 type Service struct {
 	sidecar *Sidecar
-	orders  order.Sidecar
-	pool    string
-	log     logrus.FieldLogger
+	// orders is nil for a plain backend server.
+	orders order.Sidecar
+	pool   string
+	log    logrus.FieldLogger
 }
 
 var _ quetzallugv1connect.WorkerServiceHandler = (*Service)(nil)
 
-// NewService returns the RPC service of a sidecar whose engine belongs to a pool.
-func NewService(s *Sidecar, o order.Sidecar, pool string, log logrus.FieldLogger) *Service {
-	return &Service{sidecar: s, orders: o, pool: pool, log: log}
+// NewService returns the RPC service of a sidecar whose engine belongs to the given pool. For a plain
+// backend server, orders must be nil.
+func NewService(s *Sidecar, orders order.Sidecar, pool string, log logrus.FieldLogger) *Service {
+	return &Service{sidecar: s, orders: orders, pool: pool, log: log}
 }
 
 // Execute implements WorkerService.
@@ -81,7 +84,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// checkTarget refuses a message for another engine.
+// checkTarget returns an error if an order message is not addressed to this sidecar's engine.
 func (s *Service) checkTarget(pool, engine string) error {
 	if s.orders != nil && pool == s.pool && engine == s.sidecar.cfg.Instance {
 		return nil
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -1,6 +1,7 @@
-// Package sidecar is the role that runs beside one backend server. It is the only process
-// that talks to that backend server and the exact admission point for its work: it knows
-// what is in flight, refuses with "not run" before handing anything over, and only then.
+// Package sidecar implements the process that runs next to one backend server. All requests to that
+// backend server pass through its sidecar, so the sidecar knows exactly which attempts are in flight
+// and decides their admission. Admission refuses an attempt as "not run" only before anything is sent
+// to the backend server.
 package sidecar
 
 import (
@@ -20,11 +21,12 @@
 	"github.com/quetzallug/quetzallug/once"
 )
 
-// Documents is what the sidecar needs from the documents in force.
+// Documents gives access to the configuration documents in force.
 type Documents interface {
-	// Revision returns the revision of a service's document in force.
+	// Revision returns the revision of the document in force for a service.
 	Revision(service string) uint64
-	// Observe reports a revision seen in traffic, so that a process that is behind catches up.
+	// Observe reports a revision that a request carried. A newer one than the local revision makes
+	// this process update its documents.
 	Observe(service string, revision uint64)
 }
 
@@ -33,17 +35,18 @@
 	Cluster  string
 	Instance string
 	Service  string
-	// Incarnation is unique for each start of the process.
+	// Incarnation identifies one run of the process: it differs after each start.
 	Incarnation string
-	// Peers calls other sidecars for KV cache.
+	// Peers holds the RPC clients for fetching KV caches from other sidecars.
 	Peers *rpc.Clients
-	// MaxInFlight bounds the attempts handed to the backend server or waiting in it.
+	// MaxInFlight is the maximum number of attempts that run or wait in the backend server.
 	MaxInFlight int
-	// Attempts bounds the memory of attempts seen.
+	// Attempts limits the table of attempts for detecting duplicates.
 	Attempts once.ExecutorSettings
 }
 
-// Sidecar serves one backend server. Exactly one of Engine and Backend is set.
+// Sidecar admits and runs the attempts of one backend server. Exactly one of engine and backend is
+// set.
 type Sidecar struct {
 	cfg     Config
 	engine  external.Engine
@@ -52,85 +55,94 @@
 	log     logrus.FieldLogger
 	metrics Metrics
 
-	// seen refuses duplicates. Its lock may be taken while mu is held, not the other way round.
-	seen *once.Executor
+	// dedup detects duplicate attempts. Lock order: mu before the lock of dedup.
+	dedup *once.Executor
 
 	sequence atomic.Uint64
-	state    atomic.Pointer[engineView]
+	state    atomic.Pointer[engineSnapshot]
 
-	// mu guards the fields below. No call is made while it is held.
-	mu       sync.Mutex
-	inFlight map[attemptKey]*attempt
-	work     map[string]*v1.KindWork
-	// cacheEvents is replaced, never changed, so that answers can share it.
+	// mu guards the fields below. It is not held during calls to the engine, the backend server or
+	// other processes.
+	mu         sync.Mutex
+	inFlight   map[attemptKey]*attempt
+	workByKind map[string]*v1.KindWork
+	// cacheEvents is immutable once set, because answers share the slice. Updates replace it.
 	cacheEvents []*v1.CacheEvent
-	leaving     bool // for good: by a signal, an operator or a lost slot
-	listed      bool // as leaving in the platform's list
-	ordered     bool // during an order
-	idle        chan struct{}
+	// New attempts are refused while any of these flags is set.
+	leaving       bool // shutdown by a signal, an operator's drain, or another sidecar has claimed the engine
+	listedLeaving bool // the platform's instance list marks this instance as leaving
+	reconfiguring bool // an order is being executed
+	// attemptEnded is closed and replaced whenever an attempt ends.
+	attemptEnded chan struct{}
 }
 
+// attemptKey identifies one attempt of a request.
 type attemptKey struct {
 	requestID string
 	number    uint32
 }
 
+// attempt is the state of one attempt in flight.
 type attempt struct {
 	cancel        context.CancelCauseFunc
 	interruptible bool
-	// prefillTokens are those still to prefill, decodeTokens those still to generate at most.
+	// prefillTokens is the number of prompt tokens still to prefill. decodeTokens is the maximum number
+	// of tokens still to generate.
 	prefillTokens int
 	decodeTokens  int
-	pieces        int
+	// pieces is the reserved engine capacity, in units of external.PieceTokens.
+	pieces int
 }
 
-// engineView is the engine's configuration as last read.
-type engineView struct {
+// engineSnapshot is the engine's configuration and capacity as last read.
+type engineSnapshot struct {
 	state       external.EngineState
 	totalPieces int
 }
 
-// Metrics receives counts from the sidecar.
+// Metrics receives measurements from the sidecar.
 type Metrics interface {
 	Attempt(outcome v1.Outcome, reason v1.Reason)
 	InFlight(n int)
 }
 
-// New returns a sidecar beside an engine or a plain backend server.
+// New returns a sidecar for an engine or a plain backend server. Exactly one of the two must be set.
 func New(cfg Config, engine external.Engine, backend external.Backend, docs Documents, m Metrics, log logrus.FieldLogger) (*Sidecar, error) {
 	if (engine == nil) == (backend == nil) {
-		return nil, errors.New("a sidecar needs either an engine or a plain backend server")
+		return nil, errors.New("sidecar requires either an engine or a plain backend server")
 	}
 	return &Sidecar{
 		cfg: cfg, engine: engine, backend: backend, docs: docs, metrics: m, log: log,
-		inFlight: map[attemptKey]*attempt{},
-		seen:     once.NewExecutor(cfg.Incarnation, cfg.Attempts),
-		work:     map[string]*v1.KindWork{},
-		idle:     make(chan struct{}),
+		inFlight:     map[attemptKey]*attempt{},
+		dedup:        once.NewExecutor(cfg.Incarnation, cfg.Attempts),
+		workByKind:   map[string]*v1.KindWork{},
+		attemptEnded: make(chan struct{}),
 	}, nil
 }
 
-// refusal is a reason not to hand an attempt to the backend server.
+// refusal describes why an attempt is not sent to the backend server.
 type refusal struct {
 	outcome v1.Outcome
 	reason  v1.Reason
 	detail  string
 }
 
+// notRun returns a refusal with the outcome "not run".
 func notRun(r v1.Reason, detail string) *refusal {
 	return &refusal{outcome: v1.Outcome_OUTCOME_NOT_RUN, reason: r, detail: detail}
 }
 
-// admit registers an attempt and returns nil, or returns why it is refused. A refused attempt has had no
-// effect on the backend server. A duplicate is unknown, because its first copy may have run.
+// admit registers an attempt as in flight and returns nil, or returns the reason for refusing it. A
+// refused attempt has no effect on the backend server. The outcome of a duplicate is "unknown" rather
+// than "not run", because the first copy may have run.
 func (s *Sidecar) admit(r *v1.ExecuteRequest, cancel context.CancelCauseFunc) *refusal {
-	if ref := s.validate(r); ref != nil {
-		return ref
+	if refused := s.validate(r); refused != nil {
+		return refused
 	}
 	key := attemptKey{r.GetRequestId(), r.GetAttempt()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch s.seen.Begin(time.Now(), s.seenAttempt(r)) {
+	switch s.dedup.Begin(time.Now(), s.onceAttempt(r)) {
 	case once.RefuseDuplicate:
 		return &refusal{v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DUPLICATE_ATTEMPT, "attempt was received before"}
 	case once.RefuseFull:
@@ -138,11 +150,11 @@
 	case once.RefuseIncarnation:
 		return notRun(v1.Reason_REASON_WRONG_INCARNATION, "this sidecar's incarnation is "+s.cfg.Incarnation)
 	}
-	if ref := s.unavailableLocked(); ref != nil {
-		s.seen.End(time.Now(), s.seenAttempt(r), false)
-		return ref
+	if refused := s.unavailableLocked(); refused != nil {
+		s.dedup.End(time.Now(), s.onceAttempt(r), false)
+		return refused
 	}
-	s.countWork(r)
+	s.countWorkLocked(r)
 	prompt, answer := int(r.GetModel().GetPromptTokens()), int(r.GetModel().GetMaxTokens())
 	s.inFlight[key] = &attempt{
 		cancel: cancel, interruptible: r.GetInterruptible(), prefillTokens: prompt, decodeTokens: answer,
@@ -152,7 +164,8 @@
 	return nil
 }
 
-// unavailableLocked returns why no new work is accepted, nil if it is. The caller holds mu.
+// unavailableLocked returns a refusal if no new attempt is accepted now, and nil otherwise. The
+// caller must hold mu.
 func (s *Sidecar) unavailableLocked() *refusal {
 	if s.drainingLocked() {
 		return notRun(v1.Reason_REASON_DRAINING, "backend server takes no new work")
@@ -163,14 +176,15 @@
 	return nil
 }
 
-// seenAttempt describes a valid request to the memory of attempts. A repeatable request may leave
-// the incarnation open.
-func (s *Sidecar) seenAttempt(r *v1.ExecuteRequest) once.Attempt {
+// onceAttempt returns the key of a valid request for detecting duplicates. It always carries this
+// sidecar's incarnation, since a repeatable request may omit it.
+func (s *Sidecar) onceAttempt(r *v1.ExecuteRequest) once.Attempt {
 	return once.Attempt{
 		RequestID: r.GetRequestId(), Number: r.GetAttempt(), Incarnation: s.cfg.Incarnation, Repeatable: r.GetRepeatable(),
 	}
 }
 
+// validate refuses a request that is malformed, expired, or not meant for this sidecar.
 func (s *Sidecar) validate(r *v1.ExecuteRequest) *refusal {
 	switch {
 	case r.GetCluster() != s.cfg.Cluster:
@@ -187,23 +201,25 @@
 		return notRun(v1.Reason_REASON_DEADLINE, "deadline has passed")
 	case (s.engine != nil) != (r.GetModel() != nil) || (s.backend != nil) != (r.GetPlain() != nil):
 		return notRun(v1.Reason_REASON_INVALID, "request does not fit the kind of backend server")
-	case s.engine != nil && !s.serves(r.GetModel()):
+	case s.engine != nil && !s.modelLoaded(r.GetModel()):
 		return notRun(v1.Reason_REASON_MODEL_NOT_LOADED, "model or adapter is not loaded")
 	}
 	return nil
 }
 
-// serves reports whether the engine has loaded the model and adapter, as far as is known.
-func (s *Sidecar) serves(m *v1.ModelRequest) bool {
+// modelLoaded reports whether the engine had loaded the model and adapter when its state was last
+// read.
+func (s *Sidecar) modelLoaded(m *v1.ModelRequest) bool {
 	v := s.state.Load()
 	if v == nil {
 		return false
 	}
-	return hasVersion(v.state.Config.Models, m.GetModel()) &&
-		(m.GetAdapter() == "" || hasVersion(v.state.Config.Adapters, m.GetAdapter()))
+	return containsName(v.state.Config.Models, m.GetModel()) &&
+		(m.GetAdapter() == "" || containsName(v.state.Config.Adapters, m.GetAdapter()))
 }
 
-func hasVersion(list []external.ModelVersion, name string) bool {
+// containsName reports whether the list contains a version of the named model or adapter.
+func containsName(list []external.ModelVersion, name string) bool {
 	for _, v := range list {
 		if v.Name == name {
 			return true
@@ -212,58 +228,60 @@
 	return false
 }
 
-// countWork adds an admitted attempt to the work of its kind. Tokens of the answer are counted as
-// they are generated, since most answers end before their limit. The caller holds mu.
-func (s *Sidecar) countWork(r *v1.ExecuteRequest) {
-	w := s.work[r.GetKind()]
+// countWorkLocked adds an admitted attempt to the totals of its kind. Output tokens are counted when
+// they are generated, since most answers end before their limit. The caller must hold mu.
+func (s *Sidecar) countWorkLocked(r *v1.ExecuteRequest) {
+	w := s.workByKind[r.GetKind()]
 	if w == nil {
 		w = &v1.KindWork{Kind: r.GetKind()}
-		s.work[r.GetKind()] = w
+		s.workByKind[r.GetKind()] = w
 	}
 	w.Requests++
 	w.PromptTokens += uint64(r.GetModel().GetPromptTokens())
 }
 
-// Work returns the work admitted since the start, by kind.
+// Work returns the totals of admitted work by kind, since the start of the process.
 func (s *Sidecar) Work() []*v1.KindWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []*v1.KindWork
-	for _, w := range s.work {
+	for _, w := range s.workByKind {
 		all = append(all, proto.CloneOf(w))
 	}
 	return all
 }
 
-// progress records that an attempt has generated tokens, so that its prompt is prefilled.
-func (s *Sidecar) progress(r *v1.ExecuteRequest, tokens int) {
+// recordTokens records that an attempt has generated tokens, which also means that the prefill of its
+// prompt is complete.
+func (s *Sidecar) recordTokens(r *v1.ExecuteRequest, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if a := s.inFlight[attemptKey{r.GetRequestId(), r.GetAttempt()}]; a != nil {
-		s.work[r.GetKind()].OutputTokens += uint64(tokens)
+		s.workByKind[r.GetKind()].OutputTokens += uint64(tokens)
 		a.prefillTokens = 0
 		a.decodeTokens = max(0, a.decodeTokens-tokens)
 	}
 }
 
-// release removes an attempt that has ended. If it was not handed to the backend server, a further
-// attempt of an unrepeatable request may run.
-func (s *Sidecar) release(r *v1.ExecuteRequest, handed bool) {
-	s.seen.End(time.Now(), s.seenAttempt(r), handed)
+// release removes an attempt that has ended and wakes the callers of Wait. If the attempt was not
+// dispatched to the backend server, a further attempt of an unrepeatable request may run.
+func (s *Sidecar) release(r *v1.ExecuteRequest, dispatched bool) {
+	s.dedup.End(time.Now(), s.onceAttempt(r), dispatched)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.inFlight, attemptKey{r.GetRequestId(), r.GetAttempt()})
 	s.metrics.InFlight(len(s.inFlight))
-	close(s.idle)
-	s.idle = make(chan struct{})
+	close(s.attemptEnded)
+	s.attemptEnded = make(chan struct{})
 }
 
-// reportedCacheEvents is the number of cache events with an answer. 16 events are about 200 bytes; a
-// router sees all of them unless an engine's cache changes more than 16 times between answers.
-const reportedCacheEvents = 16
+// maxReportedCacheEvents is the maximum number of cache events in a final frame. 16 events take about
+// 200 bytes. A router misses events only if the engine's cache changes more than 16 times between two
+// answers.
+const maxReportedCacheEvents = 16
 
-// RefreshCacheEvents reads the engine's cache events since the last read. They travel with the
-// next answers.
+// RefreshCacheEvents reads the engine's cache events since the last read. The final frames of
+// subsequent answers carry the latest ones.
 func (s *Sidecar) RefreshCacheEvents(ctx context.Context) error {
 	if s.engine == nil {
 		return nil
@@ -283,7 +301,7 @@
 	for _, e := range events {
 		list = append(list, &v1.CacheEvent{Sequence: e.Sequence, Prefix: e.Prefix, Evicted: e.Evicted})
 	}
-	list = list[max(0, len(list)-reportedCacheEvents):]
+	list = list[max(0, len(list)-maxReportedCacheEvents):]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cacheEvents = list
@@ -296,26 +314,28 @@
 	return s.cacheEvents
 }
 
-// RefreshState reads the engine's configuration. After a restart of the engine its cache is
-// empty and its events are numbered anew.
+// RefreshState reads the engine's configuration and capacity. It discards the cache events if the
+// engine has restarted since the previous read, because its cache is then empty and it numbers its
+// events from the start.
 func (s *Sidecar) RefreshState(ctx context.Context) error {
 	if s.engine == nil {
 		return nil
 	}
-	st, err := s.engine.State(ctx)
+	state, err := s.engine.State(ctx)
 	if err != nil {
-		// An engine that does not answer serves nothing until it is seen again.
+		// An unreachable engine counts as having no models loaded until its state is read again.
 		s.state.Store(nil)
 		return err
 	}
-	// The engine's load lags; only its capacity is taken from it.
-	l, err := s.engine.Load(ctx)
+	// Only the capacity is used: the engine reports its load with a delay, and the sidecar counts
+	// the attempts in flight itself.
+	load, err := s.engine.Load(ctx)
 	if err != nil {
 		s.state.Store(nil)
 		return err
 	}
-	old := s.state.Swap(&engineView{state: st, totalPieces: l.TotalPieces})
-	if old != nil && old.state.StartID != st.StartID {
+	previous := s.state.Swap(&engineSnapshot{state: state, totalPieces: load.TotalPieces})
+	if previous != nil && previous.state.StartID != state.StartID {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.cacheEvents = nil
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -32,32 +32,36 @@
 	model       = "m"
 )
 
-type noDocuments struct{}
+// stubDocuments reports revision 1 for every service.
+type stubDocuments struct{}
 
-func (noDocuments) Revision(string) uint64 { return 1 }
-func (noDocuments) Observe(string, uint64) {}
+func (stubDocuments) Revision(string) uint64 { return 1 }
+func (stubDocuments) Observe(string, uint64) {}
 
-type noMetrics struct{}
+// discardMetrics discards all measurements.
+type discardMetrics struct{}
 
-func (noMetrics) Attempt(v1.Outcome, v1.Reason) {}
-func (noMetrics) InFlight(int)                  {}
+func (discardMetrics) Attempt(v1.Outcome, v1.Reason) {}
+func (discardMetrics) InFlight(int)                  {}
 
-// frames collects what a sidecar sends.
-type frames struct {
+// frameRecorder records copies of the frames that a sidecar sends.
+type frameRecorder struct {
 	mu   sync.Mutex
 	list []*v1.Frame
 }
 
-func (f *frames) Send(m *v1.Frame) error {
+func (f *frameRecorder) Send(m *v1.Frame) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list, &v1.Frame{Offset: m.GetOffset(), Tokens: m.GetTokens(), Data: bytes.Clone(m.GetData()), Final: m.GetFinal()})
 	return nil
 }
 
-func (f *frames) final() *v1.Final { return f.list[len(f.list)-1].GetFinal() }
+// final returns the content of the last frame.
+func (f *frameRecorder) final() *v1.Final { return f.list[len(f.list)-1].GetFinal() }
 
-func (f *frames) text() string {
+// text returns the data of all frames.
+func (f *frameRecorder) text() string {
 	var b strings.Builder
 	for _, m := range f.list {
 		b.Write(m.GetData())
@@ -65,6 +69,7 @@
 	return b.String()
 }
 
+// newSidecar returns a sidecar for the engine or the plain backend server, whichever is set.
 func newSidecar(t *testing.T, e external.Engine, b external.Backend) *sidecar.Sidecar {
 	t.Helper()
 	log := logrus.New()
@@ -72,12 +77,13 @@
 	s, err := sidecar.New(sidecar.Config{
 		Cluster: cluster, Instance: "w", Service: service, Incarnation: incarnation, MaxInFlight: 2, Attempts: once.DefaultExecutorSettings(),
 		Peers: rpc.NewClients(rpc.ClientConfig{}),
-	}, e, b, noDocuments{}, noMetrics{}, log)
+	}, e, b, stubDocuments{}, discardMetrics{}, log)
 	require.NoError(t, err)
 	require.NoError(t, s.RefreshState(t.Context()))
 	return s
 }
 
+// newEngine returns an engine that has loaded the test model.
 func newEngine(t *testing.T) *engine.Engine {
 	t.Helper()
 	e := engine.New(engine.Config{Initial: external.EngineConfig{
@@ -87,6 +93,7 @@
 	return e
 }
 
+// modelRequest returns the first attempt of a repeatable model request.
 func modelRequest(id string) *v1.ExecuteRequest {
 	return &v1.ExecuteRequest{
 		Cluster: cluster, RequestId: id, Attempt: 1, Service: service, Incarnation: incarnation, RemainingMs: 60_000,
@@ -94,6 +101,7 @@
 	}
 }
 
+// plainRequest returns the first attempt of an unrepeatable plain request.
 func plainRequest() *v1.ExecuteRequest {
 	r := modelRequest("r")
 	r.Repeatable = false
@@ -101,12 +109,12 @@
 	return r
 }
 
-// Guards against a refusal that is not "not run", and against a refused request that reaches
-// the backend server.
+// Guards against reporting a refused request with an outcome other than "not run", and against
+// sending it to the backend server.
 func TestRefusalsDoNotRun(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(*v1.ExecuteRequest)
+		modify func(*v1.ExecuteRequest)
 		reason v1.Reason
 	}{
 		{"other cluster", func(r *v1.ExecuteRequest) { r.Cluster = "other" }, v1.Reason_REASON_INVALID},
@@ -123,8 +131,8 @@
 			b := backend.New(backend.Config{})
 			s := newSidecar(t, nil, b)
 			r := plainRequest()
-			tt.change(r)
-			out := &frames{}
+			tt.modify(r)
+			out := &frameRecorder{}
 			require.NoError(t, s.Execute(t.Context(), r, out))
 			require.Equal(t, v1.Outcome_OUTCOME_NOT_RUN, out.final().GetOutcome())
 			require.Equal(t, tt.reason, out.final().GetReason())
@@ -133,47 +141,47 @@
 	}
 }
 
-// Guards against a duplicate delivery or a second attempt that runs again, or that is reported as not run although
-// its first copy ran.
+// Guards against executing an unrepeatable request again when its attempt is delivered twice or a
+// second attempt follows, and against reporting either as "not run" although the first copy ran.
 func TestDuplicateDoesNotRunAgain(t *testing.T) {
 	b := backend.New(backend.Config{})
 	s := newSidecar(t, nil, b)
-	first, second := &frames{}, &frames{}
+	first, second := &frameRecorder{}, &frameRecorder{}
 	require.NoError(t, s.Execute(t.Context(), plainRequest(), first))
 	require.NoError(t, s.Execute(t.Context(), plainRequest(), second))
 	require.Equal(t, v1.Outcome_OUTCOME_COMPLETE, first.final().GetOutcome())
 	require.Equal(t, v1.Outcome_OUTCOME_UNKNOWN, second.final().GetOutcome())
-	again, third := plainRequest(), &frames{}
+	again, third := plainRequest(), &frameRecorder{}
 	again.Attempt = 2
 	require.NoError(t, s.Execute(t.Context(), again, third))
 	require.Equal(t, v1.Outcome_OUTCOME_UNKNOWN, third.final().GetOutcome(), "another attempt of an unrepeatable request that ran")
 	require.Equal(t, 1, b.Executions("r"))
 }
 
-// Guards against a drain that cuts an answer in flight, or that lets new work in.
+// Guards against a drain that cuts off an answer in flight or accepts new attempts.
 func TestDrainWaitsForAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSidecar(t, newEngine(t), nil)
-		out := &frames{}
+		out := &frameRecorder{}
 		done := make(chan error, 1)
 		go func() { done <- s.Execute(t.Context(), modelRequest("r1"), out) }()
 		time.Sleep(20 * time.Millisecond)
 		require.Equal(t, 1, s.InFlight())
 		require.NoError(t, s.BeginDrain(t.Context()))
-		refused := &frames{}
+		refused := &frameRecorder{}
 		require.NoError(t, s.Execute(t.Context(), modelRequest("r2"), refused))
 		require.Equal(t, v1.Reason_REASON_DRAINING, refused.final().GetReason())
 		require.NoError(t, s.Wait(t.Context()))
 		require.NoError(t, <-done)
 		require.Equal(t, v1.Outcome_OUTCOME_COMPLETE, out.final().GetOutcome())
 		s.EndDrain()
-		again := &frames{}
+		again := &frameRecorder{}
 		require.NoError(t, s.Execute(t.Context(), modelRequest("r3"), again))
 		require.Equal(t, v1.Outcome_OUTCOME_COMPLETE, again.final().GetOutcome())
 	})
 }
 
-// serveWorker serves a sidecar on loopback.
+// serveWorker serves the RPC service of a sidecar on a loopback port and returns its address.
 func serveWorker(t *testing.T, s *sidecar.Sidecar) string {
 	t.Helper()
 	log := logrus.New()
@@ -188,8 +196,8 @@
 	return l.Addr().String()
 }
 
-// Guards against an answer that differs when another engine prefills the prompt, and against a
-// lost prefill engine that fails the request.
+// Guards against a different answer when another engine prefills the prompt, and against failing the
+// request when the prefill engine is unreachable.
 func TestPrefillOnAnotherEngine(t *testing.T) {
 	prefill, decode := newEngine(t), newEngine(t)
 	address := serveWorker(t, newSidecar(t, prefill, nil))
@@ -198,7 +206,7 @@
 	for _, tt := range []struct{ id, address string }{{"r1", address}, {"r2", "127.0.0.1:1"}} {
 		r := modelRequest(tt.id)
 		r.Prefill = &v1.PrefillSource{Instance: "p", Address: tt.address}
-		out := &frames{}
+		out := &frameRecorder{}
 		require.NoError(t, s.Execute(context.Background(), r, out))
 		require.Equal(t, v1.Outcome_OUTCOME_COMPLETE, out.final().GetOutcome())
 		require.Equal(t, want, out.text())
@@ -212,14 +220,14 @@
 	require.Equal(t, []string{"r1/1"}, runs)
 }
 
-// Guards against "not run" for a request whose prompt has run on the prefill engine.
+// Guards against reporting "not run" for a request whose prompt may have run on the prefill engine.
 func TestRefusalAfterPrefillElsewhereIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t)
 		s := newSidecar(t, e, nil)
 		e.Crash()
 		r := modelRequest("r")
-		out := &frames{}
+		out := &frameRecorder{}
 		require.NoError(t, s.Execute(t.Context(), r, out))
 		require.Equal(t, v1.Outcome_OUTCOME_NOT_RUN, out.final().GetOutcome())
 		r.Attempt, r.Prefill = 2, &v1.PrefillSource{Instance: "p", Address: "127.0.0.1:0"}
