--- a/document/decode.go
+++ b/document/decode.go
@@ -12,22 +12,23 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// position is the place of a field in the file.
+// position is the location of a field in the file, counted from 1.
 type position struct{ line, column int }
 
-// decoder fills a Service from a syntax tree. It collects all faults instead of stopping at
-// the first one, and records the position of each field for the validation.
+// decoder fills a Service from a syntax tree. It collects all errors instead of stopping at the first
+// one, and records the position of each field for the validator.
 type decoder struct {
 	errs      Errors
 	positions map[string]position
 }
 
-func (d *decoder) fault(n ast.Node, field, found, allowed string) {
+func (d *decoder) addError(n ast.Node, field, found, allowed string) {
 	p := nodePosition(n)
 	d.errs = append(d.errs, &Error{Line: p.line, Column: p.column, Field: field, Found: found, Allowed: allowed})
 }
 
-// nodePosition returns the start of a node. The token of a block mapping is its first colon.
+// nodePosition returns the start of a node. For a block mapping this is its first key, because its
+// own token is the first colon.
 func nodePosition(n ast.Node) position {
 	if entries, ok := mapEntries(n); ok && len(entries) > 0 {
 		if m, ok := n.(*ast.MappingNode); !ok || !m.IsFlowStyle {
@@ -44,84 +45,84 @@
 	return position{tk.Position.Line, tk.Position.Column}
 }
 
-// value decodes one node into v.
-func (d *decoder) value(n ast.Node, field string, v reflect.Value) {
+// decodeValue decodes a node into v.
+func (d *decoder) decodeValue(n ast.Node, field string, v reflect.Value) {
 	if tag, ok := n.(*ast.TagNode); ok {
-		d.fault(tag, field, "tag "+tag.GetToken().Value, "no tags")
+		d.addError(tag, field, "tag "+tag.GetToken().Value, "no tags")
 		return
 	}
 	switch n.(type) {
 	case *ast.AnchorNode, *ast.AliasNode:
-		// An alias can expand a small document to any size.
-		d.fault(n, field, "anchor or alias", "plain values only")
+		// Aliases could expand a small document to an arbitrary size.
+		d.addError(n, field, "anchor or alias", "plain values only")
 		return
 	}
 	if _, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.text(n, field, v)
+		d.decodeText(n, field, v)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.structure(n, field, v)
+		d.decodeStruct(n, field, v)
 	case reflect.Slice:
-		d.sequence(n, field, v)
+		d.decodeSlice(n, field, v)
 	default:
-		d.scalar(n, field, v)
+		d.decodeScalar(n, field, v)
 	}
 }
 
-func (d *decoder) text(n ast.Node, field string, v reflect.Value) {
+func (d *decoder) decodeText(n ast.Node, field string, v reflect.Value) {
 	const allowed = `a duration such as "730ms", "2s" or "5m"`
 	s, ok := stringValue(n)
 	if !ok {
-		d.fault(n, field, describe(n), allowed)
+		d.addError(n, field, describeNode(n), allowed)
 		return
 	}
 	if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(s)); err != nil {
-		d.fault(n, field, strconv.Quote(s), allowed)
+		d.addError(n, field, strconv.Quote(s), allowed)
 	}
 }
 
-func (d *decoder) structure(n ast.Node, field string, v reflect.Value) {
+func (d *decoder) decodeStruct(n ast.Node, field string, v reflect.Value) {
 	entries, ok := mapEntries(n)
 	if !ok {
-		d.fault(n, field, describe(n), "a mapping")
+		d.addError(n, field, describeNode(n), "a mapping")
 		return
 	}
-	fields := structFields(v.Type())
+	fields := yamlFieldNames(v.Type())
 	seen := map[string]bool{}
 	for _, e := range entries {
 		name := keyName(e.Key)
-		path := join(field, name)
+		path := joinPath(field, name)
 		d.positions[path] = nodePosition(e.Key)
 		i := slices.Index(fields, name)
 		switch {
 		case i < 0:
-			d.fault(e.Key, path, "unknown field "+strconv.Quote(name), strings.Join(fields, ", "))
+			d.addError(e.Key, path, "unknown field "+strconv.Quote(name), strings.Join(fields, ", "))
 		case seen[name]:
-			d.fault(e.Key, path, "the field a second time", "each field once")
+			d.addError(e.Key, path, "the field a second time", "each field once")
 		default:
 			seen[name] = true
-			d.value(e.Value, path, v.Field(i))
+			d.decodeValue(e.Value, path, v.Field(i))
 		}
 	}
 }
 
-func (d *decoder) sequence(n ast.Node, field string, v reflect.Value) {
+func (d *decoder) decodeSlice(n ast.Node, field string, v reflect.Value) {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.fault(n, field, describe(n), "a list")
+		d.addError(n, field, describeNode(n), "a list")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(seq.Values), len(seq.Values)))
 	for i, item := range seq.Values {
 		path := fmt.Sprintf("%s[%d]", field, i)
 		d.positions[path] = nodePosition(item)
-		d.value(item, path, v.Index(i))
+		d.decodeValue(item, path, v.Index(i))
 	}
 }
 
-func (d *decoder) scalar(n ast.Node, field string, v reflect.Value) {
+func (d *decoder) decodeScalar(n ast.Node, field string, v reflect.Value) {
 	allowed := ""
 	switch v.Kind() {
 	case reflect.String:
@@ -151,7 +152,7 @@
 	default:
 		panic(fmt.Sprintf("document: field %s has unsupported type %s", field, v.Type()))
 	}
-	d.fault(n, field, describe(n), allowed)
+	d.addError(n, field, describeNode(n), allowed)
 }
 
 func stringValue(n ast.Node) (string, bool) {
@@ -186,7 +187,7 @@
 	return float64(i), ok
 }
 
-// mapEntries returns the entries of a mapping, which the parser represents by two node types.
+// mapEntries returns the entries of a mapping, for which the parser has two node types.
 func mapEntries(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
@@ -204,10 +205,10 @@
 	return k.String()
 }
 
-// maxQuoted bounds the part of a wrong value that an error shows.
-const maxQuoted = 64
+// maxQuotedBytes limits how much of an invalid value is quoted in an error.
+const maxQuotedBytes = 64
 
-func describe(n ast.Node) string {
+func describeNode(n ast.Node) string {
 	switch n := n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
 		return "a mapping"
@@ -222,13 +223,13 @@
 }
 
 func truncate(s string) string {
-	if len(s) > maxQuoted {
-		return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
+	if len(s) > maxQuotedBytes {
+		return strings.ToValidUTF8(s[:maxQuotedBytes], "") + "..."
 	}
 	return s
 }
 
-func structFields(t reflect.Type) []string {
+func yamlFieldNames(t reflect.Type) []string {
 	names := make([]string, t.NumField())
 	for i := range names {
 		names[i], _, _ = strings.Cut(t.Field(i).Tag.Get("yaml"), ",")
@@ -236,7 +237,7 @@
 	return names
 }
 
-func join(parent, name string) string {
+func joinPath(parent, name string) string {
 	if parent == "" {
 		return name
 	}
--- a/document/diff.go
+++ b/document/diff.go
@@ -6,12 +6,12 @@
 	"github.com/pmezard/go-difflib/difflib"
 )
 
-const diffContext = 3
+const diffContextLines = 3
 
 // Diff returns the unified diff between two documents, empty if they are equal.
 func Diff(fromName, toName string, from, to []byte) (string, error) {
 	out, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
-		A: lines(from), B: lines(to), FromFile: fromName, ToFile: toName, Context: diffContext,
+		A: splitLines(from), B: splitLines(to), FromFile: fromName, ToFile: toName, Context: diffContextLines,
 	})
 	if err != nil {
 		return "", fmt.Errorf("compare %s with %s: %w", fromName, toName, err)
@@ -19,7 +19,7 @@
 	return out, nil
 }
 
-func lines(body []byte) []string {
+func splitLines(body []byte) []string {
 	if len(body) == 0 {
 		return nil
 	}
--- a/document/document.go
+++ b/document/document.go
@@ -1,10 +1,11 @@
-// Package document defines the document that a team writes for its service, its strict
-// decoding, its defaults and its validation.
+// Package document defines the YAML configuration document of a service and implements its strict
+// decoding, default values and validation.
 package document
 
 import "time"
 
-// Type tells model services from plain services.
+// Type distinguishes services that serve models from plain services, which have no models, roles
+// or token deadlines.
 type Type string
 
 // Service types.
@@ -13,21 +14,21 @@
 	TypePlain Type = "plain"
 )
 
-// Service is the document of one service.
+// Service is the configuration document of one service.
 type Service struct {
 	Service     string   `yaml:"service" json:"service"`
 	Type        Type     `yaml:"type" json:"type"`
 	DataCentres []string `yaml:"data_centres" json:"data_centres"`
 	// Models is empty for a plain service.
 	Models []Model `yaml:"models,omitempty" json:"models,omitempty"`
-	// Pools describes the workers in each data centre.
-	Pools   []Pool  `yaml:"pools" json:"pools"`
-	Kinds   []Kind  `yaml:"kinds" json:"kinds"`
-	Weights Weights `yaml:"weights,omitempty" json:"weights"`
-	Limits  Limits  `yaml:"limits,omitempty" json:"limits"`
+	// Pools has at most one entry per data centre.
+	Pools   []Pool           `yaml:"pools" json:"pools"`
+	Kinds   []Kind           `yaml:"kinds" json:"kinds"`
+	Weights ObjectiveWeights `yaml:"weights,omitempty" json:"weights"`
+	Limits  Limits           `yaml:"limits,omitempty" json:"limits"`
 }
 
-// Model is a model that the service serves.
+// Model is a model that the engines of the service can load.
 type Model struct {
 	Name    string `yaml:"name" json:"name"`
 	Version string `yaml:"version" json:"version"`
@@ -42,76 +43,79 @@
 	Version string `yaml:"version" json:"version"`
 }
 
-// Pool is the workers of the service in one data centre.
+// Pool is the set of workers of the service in one data centre.
 type Pool struct {
 	DataCentre string `yaml:"data_centre" json:"data_centre"`
 	Workers    int    `yaml:"workers" json:"workers"`
 	// Models are the names of the models that the engines load. Empty means all.
 	Models []string `yaml:"models,omitempty" json:"models,omitempty"`
-	// Roles is the initial number of engines in each role; the planner changes it.
+	// Roles is the initial number of engines in each role. The planner may change it unless
+	// FixedRoles is set.
 	Roles Roles `yaml:"roles,omitempty" json:"roles"`
-	// FixedRoles keeps the planner from changing roles.
+	// FixedRoles prevents the planner from changing roles.
 	FixedRoles bool `yaml:"fixed_roles,omitempty" json:"fixed_roles,omitempty"`
-	// ChecksFence says that the engines refuse orders with an old fence number.
+	// ChecksFence states that the engines reject orders with a stale fencing token.
 	ChecksFence bool `yaml:"checks_fence,omitempty" json:"checks_fence,omitempty"`
 }
 
-// Roles counts engines by role.
+// Roles holds the number of engines in each role.
 type Roles struct {
 	Prefill int `yaml:"prefill,omitempty" json:"prefill"`
 	Decode  int `yaml:"decode,omitempty" json:"decode"`
 	Mixed   int `yaml:"mixed,omitempty" json:"mixed"`
 }
 
-// Kind is a kind of request. The first kind that matches a request applies.
+// Kind is a class of requests with its own rank and deadlines. A request belongs to the first kind
+// that matches it.
 type Kind struct {
 	Name  string `yaml:"name" json:"name"`
 	Match Match  `yaml:"match,omitempty" json:"match"`
-	// Rank orders kinds under load: rank 1 is the most important.
+	// Rank is the priority of the kind under load; 1 is the highest.
 	Rank      int       `yaml:"rank" json:"rank"`
 	Deadlines Deadlines `yaml:"deadlines" json:"deadlines"`
-	// Repeatable says that a request may run more than once.
+	// Repeatable allows a request to be executed more than once.
 	Repeatable bool `yaml:"repeatable" json:"repeatable"`
-	// Interruptible says that a planned change may interrupt a request in flight.
+	// Interruptible allows a planned change to interrupt requests in flight.
 	Interruptible bool `yaml:"interruptible,omitempty" json:"interruptible"`
-	// Starvable says that the rank may get no capacity at all while higher ranks need it.
+	// Starvable allows the rank to receive no capacity at all while higher-priority ranks need it.
 	Starvable bool `yaml:"starvable,omitempty" json:"starvable"`
 }
 
-// Match selects requests. Empty fields match anything.
+// Match selects requests. An empty field matches any value.
 type Match struct {
 	// Kind is the value of the request header X-Quetzallug-Kind.
 	Kind   string `yaml:"kind,omitempty" json:"kind,omitempty"`
 	Model  string `yaml:"model,omitempty" json:"model,omitempty"`
 	Method string `yaml:"method,omitempty" json:"method,omitempty"`
-	// PathPrefix is compared with the path below /svc/<service>.
+	// PathPrefix is matched against the part of the URL path after /svc/<service>.
 	PathPrefix string `yaml:"path_prefix,omitempty" json:"path_prefix,omitempty"`
 }
 
-// Deadlines are the latency targets of a kind. Zero means no target, except for Total.
+// Deadlines holds the latency targets and the total deadline of a kind. A target of zero is unset;
+// Total is required.
 type Deadlines struct {
 	FirstToken    Duration `yaml:"first_token,omitempty" json:"first_token,omitempty"`
 	BetweenTokens Duration `yaml:"between_tokens,omitempty" json:"between_tokens,omitempty"`
-	// Total bounds the whole answer.
+	// Total limits the time until the complete response.
 	Total Duration `yaml:"total" json:"total"`
 }
 
-// Weights set what the planner optimises.
-type Weights struct {
+// ObjectiveWeights holds the weights of the terms in the planner's objective.
+type ObjectiveWeights struct {
 	Goodput     float64 `yaml:"goodput,omitempty" json:"goodput"`
 	RoleChanges float64 `yaml:"role_changes,omitempty" json:"role_changes"`
 }
 
-// Limits bound the use of the service.
+// Limits holds the admission limits of a service.
 type Limits struct {
 	PerCaller CallerLimits `yaml:"per_caller,omitempty" json:"per_caller"`
-	// Queue is the largest number of requests that wait per worker.
+	// Queue is the maximum number of waiting requests per worker.
 	Queue int `yaml:"queue,omitempty" json:"queue"`
-	// BodyKiB is the largest request body.
+	// BodyKiB is the maximum size of a request body.
 	BodyKiB int `yaml:"body_kib,omitempty" json:"body_kib"`
 }
 
-// CallerLimits bound one caller on one entry.
+// CallerLimits holds the limits that each entry applies to one caller.
 type CallerLimits struct {
 	RequestsPerSecond float64 `yaml:"requests_per_second,omitempty" json:"requests_per_second"`
 	Burst             int     `yaml:"burst,omitempty" json:"burst"`
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -14,7 +14,7 @@
 	"github.com/quetzallug/quetzallug/document"
 )
 
-const valid = `service: halte-llm
+const validDocument = `service: halte-llm
 type: model
 data_centres: [joburg-cbd, pta-east]
 models:
@@ -31,7 +31,7 @@
   - {name: chat, rank: 2, deadlines: {total: 60s}, repeatable: true, interruptible: true}
 `
 
-func examples(t testing.TB) map[string][]byte {
+func exampleDocuments(t testing.TB) map[string][]byte {
 	paths, err := filepath.Glob("../examples/*/*.yaml")
 	require.NoError(t, err)
 	require.Len(t, paths, 4)
@@ -44,11 +44,10 @@
 	return bodies
 }
 
-// Guards against examples that the program refuses, and against a fleet size that differs from
-// the deployments.
+// The example documents are valid, without warnings, and have the worker counts of the deployments.
 func TestExamples(t *testing.T) {
 	workers := map[string]int{"halte-llm": 11, "halte-api": 3, "oracolo": 9, "banco": 3}
-	for name, body := range examples(t) {
+	for name, body := range exampleDocuments(t) {
 		s, warnings, err := document.ParseFile(name, body)
 		require.NoError(t, err)
 		require.Empty(t, warnings)
@@ -61,9 +60,9 @@
 	}
 }
 
-// Guards against the loss of a value between the file and the structure.
+// Parse must copy every value from the file into the struct and apply the default values.
 func TestParse(t *testing.T) {
-	s, err := document.Parse([]byte(valid))
+	s, err := document.Parse([]byte(validDocument))
 	require.NoError(t, err)
 	require.Equal(t, document.Roles{Prefill: 1, Decode: 1}, s.Pools[0].Roles)
 	require.Equal(t, document.Roles{Mixed: 1}, s.Pools[1].Roles, "default role")
@@ -77,11 +76,11 @@
 	require.NoError(t, s.Validate())
 }
 
-// Guards against invalid documents that are accepted, and against errors without place, value
-// or remedy. Each case changes one line of the valid document.
+// Invalid documents must be rejected with the position, the value found and the values allowed. Each
+// case makes one change to the valid document.
 func TestFaults(t *testing.T) {
-	_, fromKinds, _ := strings.Cut(valid, "kinds:\n")
-	kind := "  - {name: chat, rank: 2, deadlines: {total: 60s}, repeatable: true, interruptible: true}"
+	_, kindsSection, _ := strings.Cut(validDocument, "kinds:\n")
+	lastKind := "  - {name: chat, rank: 2, deadlines: {total: 60s}, repeatable: true, interruptible: true}"
 	cases := []struct{ name, from, to, want string }{
 		{"unknown field", "type: model", "type: model\ncolour: red", `f.yaml:3:1: colour: found unknown field "colour"; allowed service, type, data_centres, models, pools, kinds, weights, limits`},
 		{"unknown nested field", "rank: 1\n", "rank: 1\n    ranks: 1\n", `f.yaml:13:5: kinds[0].ranks: found unknown field "ranks"; allowed name, match, rank, deadlines, repeatable, interruptible, starvable`},
@@ -115,26 +114,26 @@
 		{"interruptible and unrepeatable", "repeatable: true, interruptible", "repeatable: false, interruptible", `f.yaml:15:71: kinds[1].interruptible: found true; allowed false if repeatable is false`},
 		{"kind twice", "name: chat", "name: arrival-verdict", `f.yaml:15:6: kinds[1].name: found "arrival-verdict" a second time; allowed each value once`},
 		{"path in model service", "{kind: arrival-verdict}", "{path_prefix: /a}", `f.yaml:11:13: kinds[0].match.path_prefix: found a value; allowed no value in a service of type "model"`},
-		{"zero weight", kind, kind + "\nweights: {goodput: 0}", `f.yaml:16:11: weights.goodput: found 0; allowed 0.001 to 1000`},
-		{"zero queue", kind, kind + "\nlimits: {queue: 0}", `f.yaml:16:10: limits.queue: found 0; allowed 1 to 65536`},
-		{"infinite weight", kind, kind + "\nweights: {goodput: .inf}", `f.yaml:16:20: weights.goodput: found .inf; allowed a number`},
-		{"burst without rate", kind, kind + "\nlimits: {per_caller: {burst: 3}}", `f.yaml:16:23: limits.per_caller.burst: found 3; allowed no value without requests_per_second`},
-		{"no kinds", "kinds:\n" + fromKinds, "kinds: []\n", `f.yaml:9:1: kinds: found 0 items; allowed 1 to 64 items`},
-		{"second document", kind, kind + "\n---\nservice: a", `f.yaml:17:1: document: found a second document; allowed one document in a file`},
+		{"zero weight", lastKind, lastKind + "\nweights: {goodput: 0}", `f.yaml:16:11: weights.goodput: found 0; allowed 0.001 to 1000`},
+		{"zero queue", lastKind, lastKind + "\nlimits: {queue: 0}", `f.yaml:16:10: limits.queue: found 0; allowed 1 to 65536`},
+		{"infinite weight", lastKind, lastKind + "\nweights: {goodput: .inf}", `f.yaml:16:20: weights.goodput: found .inf; allowed a number`},
+		{"burst without rate", lastKind, lastKind + "\nlimits: {per_caller: {burst: 3}}", `f.yaml:16:23: limits.per_caller.burst: found 3; allowed no value without requests_per_second`},
+		{"no kinds", "kinds:\n" + kindsSection, "kinds: []\n", `f.yaml:9:1: kinds: found 0 items; allowed 1 to 64 items`},
+		{"second document", lastKind, lastKind + "\n---\nservice: a", `f.yaml:17:1: document: found a second document; allowed one document in a file`},
 		{"control character", "type: model", "type: \x01", `f.yaml:2:7: document: found control character 0x01; allowed text`},
 		{"syntax", "type: model", "type: [", ``},
-		{"deep nesting", "type: model", "type: " + strings.Repeat("[", 17) + strings.Repeat("]", 17), `f.yaml:2:23: document: found deeper nesting; allowed at most 16 levels`},
-		{"long line", "type: model", "type: " + strings.Repeat("- ", 600), `f.yaml:2:1: document: found a longer line; allowed at most 1024 bytes in a line`},
+		{"deep nesting", "type: model", "type: " + strings.Repeat("[", 17) + strings.Repeat("]", 17), `f.yaml:2:23: document: found nesting that is too deep; allowed at most 16 levels`},
+		{"long line", "type: model", "type: " + strings.Repeat("- ", 600), `f.yaml:2:1: document: found a line that is too long; allowed at most 1024 bytes in a line`},
 		{"size", "type: model", "type: model\n" + strings.Repeat("#\n", document.MaxBytes/2), `f.yaml:1:1: document: found 717310 bytes; allowed at most 716800 bytes`},
 		{"many fields", "type: model", "type: model\n" + strings.Repeat("a: b\n", 14000), `f.yaml:1:1: document: found 42123 tokens; allowed at most 40000 tokens`},
-		{"list", valid, "- a\n", `f.yaml:1:1: document: found a list; allowed a mapping`},
-		{"empty", valid, "# nothing\n", `f.yaml:1:1: document: found an empty file; allowed one document`},
+		{"list", validDocument, "- a\n", `f.yaml:1:1: document: found a list; allowed a mapping`},
+		{"empty", validDocument, "# nothing\n", `f.yaml:1:1: document: found an empty file; allowed one document`},
 		{"UTF-8", "type: model", "type: \xff", `f.yaml:1:1: document: found invalid UTF-8; allowed UTF-8`},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Contains(t, valid, c.from)
-			body := strings.Replace(valid, c.from, c.to, 1)
+			require.Contains(t, validDocument, c.from)
+			body := strings.Replace(validDocument, c.from, c.to, 1)
 			_, _, err := document.ParseFile("f.yaml", []byte(body))
 			require.Error(t, err)
 			var e *document.Error
@@ -147,9 +146,9 @@
 	}
 }
 
-// Guards against a report that stops at the first fault.
+// Parse must report all errors, not only the first one.
 func TestAllFaultsAtOnce(t *testing.T) {
-	body := strings.NewReplacer("workers: 1", "workers: x", "rank: 1", "rank: -1", "type: model", "type: m").Replace(valid)
+	body := strings.NewReplacer("workers: 1", "workers: x", "rank: 1", "rank: -1", "type: model", "type: m").Replace(validDocument)
 	_, err := document.Parse([]byte(body))
 	var lines []int
 	for _, e := range document.Faults(err) {
@@ -158,12 +157,12 @@
 	require.Equal(t, []int{2, 8, 12}, lines)
 }
 
-// Guards against silence about documents that are valid but hardly meant.
+// Valid documents that are probably mistakes must produce a warning.
 func TestWarnings(t *testing.T) {
-	noCatchAll := strings.Replace(valid, "{name: chat,", "{name: chat, match: {kind: chat},", 1)
-	shadowed := valid + "  - {name: late, match: {kind: late}, rank: 3, deadlines: {total: 1s}}\n"
-	noPool := strings.Replace(valid, "pta-east]", "pta-east, midrand]", 1)
-	for body, field := range map[string]string{noCatchAll: "kinds", shadowed: "kinds[2].match", noPool: "data_centres[2]"} {
+	noCatchAll := strings.Replace(validDocument, "{name: chat,", "{name: chat, match: {kind: chat},", 1)
+	shadowedKind := validDocument + "  - {name: late, match: {kind: late}, rank: 3, deadlines: {total: 1s}}\n"
+	dataCentreWithoutPool := strings.Replace(validDocument, "pta-east]", "pta-east, midrand]", 1)
+	for body, field := range map[string]string{noCatchAll: "kinds", shadowedKind: "kinds[2].match", dataCentreWithoutPool: "data_centres[2]"} {
 		_, warnings, err := document.ParseFile("f", []byte(body))
 		require.NoError(t, err)
 		require.Len(t, warnings, 1)
@@ -171,31 +170,31 @@
 	}
 }
 
-// Guards against plain services with fields that only engines have.
+// Fields that apply only to model services must be rejected in plain services.
 func TestPlainService(t *testing.T) {
-	body := string(examples(t)["banco"])
+	body := string(exampleDocuments(t)["banco"])
 	_, err := document.Parse([]byte(strings.Replace(body, "workers: 1", "workers: 1\n    roles: {mixed: 1}", 1)))
 	require.ErrorContains(t, err, `pools[0].roles: found a value; allowed no value in a service of type "plain"`)
 	_, err = document.Parse([]byte(strings.Replace(body, "total: 5s", "total: 5s, first_token: 1s", 1)))
 	require.ErrorContains(t, err, "kinds[0].deadlines.first_token")
 }
 
-// Guards against a diff that hides a change.
+// Diff must show every change and be empty for equal documents.
 func TestDiff(t *testing.T) {
-	out, err := document.Diff("a", "b", []byte(valid), []byte(strings.Replace(valid, "rank: 1", "rank: 5", 1)))
+	out, err := document.Diff("a", "b", []byte(validDocument), []byte(strings.Replace(validDocument, "rank: 1", "rank: 5", 1)))
 	require.NoError(t, err)
 	require.Contains(t, out, "--- a\n+++ b\n")
 	require.Contains(t, out, "-    rank: 1\n+    rank: 5\n")
-	out, err = document.Diff("a", "b", []byte(valid), []byte(valid))
+	out, err = document.Diff("a", "b", []byte(validDocument), []byte(validDocument))
 	require.NoError(t, err)
 	require.Empty(t, out)
 }
 
-// Guards against a body that ends the process or is accepted without being valid: documents
-// come from a store that other versions write to.
+// Parse must neither panic nor return an invalid document for any input, because documents come from
+// a store that other versions of the program also write to.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(valid))
-	for _, body := range examples(f) {
+	f.Add([]byte(validDocument))
+	for _, body := range exampleDocuments(f) {
 		f.Add(body)
 	}
 	for _, s := range []string{"", "a: *a", "? - a\n: b", "a: !!binary x", "<<: {a: b}", "- - - -", "%YAML 1.2\n---\na: b", "a: |\n  x", "\"\\u12\"", "a: [}"} {
@@ -211,9 +210,9 @@
 	})
 }
 
-// BenchmarkParse measures what a process pays for a new document.
+// BenchmarkParse measures the cost of parsing a new document.
 func BenchmarkParse(b *testing.B) {
-	body := examples(b)["halte-llm"]
+	body := exampleDocuments(b)["halte-llm"]
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := document.Parse(body); err != nil {
@@ -222,7 +221,7 @@
 	}
 }
 
-// Guards against a field that the reference does not describe.
+// The reference page must describe every field.
 func TestReferenceDescribesEveryField(t *testing.T) {
 	page, err := os.ReadFile("../docs/document.md")
 	require.NoError(t, err)
--- a/document/errors.go
+++ b/document/errors.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// Error is one fault of a document. Line and Column are 0 if the fault has no place in a file.
+// Error is one error in a document. Line and Column are 0 if the document was built in
+// memory rather than parsed.
 type Error struct {
 	File   string `yaml:"file,omitempty" json:"file,omitempty"`
 	Line   int    `yaml:"line" json:"line"`
@@ -31,10 +32,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s: found %s; allowed %s", file, e.Line, e.Column, field, e.Found, e.Allowed)
 }
 
-// Errors are all faults of a document in order of their place.
+// Errors is the list of errors in a document, sorted by position.
 type Errors []*Error
 
-// Error implements error with one fault per line.
+// Error implements error and returns one line per error.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -43,7 +44,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives errors.As access to the single faults.
+// Unwrap makes the individual errors available to errors.As.
 func (es Errors) Unwrap() []error {
 	out := make([]error, len(es))
 	for i, e := range es {
@@ -52,7 +53,7 @@
 	return out
 }
 
-// Faults returns the faults in err, or nil if err is not a document error.
+// Faults returns the document errors that err wraps, or nil if there are none.
 func Faults(err error) Errors {
 	var es Errors
 	if errors.As(err, &es) {
@@ -65,10 +66,11 @@
 	return nil
 }
 
-// maxErrors bounds the faults that are reported at once.
+// maxErrors limits the number of errors in one report.
 const maxErrors = 100
 
-func (es Errors) sorted() Errors {
+// sortAndTruncate sorts the errors by position in place and returns the first maxErrors of them.
+func (es Errors) sortAndTruncate() Errors {
 	slices.SortStableFunc(es, func(a, b *Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
--- a/document/parse.go
+++ b/document/parse.go
@@ -15,21 +15,21 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// MaxBytes bounds a document. The key-value service holds values up to 1 MiB, and the record
-// around the document encodes it in base64, which adds a third.
+// MaxBytes is the maximum size of a document. The key-value service accepts values of up to 1 MiB,
+// and the stored record contains the document in base64, which adds a third to its size.
 const MaxBytes = 700 << 10
 
 const (
-	// maxDepth bounds nested flow collections; the parser recurses once per level.
+	// maxDepth limits the nesting of flow collections, because the parser recurses once per level.
 	maxDepth = 16
-	// maxLineBytes bounds a line, and with it the nesting that indentation can express.
+	// maxLineBytes limits the length of a line, and thereby the nesting depth of block collections.
 	maxLineBytes = 1024
-	// maxTokens bounds the parser's time, which grows with the square of the number of fields
-	// in one mapping: 100,000 fields took 21 s.
+	// maxTokens limits the parsing time, which is quadratic in the number of fields of a mapping:
+	// 100,000 fields took 21 s.
 	maxTokens = 40_000
 )
 
-// Defaults of optional fields.
+// Default values of optional fields.
 const (
 	DefaultGoodputWeight    = 1.0
 	DefaultRoleChangeWeight = 1.0
@@ -38,23 +38,23 @@
 	DefaultConcurrent       = 256
 )
 
-// Parse decodes a document strictly, applies the defaults and validates it. Its error is of
-// type Errors.
+// Parse strictly decodes a document, validates it and applies the default values. A non-nil error
+// has type Errors.
 func Parse(body []byte) (*Service, error) {
 	s, _, err := ParseFile("", body)
 	return s, err
 }
 
-// ParseFile is Parse with a file name for the errors. The warnings are faults that do not
-// make the document invalid.
+// ParseFile is like Parse, but sets the file name in errors and also returns warnings: findings that
+// do not make the document invalid.
 func ParseFile(file string, body []byte) (s *Service, warnings Errors, err error) {
 	s, d, err := decode(body)
 	if err == nil {
 		v := &validator{errs: d.errs, positions: d.positions}
-		v.service(s)
-		warnings = v.warnings.sorted()
+		v.validateService(s)
+		warnings = v.warnings.sortAndTruncate()
 		if len(v.errs) > 0 {
-			err = v.errs.sorted()
+			err = v.errs.sortAndTruncate()
 		}
 	}
 	for _, e := range append(Faults(err), warnings...) {
@@ -67,14 +67,14 @@
 	return s, warnings, nil
 }
 
-// decode returns an error only if the body has no usable syntax tree; the faults of single
-// fields are in the decoder.
+// decode returns an error only if the body has no usable syntax tree. Errors in individual fields are
+// collected in the decoder.
 func decode(body []byte) (s *Service, d *decoder, err error) {
-	if err := checkShape(body); err != nil {
+	if err := checkInputLimits(body); err != nil {
 		return nil, nil, Errors{err}
 	}
-	// The parser has panicked on malformed input in past versions; a document from the
-	// key-value service must never end the process.
+	// Some versions of the parser panicked on malformed input. A document read from the key-value
+	// service must not crash the process.
 	defer func() {
 		if r := recover(); r != nil {
 			s, d = nil, nil
@@ -85,12 +85,12 @@
 	if err != nil {
 		return nil, nil, Errors{syntaxError(err)}
 	}
-	root, fault := rootNode(f)
-	if fault != nil {
-		return nil, nil, Errors{fault}
+	root, rootErr := rootNode(f)
+	if rootErr != nil {
+		return nil, nil, Errors{rootErr}
 	}
 	s, d = &Service{}, &decoder{positions: map[string]position{}}
-	d.structure(root, "", reflect.ValueOf(s).Elem())
+	d.decodeStruct(root, "", reflect.ValueOf(s).Elem())
 	return s, d, nil
 }
 
@@ -110,7 +110,7 @@
 	}
 	if _, ok := mapEntries(roots[0]); !ok {
 		p := nodePosition(roots[0])
-		return nil, &Error{Line: p.line, Column: p.column, Found: describe(roots[0]), Allowed: "a mapping"}
+		return nil, &Error{Line: p.line, Column: p.column, Found: describeNode(roots[0]), Allowed: "a mapping"}
 	}
 	return roots[0], nil
 }
@@ -126,9 +126,9 @@
 	return e
 }
 
-// checkShape refuses bodies that the parser must not see: too large, binary or so deeply
-// nested that its recursion could exhaust the stack.
-func checkShape(body []byte) *Error {
+// checkInputLimits rejects bodies that are unsafe to parse: too large, not text, or nested so deeply
+// that the recursive parser could exhaust the stack.
+func checkInputLimits(body []byte) *Error {
 	if len(body) > MaxBytes {
 		return &Error{Line: 1, Column: 1, Found: strconv.Itoa(len(body)) + " bytes", Allowed: fmt.Sprintf("at most %d bytes", MaxBytes)}
 	}
@@ -140,7 +140,7 @@
 		case b < ' ' && b != '\t' && b != '\r' || b == 0x7f:
 			return &Error{Line: line, Column: i - start + 1, Found: fmt.Sprintf("control character 0x%02x", b), Allowed: "text"}
 		case i-start >= maxLineBytes:
-			return &Error{Line: line, Column: 1, Found: "a longer line", Allowed: fmt.Sprintf("at most %d bytes in a line", maxLineBytes)}
+			return &Error{Line: line, Column: 1, Found: "a line that is too long", Allowed: fmt.Sprintf("at most %d bytes in a line", maxLineBytes)}
 		}
 	}
 	if !utf8.Valid(body) {
@@ -160,7 +160,7 @@
 		}
 		if depth > maxDepth {
 			p := tokenPosition(tk)
-			return &Error{Line: p.line, Column: p.column, Found: "deeper nesting", Allowed: fmt.Sprintf("at most %d levels", maxDepth)}
+			return &Error{Line: p.line, Column: p.column, Found: "nesting that is too deep", Allowed: fmt.Sprintf("at most %d levels", maxDepth)}
 		}
 	}
 	return nil
@@ -191,7 +191,7 @@
 	}
 }
 
-// FindKind returns the first kind that matches, or nil.
+// FindKind returns the first kind that matches a request with the values in m, or nil.
 func (s *Service) FindKind(m Match) *Kind {
 	for i := range s.Kinds {
 		if s.Kinds[i].Match.matches(m) {
--- a/document/validate.go
+++ b/document/validate.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Bounds of fields.
+// Limits of field values.
 const (
 	MaxDataCentres = 64
 	MaxModels      = 256
 	MaxAdapters    = 256
 	MaxKinds       = 64
-	// MaxWorkers is above the few dozen engines that one planner handles, to leave room for
-	// plain services.
+	// MaxWorkers exceeds the few dozen engines that one planner can handle, to leave room for plain
+	// services.
 	MaxWorkers           = 512
 	MaxRank              = 100
 	MaxWeightsMiB        = 4 << 20 // 4 TiB
-	MaxWeight            = 1000
+	MaxObjectiveWeight   = 1000
 	MaxQueue             = 65536
 	MaxBodyKiB           = 65536
 	MaxRequestsPerSecond = 1e6
 	MaxBurst             = 1_000_000
 	MaxConcurrent        = 100_000
-	// MaxTotal bounds the total deadline of a kind, and so the time that a drain takes.
-	MaxTotal = time.Hour
+	// MaxTotalDeadline limits the total deadline of a kind, and thereby the duration of a drain.
+	MaxTotalDeadline = time.Hour
 )
 
 const (
@@ -46,28 +46,28 @@
 	}
 )
 
-// ValidName says whether s can name a service, data centre or kind.
+// ValidName reports whether s is a valid name of a service, data centre or kind.
 func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// Validate checks a document that was built in memory. Parse has checked its result already.
+// Validate checks a document that was built in memory. Documents returned by Parse are already valid.
 func (s *Service) Validate() error {
 	v := &validator{}
-	v.service(s)
+	v.validateService(s)
 	if len(v.errs) > 0 {
-		return v.errs.sorted()
+		return v.errs.sortAndTruncate()
 	}
 	return nil
 }
 
-// validator collects the faults of a decoded document. Without positions, a zero value of an
-// optional field counts as left out.
+// validator collects the errors in a decoded document. If positions is nil, an optional field with a
+// zero value is treated as unset.
 type validator struct {
 	errs      Errors
 	warnings  Errors
 	positions map[string]position
 }
 
-// locate returns the position of a field, or of its nearest parent that is present.
+// locate returns the position of a field, or of its closest ancestor that is present in the file.
 func (v *validator) locate(field string) position {
 	for field != "" {
 		if p, ok := v.positions[field]; ok {
@@ -79,8 +79,8 @@
 	return position{min(1, len(v.positions)), min(1, len(v.positions))}
 }
 
-func (v *validator) fault(field, found, allowed string) {
-	// A field that could not be decoded has a more exact fault already.
+func (v *validator) addError(field, found, allowed string) {
+	// A decoding error for the same field is more precise.
 	for _, e := range v.errs {
 		if e.Field == field {
 			return
@@ -90,200 +90,201 @@
 	v.errs = append(v.errs, &Error{Line: p.line, Column: p.column, Field: field, Found: found, Allowed: allowed})
 }
 
-func (v *validator) warn(field, found, allowed string) {
+func (v *validator) addWarning(field, found, allowed string) {
 	p := v.locate(field)
 	v.warnings = append(v.warnings, &Error{Line: p.line, Column: p.column, Field: field, Found: found, Allowed: allowed})
 }
 
-func (v *validator) present(field string) bool {
+func (v *validator) isPresent(field string) bool {
 	_, ok := v.positions[field]
 	return ok
 }
 
-func (v *validator) pattern(field, value string, re *regexp.Regexp, allowed string) {
+func (v *validator) checkPattern(field, value string, re *regexp.Regexp, allowed string) {
 	if !re.MatchString(value) {
-		v.fault(field, quote(value), allowed)
+		v.addError(field, quoteValue(value), allowed)
 	}
 }
 
-// number checks a required number.
-func number[T int | float64](v *validator, field string, value, low, high T) {
+// checkRange checks that a required number lies between low and high.
+func checkRange[T int | float64](v *validator, field string, value, low, high T) {
 	if value < low || value > high {
 		found := fmt.Sprint(value)
-		if value == 0 && !v.present(field) && v.positions != nil {
+		if value == 0 && !v.isPresent(field) && v.positions != nil {
 			found = "no value"
 		}
-		v.fault(field, found, fmt.Sprintf("%v to %v", low, high))
+		v.addError(field, found, fmt.Sprintf("%v to %v", low, high))
 	}
 }
 
-// optional checks a number that may be left out.
-func optional[T int | float64](v *validator, field string, value, low, high T) {
-	if value != 0 || v.present(field) {
-		number(v, field, value, low, high)
+// checkOptionalRange checks the range of an optional number if it is set.
+func checkOptionalRange[T int | float64](v *validator, field string, value, low, high T) {
+	if value != 0 || v.isPresent(field) {
+		checkRange(v, field, value, low, high)
 	}
 }
 
-// absent refuses a field that has no meaning for the document's type.
-func (v *validator) absent(field string, isSet bool, typ Type) {
-	if isSet || v.present(field) {
-		v.fault(field, "a value", fmt.Sprintf("no value in a service of type %q", typ))
+// checkNotSet rejects a field that does not apply to the type of the service.
+func (v *validator) checkNotSet(field string, isSet bool, typ Type) {
+	if isSet || v.isPresent(field) {
+		v.addError(field, "a value", fmt.Sprintf("no value in a service of type %q", typ))
 	}
 }
 
-func (v *validator) count(field string, n, low, high int) {
+func (v *validator) checkCount(field string, n, low, high int) {
 	if n < low || n > high {
-		v.fault(field, strconv.Itoa(n)+" items", fmt.Sprintf("%d to %d items", low, high))
+		v.addError(field, strconv.Itoa(n)+" items", fmt.Sprintf("%d to %d items", low, high))
 	}
 }
 
-// unique checks one value of a list against the earlier ones.
-func (v *validator) unique(field, value string, seen map[string]bool) {
+// checkUnique reports a duplicate of an earlier list value and adds the value to seen.
+func (v *validator) checkUnique(field, value string, seen map[string]bool) {
 	if seen[value] && value != "" {
-		v.fault(field, quote(value)+" a second time", "each value once")
+		v.addError(field, quoteValue(value)+" a second time", "each value once")
 	}
 	seen[value] = true
 }
 
-func (v *validator) service(s *Service) {
-	v.pattern("service", s.Service, namePattern, allowedName)
+func (v *validator) validateService(s *Service) {
+	v.checkPattern("service", s.Service, namePattern, allowedName)
 	if s.Type != TypeModel && s.Type != TypePlain {
-		v.fault("type", quote(string(s.Type)), "model or plain")
+		v.addError("type", quoteValue(string(s.Type)), "model or plain")
 	}
-	v.count("data_centres", len(s.DataCentres), 1, MaxDataCentres)
+	v.checkCount("data_centres", len(s.DataCentres), 1, MaxDataCentres)
 	seen := map[string]bool{}
 	for i, dc := range s.DataCentres {
 		field := fmt.Sprintf("data_centres[%d]", i)
-		v.pattern(field, dc, namePattern, allowedName)
-		v.unique(field, dc, seen)
+		v.checkPattern(field, dc, namePattern, allowedName)
+		v.checkUnique(field, dc, seen)
 	}
-	v.models(s)
-	v.pools(s)
-	v.kinds(s)
-	optional(v, "weights.goodput", s.Weights.Goodput, 0.001, MaxWeight)
-	optional(v, "weights.role_changes", s.Weights.RoleChanges, 0.001, MaxWeight)
-	v.limits(&s.Limits)
+	v.validateModels(s)
+	v.validatePools(s)
+	v.validateKinds(s)
+	checkOptionalRange(v, "weights.goodput", s.Weights.Goodput, 0.001, MaxObjectiveWeight)
+	checkOptionalRange(v, "weights.role_changes", s.Weights.RoleChanges, 0.001, MaxObjectiveWeight)
+	v.validateLimits(&s.Limits)
 }
 
-func (v *validator) models(s *Service) {
+func (v *validator) validateModels(s *Service) {
 	if s.Type == TypePlain {
-		v.absent("models", len(s.Models) > 0, s.Type)
+		v.checkNotSet("models", len(s.Models) > 0, s.Type)
 		return
 	}
-	v.count("models", len(s.Models), 1, MaxModels)
+	v.checkCount("models", len(s.Models), 1, MaxModels)
 	seen := map[string]bool{}
 	for i := range s.Models {
-		m, at := &s.Models[i], fmt.Sprintf("models[%d]", i)
-		v.pattern(at+".name", m.Name, modelPattern, allowedModel)
-		v.unique(at+".name", m.Name, seen)
-		v.pattern(at+".version", m.Version, versionPattern, allowedVersion)
-		number(v, at+".weights_mib", m.WeightsMiB, 1, MaxWeightsMiB)
-		v.count(at+".adapters", len(m.Adapters), 0, MaxAdapters)
+		m, path := &s.Models[i], fmt.Sprintf("models[%d]", i)
+		v.checkPattern(path+".name", m.Name, modelPattern, allowedModel)
+		v.checkUnique(path+".name", m.Name, seen)
+		v.checkPattern(path+".version", m.Version, versionPattern, allowedVersion)
+		checkRange(v, path+".weights_mib", m.WeightsMiB, 1, MaxWeightsMiB)
+		v.checkCount(path+".adapters", len(m.Adapters), 0, MaxAdapters)
 		adapters := map[string]bool{}
 		for j, a := range m.Adapters {
-			field := fmt.Sprintf("%s.adapters[%d]", at, j)
-			v.pattern(field+".name", a.Name, modelPattern, allowedModel)
-			v.unique(field+".name", a.Name, adapters)
-			v.pattern(field+".version", a.Version, versionPattern, allowedVersion)
+			field := fmt.Sprintf("%s.adapters[%d]", path, j)
+			v.checkPattern(field+".name", a.Name, modelPattern, allowedModel)
+			v.checkUnique(field+".name", a.Name, adapters)
+			v.checkPattern(field+".version", a.Version, versionPattern, allowedVersion)
 		}
 	}
 }
 
-func (v *validator) pools(s *Service) {
-	v.count("pools", len(s.Pools), 1, MaxDataCentres)
+func (v *validator) validatePools(s *Service) {
+	v.checkCount("pools", len(s.Pools), 1, MaxDataCentres)
 	seen := map[string]bool{}
 	for i := range s.Pools {
-		p, at := &s.Pools[i], fmt.Sprintf("pools[%d]", i)
+		p, path := &s.Pools[i], fmt.Sprintf("pools[%d]", i)
 		if !slices.Contains(s.DataCentres, p.DataCentre) {
-			v.fault(at+".data_centre", quote(p.DataCentre), list("one of data_centres", s.DataCentres))
+			v.addError(path+".data_centre", quoteValue(p.DataCentre), withChoices("one of data_centres", s.DataCentres))
 		}
-		v.unique(at+".data_centre", p.DataCentre, seen)
-		number(v, at+".workers", p.Workers, 1, MaxWorkers)
+		v.checkUnique(path+".data_centre", p.DataCentre, seen)
+		checkRange(v, path+".workers", p.Workers, 1, MaxWorkers)
 		if s.Type == TypePlain {
-			v.absent(at+".models", len(p.Models) > 0, s.Type)
-			v.absent(at+".roles", p.Roles != (Roles{}), s.Type)
-			v.absent(at+".fixed_roles", p.FixedRoles, s.Type)
+			v.checkNotSet(path+".models", len(p.Models) > 0, s.Type)
+			v.checkNotSet(path+".roles", p.Roles != (Roles{}), s.Type)
+			v.checkNotSet(path+".fixed_roles", p.FixedRoles, s.Type)
 			continue
 		}
-		v.poolModels(s, p, at)
-		v.roles(p, at)
+		v.validatePoolModels(s, p, path)
+		v.validateRoles(p, path)
 	}
 	if s.Type == TypeModel {
-		v.roleCover(s)
+		v.validateRoleCoverage(s)
 	}
 	for i, dc := range s.DataCentres {
 		if !seen[dc] {
-			v.warn(fmt.Sprintf("data_centres[%d]", i), quote(dc)+" without a pool", "a pool in each data centre")
+			v.addWarning(fmt.Sprintf("data_centres[%d]", i), quoteValue(dc)+" without a pool", "a pool in each data centre")
 		}
 	}
 }
 
-func (v *validator) poolModels(s *Service, p *Pool, at string) {
+func (v *validator) validatePoolModels(s *Service, p *Pool, path string) {
 	names := make([]string, len(s.Models))
 	for i, m := range s.Models {
 		names[i] = m.Name
 	}
 	seen := map[string]bool{}
 	for j, m := range p.Models {
-		field := fmt.Sprintf("%s.models[%d]", at, j)
+		field := fmt.Sprintf("%s.models[%d]", path, j)
 		if !slices.Contains(names, m) {
-			v.fault(field, quote(m), list("the name of one of models", names))
+			v.addError(field, quoteValue(m), withChoices("the name of one of models", names))
 		}
-		v.unique(field, m, seen)
+		v.checkUnique(field, m, seen)
 	}
 }
 
-func (v *validator) roles(p *Pool, at string) {
+func (v *validator) validateRoles(p *Pool, path string) {
 	r := p.Roles
-	number(v, at+".roles.prefill", r.Prefill, 0, MaxWorkers)
-	number(v, at+".roles.decode", r.Decode, 0, MaxWorkers)
-	number(v, at+".roles.mixed", r.Mixed, 0, MaxWorkers)
-	if sum := r.Prefill + r.Decode + r.Mixed; min(r.Prefill, r.Decode, r.Mixed) >= 0 && (sum != 0 || v.present(at+".roles")) && sum != p.Workers {
-		v.fault(at+".roles", fmt.Sprintf("a sum of %d", sum), fmt.Sprintf("a sum of %d, the number of workers", p.Workers))
+	checkRange(v, path+".roles.prefill", r.Prefill, 0, MaxWorkers)
+	checkRange(v, path+".roles.decode", r.Decode, 0, MaxWorkers)
+	checkRange(v, path+".roles.mixed", r.Mixed, 0, MaxWorkers)
+	if sum := r.Prefill + r.Decode + r.Mixed; min(r.Prefill, r.Decode, r.Mixed) >= 0 && (sum != 0 || v.isPresent(path+".roles")) && sum != p.Workers {
+		v.addError(path+".roles", fmt.Sprintf("a sum of %d", sum), fmt.Sprintf("a sum of %d, the number of workers", p.Workers))
 	}
 }
 
-// roleCover refuses a service in which no engine can do one half of the work.
-func (v *validator) roleCover(s *Service) {
+// validateRoleCoverage rejects a service in which no engine can run the prefill phase or no engine
+// can run the decode phase.
+func (v *validator) validateRoleCoverage(s *Service) {
 	var sum Roles
 	for _, p := range s.Pools {
 		if p.Roles == (Roles{}) {
-			return // mixed by default
+			return // applyDefaults makes all engines of this pool mixed
 		}
 		sum.Prefill += p.Roles.Prefill
 		sum.Decode += p.Roles.Decode
 		sum.Mixed += p.Roles.Mixed
 	}
 	if sum.Mixed == 0 && len(s.Pools) > 0 && (sum.Prefill == 0 || sum.Decode == 0) {
-		v.fault("pools", fmt.Sprintf("%d prefill and %d decode engines in all pools", sum.Prefill, sum.Decode),
+		v.addError("pools", fmt.Sprintf("%d prefill and %d decode engines in all pools", sum.Prefill, sum.Decode),
 			"at least one engine of each role, or mixed engines")
 	}
 }
 
-func (v *validator) limits(l *Limits) {
-	optional(v, "limits.queue", l.Queue, 1, MaxQueue)
-	optional(v, "limits.body_kib", l.BodyKiB, 1, MaxBodyKiB)
+func (v *validator) validateLimits(l *Limits) {
+	checkOptionalRange(v, "limits.queue", l.Queue, 1, MaxQueue)
+	checkOptionalRange(v, "limits.body_kib", l.BodyKiB, 1, MaxBodyKiB)
 	c := l.PerCaller
-	optional(v, "limits.per_caller.requests_per_second", c.RequestsPerSecond, 0.001, MaxRequestsPerSecond)
-	optional(v, "limits.per_caller.burst", c.Burst, 1, MaxBurst)
-	optional(v, "limits.per_caller.concurrent", c.Concurrent, 1, MaxConcurrent)
+	checkOptionalRange(v, "limits.per_caller.requests_per_second", c.RequestsPerSecond, 0.001, MaxRequestsPerSecond)
+	checkOptionalRange(v, "limits.per_caller.burst", c.Burst, 1, MaxBurst)
+	checkOptionalRange(v, "limits.per_caller.concurrent", c.Concurrent, 1, MaxConcurrent)
 	if c.Burst != 0 && c.RequestsPerSecond == 0 {
-		v.fault("limits.per_caller.burst", strconv.Itoa(c.Burst), "no value without requests_per_second")
+		v.addError("limits.per_caller.burst", strconv.Itoa(c.Burst), "no value without requests_per_second")
 	}
 }
 
-func quote(s string) string {
+func quoteValue(s string) string {
 	if s == "" {
 		return "no value"
 	}
 	return strconv.Quote(truncate(s))
 }
 
-// list names the values that a reference may have.
-func list(what string, values []string) string {
-	const shown = 8
-	names := strings.Join(values[:min(len(values), shown)], ", ")
-	if len(values) > shown {
+// withChoices appends the first few permitted values to a description.
+func withChoices(what string, values []string) string {
+	const maxChoices = 8
+	names := strings.Join(values[:min(len(values), maxChoices)], ", ")
+	if len(values) > maxChoices {
 		names += ", ..."
 	}
 	return what + " (" + names + ")"
--- a/document/validate_kinds.go
+++ b/document/validate_kinds.go
@@ -7,85 +7,85 @@
 	"time"
 )
 
-func (v *validator) kinds(s *Service) {
-	v.count("kinds", len(s.Kinds), 1, MaxKinds)
+func (v *validator) validateKinds(s *Service) {
+	v.checkCount("kinds", len(s.Kinds), 1, MaxKinds)
 	seen := map[string]bool{}
 	catchAll := false
 	for i := range s.Kinds {
-		k, at := &s.Kinds[i], fmt.Sprintf("kinds[%d]", i)
-		v.pattern(at+".name", k.Name, namePattern, allowedName)
-		v.unique(at+".name", k.Name, seen)
-		v.match(s, k.Match, at+".match")
-		number(v, at+".rank", k.Rank, 1, MaxRank)
-		v.deadlines(s, k.Deadlines, at+".deadlines")
-		// An interrupted request runs again elsewhere, which an unrepeatable one must not.
+		k, path := &s.Kinds[i], fmt.Sprintf("kinds[%d]", i)
+		v.checkPattern(path+".name", k.Name, namePattern, allowedName)
+		v.checkUnique(path+".name", k.Name, seen)
+		v.validateMatch(s, k.Match, path+".match")
+		checkRange(v, path+".rank", k.Rank, 1, MaxRank)
+		v.validateDeadlines(s, k.Deadlines, path+".deadlines")
+		// An interrupted request is executed again on another worker, so it must be repeatable.
 		if k.Interruptible && !k.Repeatable {
-			v.fault(at+".interruptible", "true", "false if repeatable is false")
+			v.addError(path+".interruptible", "true", "false if repeatable is false")
 		}
 		for _, earlier := range s.Kinds[:i] {
 			if earlier.Match.covers(k.Match) {
-				v.warn(at+".match", "only requests that kind "+quote(earlier.Name)+" takes first", "a match that some request reaches")
+				v.addWarning(path+".match", "only requests that kind "+quoteValue(earlier.Name)+" takes first", "a match that some request reaches")
 				break
 			}
 		}
 		catchAll = catchAll || k.Match == (Match{})
 	}
 	if !catchAll && len(s.Kinds) > 0 {
-		v.warn("kinds", "no kind without match", "a last kind without match; other requests are refused")
+		v.addWarning("kinds", "no kind without match", "a last kind without match; other requests are refused")
 	}
 }
 
-func (v *validator) match(s *Service, m Match, at string) {
-	if m.Kind != "" || v.present(at+".kind") {
-		v.pattern(at+".kind", m.Kind, namePattern, allowedName)
+func (v *validator) validateMatch(s *Service, m Match, path string) {
+	if m.Kind != "" || v.isPresent(path+".kind") {
+		v.checkPattern(path+".kind", m.Kind, namePattern, allowedName)
 	}
 	if s.Type == TypeModel {
-		v.absent(at+".method", m.Method != "", s.Type)
-		v.absent(at+".path_prefix", m.PathPrefix != "", s.Type)
+		v.checkNotSet(path+".method", m.Method != "", s.Type)
+		v.checkNotSet(path+".path_prefix", m.PathPrefix != "", s.Type)
 		if m.Model != "" && !slices.ContainsFunc(s.Models, func(x Model) bool { return x.Name == m.Model }) {
-			v.fault(at+".model", quote(m.Model), "the name of one of models")
+			v.addError(path+".model", quoteValue(m.Model), "the name of one of models")
 		}
 		return
 	}
-	v.absent(at+".model", m.Model != "", s.Type)
-	if (m.Method != "" || v.present(at+".method")) && !slices.Contains(methods, m.Method) {
-		v.fault(at+".method", quote(m.Method), list("one of the methods", methods))
+	v.checkNotSet(path+".model", m.Model != "", s.Type)
+	if (m.Method != "" || v.isPresent(path+".method")) && !slices.Contains(methods, m.Method) {
+		v.addError(path+".method", quoteValue(m.Method), withChoices("one of the methods", methods))
 	}
-	if (m.PathPrefix != "" || v.present(at+".path_prefix")) && !strings.HasPrefix(m.PathPrefix, "/") {
-		v.fault(at+".path_prefix", quote(m.PathPrefix), "a path that begins with /")
+	if (m.PathPrefix != "" || v.isPresent(path+".path_prefix")) && !strings.HasPrefix(m.PathPrefix, "/") {
+		v.addError(path+".path_prefix", quoteValue(m.PathPrefix), "a path that begins with /")
 	}
 }
 
-func (v *validator) deadlines(s *Service, d Deadlines, at string) {
+func (v *validator) validateDeadlines(s *Service, d Deadlines, path string) {
 	total := d.Total.Std()
 	switch {
-	case total == 0 && !v.present(at+".total"):
-		v.fault(at+".total", "no value", "above 0s and at most "+MaxTotal.String())
-	case total <= 0 || total > MaxTotal:
-		v.fault(at+".total", total.String(), "above 0s and at most "+MaxTotal.String())
+	case total == 0 && !v.isPresent(path+".total"):
+		v.addError(path+".total", "no value", "above 0s and at most "+MaxTotalDeadline.String())
+	case total <= 0 || total > MaxTotalDeadline:
+		v.addError(path+".total", total.String(), "above 0s and at most "+MaxTotalDeadline.String())
 	}
 	if s.Type == TypePlain {
-		v.absent(at+".first_token", d.FirstToken != 0, s.Type)
-		v.absent(at+".between_tokens", d.BetweenTokens != 0, s.Type)
+		v.checkNotSet(path+".first_token", d.FirstToken != 0, s.Type)
+		v.checkNotSet(path+".between_tokens", d.BetweenTokens != 0, s.Type)
 		return
 	}
-	v.target(at+".first_token", d.FirstToken.Std(), total)
-	v.target(at+".between_tokens", d.BetweenTokens.Std(), total)
+	v.checkLatencyTarget(path+".first_token", d.FirstToken.Std(), total)
+	v.checkLatencyTarget(path+".between_tokens", d.BetweenTokens.Std(), total)
 }
 
-// target checks a latency target that may be left out.
-func (v *validator) target(field string, d, total time.Duration) {
-	if d == 0 && !v.present(field) {
+// checkLatencyTarget checks an optional latency target against the total deadline.
+func (v *validator) checkLatencyTarget(field string, d, total time.Duration) {
+	if d == 0 && !v.isPresent(field) {
 		return
 	}
 	switch {
-	case total <= 0: // has its own fault
+	case total <= 0: // reported for the total field
 	case d <= 0 || d > total:
-		v.fault(field, d.String(), "above 0s and at most the total of "+total.String())
+		v.addError(field, d.String(), "above 0s and at most the total of "+total.String())
 	}
 }
 
-// covers says whether each request that matches other also matches m.
+// covers reports whether every request that matches other also matches m.
 func (m Match) covers(other Match) bool {
 	return (m.Kind == "" || m.Kind == other.Kind) &&
 		(m.Model == "" || m.Model == other.Model) &&
