--- a/document/registry/history.go
+++ b/document/registry/history.go
@@ -7,8 +7,8 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// repairHistory writes the present record's history entry if the writer of that record did not
-// get to it. Failures are ignored: the history is best effort.
+// repairHistory creates the history entry of the current record if the writer of that record failed
+// to do so. Errors are ignored because the history is best effort.
 func repairHistory(ctx context.Context, kv external.KV, current *Record) {
 	if current.WriteID == "" {
 		return
@@ -16,32 +16,32 @@
 	ctx, cancel := context.WithTimeout(ctx, historyTimeout)
 	defer cancel()
 	if _, err := kv.Get(ctx, HistoryKey(current.Service, current.Revision)); errors.Is(err, external.ErrNotFound) {
-		putHistory(ctx, kv, current)
+		createHistoryEntry(ctx, kv, current)
 	}
 }
 
-// recordHistory writes the history entry of an accepted record and removes entries that are
-// too old.
+// recordHistory creates the history entry of an accepted record and removes expired entries.
 func recordHistory(ctx context.Context, kv external.KV, r *Record) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), historyTimeout)
 	defer cancel()
-	if !putHistory(ctx, kv, r) || r.Revision <= HistoryLength {
+	if !createHistoryEntry(ctx, kv, r) || r.Revision <= HistoryLength {
 		return
 	}
-	// Entries are created once, so their version is 1. An entry whose removal failed is removed
-	// by one of the next writes, which look a few revisions further back.
-	const lookBack = 3
-	for old := r.Revision - HistoryLength; old > 0 && old+HistoryLength+lookBack > r.Revision; old-- {
-		if err := kv.Delete(ctx, HistoryKey(r.Service, old), 1); err != nil && !errors.Is(err, external.ErrConflict) {
+	// Entries are created once and never updated, so their version is 1. Each write tries to
+	// remove several expired entries, in case an earlier removal failed.
+	const removalsPerWrite = 3
+	for revision := r.Revision - HistoryLength; revision > 0 && revision+HistoryLength+removalsPerWrite > r.Revision; revision-- {
+		if err := kv.Delete(ctx, HistoryKey(r.Service, revision), 1); err != nil && !errors.Is(err, external.ErrConflict) {
 			return
 		}
 	}
 }
 
-func putHistory(ctx context.Context, kv external.KV, r *Record) bool {
-	past := *r
-	past.Recent = nil
-	value, err := past.encode()
+// createHistoryEntry reports whether the entry exists afterwards.
+func createHistoryEntry(ctx context.Context, kv external.KV, r *Record) bool {
+	entry := *r
+	entry.Recent = nil
+	value, err := entry.encode()
 	if err != nil {
 		return false
 	}
--- a/document/registry/record.go
+++ b/document/registry/record.go
@@ -1,8 +1,7 @@
-// Package registry stores the accepted documents in the key-value service.
+// Package registry stores accepted service documents in the key-value service.
 //
-// Invariants: the revision of a service's record only increases, also over deletion and
-// re-creation; a document is accepted if and only if the compare-and-swap of its record took
-// effect.
+// Invariants: the revision of a service's record only increases, even across deletion and
+// re-creation; a document is accepted if and only if the compare-and-swap of its record succeeded.
 package registry
 
 import (
@@ -17,27 +16,28 @@
 )
 
 const (
-	// ConfigPrefix is the prefix of the keys of accepted documents.
+	// ConfigPrefix is the key prefix of the current record of each service.
 	ConfigPrefix = "config/"
-	// HistoryPrefix is the prefix of the keys of earlier revisions.
+	// HistoryPrefix is the key prefix of the history entries, one per revision.
 	HistoryPrefix = "history/"
-	// HistoryLength is the number of revisions that the history keeps.
+	// HistoryLength is the number of revisions kept in the history of a service.
 	HistoryLength = 20
-	// MaxAuthorBytes bounds the author's name.
+	// MaxAuthorBytes is the maximum length of an author's name.
 	MaxAuthorBytes = 256
-	// maxValueBytes is the largest value of the key-value service.
+	// maxValueBytes is the maximum value size in the key-value service.
 	maxValueBytes = 1 << 20
 )
 
 // ConfigKey returns the key of a service's record.
 func ConfigKey(service string) string { return ConfigPrefix + service }
 
-// HistoryKey returns the key of one revision. The number is padded so that keys sort by it.
+// HistoryKey returns the key of a history entry. The revision is zero-padded so that keys sort
+// numerically.
 func HistoryKey(service string, revision uint64) string {
 	return fmt.Sprintf("%s%s/%020d", HistoryPrefix, service, revision)
 }
 
-// Record is a service's document at one revision.
+// Record is one revision of a service's document.
 type Record struct {
 	Service  string `json:"service" yaml:"service"`
 	Revision uint64 `json:"revision" yaml:"revision"`
@@ -47,18 +47,18 @@
 	Author  string    `json:"author" yaml:"author"`
 	WriteID string    `json:"write_id" yaml:"write_id"`
 	Time    time.Time `json:"time" yaml:"time"`
-	// Recent names the writes of the last revisions, newest first and this one included. A
-	// writer whose response was lost finds its write here even after others have followed.
+	// Recent lists the writes of the latest revisions, newest first, including this one. A writer
+	// whose response was lost can find its write here even after later writes by others.
 	Recent []Write `json:"recent,omitempty" yaml:"-"`
 }
 
-// Write names the write that made a revision.
+// Write identifies the write that created a revision.
 type Write struct {
 	Revision uint64 `json:"revision"`
 	WriteID  string `json:"write_id"`
 }
 
-// CorruptRecordError means that a stored value is not a valid record.
+// CorruptRecordError is returned if a stored value is not a valid record.
 type CorruptRecordError struct {
 	Key    string
 	Reason string
@@ -69,8 +69,8 @@
 	return fmt.Sprintf("key %q holds an invalid record: %s", e.Key, e.Reason)
 }
 
-// Decode decodes and checks the value of a key under ConfigPrefix or HistoryPrefix. The body
-// is not parsed, because another version may have written it.
+// Decode decodes and checks the value of a key under ConfigPrefix or HistoryPrefix. It does not parse
+// the document in the body, which another version of the program may have written.
 func Decode(key string, value []byte) (Record, error) {
 	var r Record
 	if len(value) > maxValueBytes {
@@ -79,13 +79,14 @@
 	if err := json.Unmarshal(value, &r); err != nil {
 		return Record{}, &CorruptRecordError{key, err.Error()}
 	}
-	if reason := r.check(key); reason != "" {
+	if reason := r.invalidReason(key); reason != "" {
 		return Record{}, &CorruptRecordError{key, reason}
 	}
 	return r, nil
 }
 
-func (r *Record) check(key string) string {
+// invalidReason returns why the record is not valid under the key, or an empty string.
+func (r *Record) invalidReason(key string) string {
 	switch {
 	case !document.ValidName(r.Service):
 		return fmt.Sprintf("service name %q", r.Service)
@@ -109,20 +110,21 @@
 		return nil, fmt.Errorf("encode record of service %q: %w", r.Service, err)
 	}
 	if len(b) > maxValueBytes {
-		return nil, fmt.Errorf("record of service %q has %d bytes; allowed are %d", r.Service, len(b), maxValueBytes)
+		return nil, fmt.Errorf("record of service %q has %d bytes; the limit is %d", r.Service, len(b), maxValueBytes)
 	}
 	return b, nil
 }
 
-// wrote says whether the write of this revision or of one of the last ones has the given ID.
-func (r *Record) wrote(id string) bool {
+// includesWrite reports whether the write with the given ID created this revision or one of the
+// recent revisions before it.
+func (r *Record) includesWrite(id string) bool {
 	return r.WriteID == id || slices.ContainsFunc(r.Recent, func(w Write) bool { return w.WriteID == id })
 }
 
-// FromEntry decodes an entry of the key-value service.
+// FromEntry decodes the record in an entry of the key-value service.
 func FromEntry(e external.Entry) (Record, error) { return Decode(e.Key, e.Value) }
 
-// ServiceOf returns the service that a key under ConfigPrefix belongs to.
+// ServiceOf returns the service name in a key under ConfigPrefix, and whether it is valid.
 func ServiceOf(key string) (string, bool) {
 	name, ok := strings.CutPrefix(key, ConfigPrefix)
 	return name, ok && document.ValidName(name)
--- a/document/registry/registry.go
+++ b/document/registry/registry.go
@@ -14,16 +14,16 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// ErrNotFound means that the key-value service holds no record of the service.
+// ErrNotFound is returned if the key-value service has no record of the service.
 var ErrNotFound = errors.New("service not found")
 
-// ConflictError means that the record is not at the base revision. Nothing was written.
+// ConflictError is returned if the record is not at the base revision. Nothing was written.
 type ConflictError struct {
 	Service string
 	Base    uint64
-	// Winner is the record in the key-value service; its revision is 0 if there is none.
+	// Winner is the current record in the key-value service. Its revision is 0 if there is none.
 	Winner Record
-	// Diff leads from the winner's body to the refused one.
+	// Diff is the unified diff from the current body to the rejected one.
 	Diff string
 }
 
@@ -40,8 +40,8 @@
 		e.Service, e.Winner.Revision, e.Winner.Author, e.Base)
 }
 
-// OutcomeUnknownError means that a write was sent and could not be read back. It may take
-// effect, or have taken effect, as the given revision.
+// OutcomeUnknownError is returned if a write was sent but its result could not be determined. The
+// write may already have been applied as the given revision, or may be applied later.
 type OutcomeUnknownError struct {
 	Service  string
 	Revision uint64
@@ -58,20 +58,21 @@
 func (e *OutcomeUnknownError) Unwrap() error { return e.Err }
 
 const (
-	// settleTimeout bounds the reading back of a write whose response was lost.
-	settleTimeout = 6 * time.Second
-	settlePause   = 200 * time.Millisecond
-	// historyTimeout bounds the best-effort writes after the document is accepted.
+	// resolveTimeout limits the attempts to determine the outcome of a write whose response was
+	// lost.
+	resolveTimeout       = 6 * time.Second
+	resolveRetryInterval = 200 * time.Millisecond
+	// historyTimeout limits each best-effort update of the history.
 	historyTimeout = 3 * time.Second
 )
 
-// Apply validates a document and makes it the service's next revision, if the record is at
-// the base revision. Base 0 means that the service does not exist or is deleted. A body equal
-// to the one in force is accepted without a write.
+// Apply validates a document and stores it as the service's next revision if the current record is
+// at the base revision. Base 0 means that the service does not exist or is deleted. If the body is
+// equal to the current one, Apply returns the current record without writing.
 //
-// An invalid record can be replaced from any base that is not below the revision that the
-// history knows. The caller takes the highest revision that the processes have in force, since
-// they ignore lower ones.
+// An invalid record can be replaced with any base that is not below the latest revision in the
+// history. The caller should pass the highest revision that any process is using, because processes
+// ignore lower revisions.
 func Apply(ctx context.Context, kv external.KV, service string, base uint64, body []byte, author string) (Record, error) {
 	s, err := document.Parse(body)
 	if err != nil {
@@ -82,29 +83,29 @@
 			Line: 1, Column: 1, Field: "service", Found: fmt.Sprintf("%q", s.Service), Allowed: fmt.Sprintf("%q", service),
 		}}
 	}
-	return write(ctx, kv, Record{Service: service, Body: body, Author: author}, base)
+	return writeNext(ctx, kv, Record{Service: service, Body: body, Author: author}, base)
 }
 
-// Delete replaces the service's record with a tombstone of the next revision.
+// Delete replaces the service's record with a tombstone at the next revision.
 func Delete(ctx context.Context, kv external.KV, service string, base uint64, author string) (Record, error) {
 	if !document.ValidName(service) {
 		return Record{}, fmt.Errorf("%w: invalid name %q", ErrNotFound, service)
 	}
-	return write(ctx, kv, Record{Service: service, Deleted: true, Author: author}, base)
+	return writeNext(ctx, kv, Record{Service: service, Deleted: true, Author: author}, base)
 }
 
-func write(ctx context.Context, kv external.KV, next Record, base uint64) (Record, error) {
+func writeNext(ctx context.Context, kv external.KV, next Record, base uint64) (Record, error) {
 	if len(next.Author) > MaxAuthorBytes {
-		return Record{}, fmt.Errorf("author has %d bytes; allowed are %d", len(next.Author), MaxAuthorBytes)
+		return Record{}, fmt.Errorf("author name has %d bytes; the limit is %d", len(next.Author), MaxAuthorBytes)
 	}
-	current, version, err := read(ctx, kv, next.Service)
+	current, version, err := readCurrent(ctx, kv, next.Service)
 	if err != nil {
 		return Record{}, err
 	}
-	if err := checkBase(&current, &next, version, base); err != nil {
+	if err := checkBaseRevision(&current, &next, version, base); err != nil {
 		return Record{}, err
 	}
-	// Only over an invalid record can the base be above the revision that is known.
+	// The base can exceed the known revision only if the current record is invalid.
 	current.Revision = max(current.Revision, base)
 	if current.WriteID != "" && current.Deleted == next.Deleted && bytes.Equal(current.Body, next.Body) {
 		return current, nil
@@ -115,17 +116,17 @@
 	next.Time = time.Now().UTC().Truncate(time.Millisecond)
 	next.Recent = append([]Write{{next.Revision, next.WriteID}}, current.Recent...)
 	next.Recent = next.Recent[:min(len(next.Recent), HistoryLength)]
-	if err := swap(ctx, kv, &next, version, base); err != nil {
+	if err := compareAndSwap(ctx, kv, &next, version, base); err != nil {
 		return Record{}, err
 	}
 	recordHistory(ctx, kv, &next)
 	return next, nil
 }
 
-// read returns the present record and its version. If the record is absent or invalid, the
-// record that it returns is empty but for the last revision that the history knows, so that the
-// next record continues from there.
-func read(ctx context.Context, kv external.KV, service string) (Record, uint64, error) {
+// readCurrent returns the current record and its version in the key-value service. If the record is
+// missing or invalid, it returns a deleted record without a write ID that has the latest revision in
+// the history, so that the next revision continues from there.
+func readCurrent(ctx context.Context, kv external.KV, service string) (Record, uint64, error) {
 	e, err := kv.Get(ctx, ConfigKey(service))
 	if err == nil {
 		if r, err := FromEntry(e); err == nil {
@@ -134,41 +135,42 @@
 	} else if !errors.Is(err, external.ErrNotFound) {
 		return Record{}, 0, fmt.Errorf("read service %q: %w", service, err)
 	}
-	past, err := History(ctx, kv, service)
+	history, err := History(ctx, kv, service)
 	if err != nil {
 		return Record{}, 0, err
 	}
 	r := Record{Service: service, Deleted: true}
-	if len(past) > 0 {
-		r.Revision = past[0].Revision
+	if len(history) > 0 {
+		r.Revision = history[0].Revision
 	}
 	return r, e.Version, nil
 }
 
-func checkBase(current, next *Record, version, base uint64) error {
-	isRecord := current.WriteID != ""
+func checkBaseRevision(current, next *Record, version, base uint64) error {
+	hasRecord := current.WriteID != ""
 	switch {
-	case !isRecord && version == 0 && next.Deleted:
+	case !hasRecord && version == 0 && next.Deleted:
 		return fmt.Errorf("%w: %q", ErrNotFound, next.Service)
-	case !isRecord && version != 0 && base >= current.Revision:
+	case !hasRecord && version != 0 && base >= current.Revision:
 		return nil
-	case base == current.Revision, base == 0 && current.Deleted && (isRecord || version == 0):
+	case base == current.Revision, base == 0 && current.Deleted && (hasRecord || version == 0):
 		return nil
 	}
-	return conflict(current, next, base)
+	return newConflictError(current, next, base)
 }
 
-func conflict(winner, next *Record, base uint64) error {
-	diff, err := document.Diff(fmt.Sprintf("%s revision %d", next.Service, winner.Revision), next.Service+" refused",
-		winner.Body, next.Body)
+func newConflictError(current, next *Record, base uint64) error {
+	diff, err := document.Diff(fmt.Sprintf("%s revision %d", next.Service, current.Revision), next.Service+" refused",
+		current.Body, next.Body)
 	if err != nil {
 		return err
 	}
-	return &ConflictError{Service: next.Service, Base: base, Winner: *winner, Diff: diff}
+	return &ConflictError{Service: next.Service, Base: base, Winner: *current, Diff: diff}
 }
 
-// swap writes the record and settles an unknown outcome.
-func swap(ctx context.Context, kv external.KV, next *Record, version, base uint64) error {
+// compareAndSwap writes the record. If the outcome of the write is unknown, it is determined before
+// returning.
+func compareAndSwap(ctx context.Context, kv external.KV, next *Record, version, base uint64) error {
 	value, err := next.encode()
 	if err != nil {
 		return err
@@ -178,19 +180,19 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, external.ErrConflict):
-		return lost(ctx, kv, next, base)
+		return resolveConflict(ctx, kv, next, base)
 	case errors.Is(err, external.ErrUnavailable):
 		return fmt.Errorf("write service %q: %w", next.Service, err)
 	}
-	return settle(ctx, kv, next, version, value, base)
+	return resolveUnknownOutcome(ctx, kv, next, version, value, base)
 }
 
-// settle finds out whether a write took effect whose response was lost. A read that shows the
-// old version proves nothing, because the write may still be under way; so the same write is
-// sent again. At most one of the two can take effect, and both carry the same record.
-func settle(ctx context.Context, kv external.KV, next *Record, version uint64, value []byte, base uint64) error {
-	// The outcome matters most when the operator's own deadline has ended.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+// resolveUnknownOutcome determines whether a write whose response was lost was applied. Reading the
+// old version back would prove nothing, because the write may still be in transit, so the same write
+// is sent again. At most one of the two can succeed, and both contain the same record.
+func resolveUnknownOutcome(ctx context.Context, kv external.KV, next *Record, version uint64, value []byte, base uint64) error {
+	// The outcome must be determined even if the caller's deadline has expired.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), resolveTimeout)
 	defer cancel()
 	for {
 		_, err := kv.CompareAndSwap(ctx, ConfigKey(next.Service), version, value, 0)
@@ -198,9 +200,9 @@
 			return nil
 		}
 		if errors.Is(err, external.ErrConflict) {
-			err = lost(ctx, kv, next, base)
+			err = resolveConflict(ctx, kv, next, base)
 			var c *ConflictError
-			// Beyond HistoryLength, the list of recent writes may no longer hold this write.
+			// After HistoryLength further revisions, Recent may no longer include this write.
 			if err == nil || errors.As(err, &c) && c.Winner.Revision < next.Revision+HistoryLength {
 				return err
 			}
@@ -208,25 +210,25 @@
 		select {
 		case <-ctx.Done():
 			return &OutcomeUnknownError{next.Service, next.Revision, next.WriteID, err}
-		case <-time.After(settlePause):
+		case <-time.After(resolveRetryInterval):
 		}
 	}
 }
 
-// lost reads the record that made a write conflict. It returns nil if the write itself did,
-// which happens after a lost response.
-func lost(ctx context.Context, kv external.KV, next *Record, base uint64) error {
-	winner, _, err := read(ctx, kv, next.Service)
+// resolveConflict reads the record that caused a version conflict. It returns nil if the current
+// record includes the write itself, which happens after a lost response.
+func resolveConflict(ctx context.Context, kv external.KV, next *Record, base uint64) error {
+	current, _, err := readCurrent(ctx, kv, next.Service)
 	if err != nil {
 		return fmt.Errorf("service %q was changed by another write: %w", next.Service, errors.Join(external.ErrConflict, err))
 	}
-	if winner.wrote(next.WriteID) {
+	if current.includesWrite(next.WriteID) {
 		return nil
 	}
-	return conflict(&winner, next, base)
+	return newConflictError(&current, next, base)
 }
 
-// Get returns the present record of a service. A deleted service has a record too.
+// Get returns the current record of a service, which is a tombstone if the service is deleted.
 func Get(ctx context.Context, kv external.KV, service string) (Record, error) {
 	if !document.ValidName(service) {
 		return Record{}, fmt.Errorf("%w: invalid name %q", ErrNotFound, service)
@@ -241,7 +243,7 @@
 	return FromEntry(e)
 }
 
-// List returns the present records, and one error for each invalid one.
+// List returns the current valid records and one error for each invalid record.
 func List(ctx context.Context, kv external.KV) ([]Record, []error, error) {
 	entries, _, err := kv.List(ctx, ConfigPrefix)
 	if err != nil {
@@ -260,8 +262,8 @@
 	return records, invalid, nil
 }
 
-// History returns the kept revisions of a service, newest first. Revisions whose
-// best-effort write failed are missing.
+// History returns the retained revisions of a service, newest first. Revisions whose best-effort
+// write failed are missing.
 func History(ctx context.Context, kv external.KV, service string) ([]Record, error) {
 	if !document.ValidName(service) {
 		return nil, fmt.Errorf("%w: invalid name %q", ErrNotFound, service)
@@ -272,7 +274,7 @@
 	}
 	var records []Record
 	for i := len(entries) - 1; i >= 0 && len(records) < HistoryLength; i-- {
-		// An invalid record is skipped, as one that is missing.
+		// Invalid entries are treated as missing.
 		if r, err := FromEntry(entries[i]); err == nil && strings.HasPrefix(entries[i].Key, HistoryPrefix) {
 			records = append(records, r)
 		}
