--- a/document/registry/registry_test.go
+++ b/document/registry/registry_test.go
@@ -288,7 +288,7 @@
 				switch {
 				case err == nil:
 					if other, ok := accepted[r.Revision]; ok && other != r.WriteID || r.Revision != base+1 && base != 0 {
-						violation = fmt.Errorf("revision %d on base %d accepted twice: %s and %s", r.Revision, base, other, r.WriteID)
+						violation = fmt.Errorf("revision %d accepted on base %d: accepted twice or not the next revision (writes %q and %q)", r.Revision, base, other, r.WriteID)
 					}
 					accepted[r.Revision], base = r.WriteID, r.Revision
 				case errors.As(err, &c):
