--- a/placement/demand.go
+++ b/placement/demand.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// demand is the offered work of a pool, in engines: the number of engines that each part of the
-// work would keep fully busy.
-type demand struct {
-	// long and short are the prefill work of long and short prompts. Decode engines may also
-	// prefill short prompts.
+// workParts holds one value for each part of a pool's work. A demand holds the offered work in
+// engines: the number of engines that each part would keep fully busy.
+type workParts struct {
+	// long and short are the prefill of long and of short prompts. Decode engines may also prefill
+	// short prompts.
 	long, short float64
 	decode      float64
 }
 
 // lerp interpolates linearly between d and other.
-func (d demand) lerp(other demand, fraction float64) demand {
-	return demand{
+func (d workParts) lerp(other workParts, fraction float64) workParts {
+	return workParts{
 		long:   d.long + fraction*(other.long-d.long),
 		short:  d.short + fraction*(other.short-d.short),
 		decode: d.decode + fraction*(other.decode-d.decode),
 	}
 }
 
-func (d demand) clamp() demand {
-	return demand{long: max(0, d.long), short: max(0, d.short), decode: max(0, d.decode)}
+func (d workParts) clamp() workParts {
+	return workParts{long: max(0, d.long), short: max(0, d.short), decode: max(0, d.decode)}
 }
 
-// measureDemand converts the offered tokens to a demand. It also updates the moving averages of the
-// slack and of the rank weights.
-func (p *Planner) measureDemand(s *Snapshot) demand {
-	var d, weighted demand
+// measureDemand converts the offered tokens to a demand, which is zero if the snapshot's Interval is
+// zero. A kind counts as short if its mean prompt has at most ShortPrefill tokens. It also updates
+// the moving averages of the slack and of the rank weights.
+func (p *Planner) measureDemand(s *Snapshot) workParts {
+	var d, weighted workParts
 	seconds := s.Interval.Seconds()
 	if seconds <= 0 {
 		return d
 	}
 	perDecodeToken := decodeTokenSeconds(s)
-	slack, weight := 0.0, 0.0
+	slackSum, slackWork := 0.0, 0.0
 	for _, k := range s.Offered {
 		prefill := k.PromptTokens / seconds * s.Speed.PrefillSecondsPerToken
 		decode := k.OutputTokens / seconds * perDecodeToken
@@ -51,23 +52,24 @@
 		weighted.long += prefill * rankWeight(k.Rank)
 		promptSeconds := k.PromptTokens / k.Requests * s.Speed.PrefillSecondsPerToken
 		if target := k.FirstToken.Seconds(); target > promptSeconds {
-			slack += prefill * (target - promptSeconds) / promptSeconds
-			weight += prefill
+			slackSum += prefill * (target - promptSeconds) / promptSeconds
+			slackWork += prefill
 		}
 	}
-	p.rankWeights = p.rankWeights.lerp(demand{
+	p.rankWeights = p.rankWeights.lerp(workParts{
 		long:   ratio(weighted.long, d.long, p.rankWeights.long),
 		short:  ratio(weighted.short, d.short, p.rankWeights.short),
 		decode: ratio(weighted.decode, d.decode, p.rankWeights.decode),
 	}, smoothingPerRound)
-	if weight > 0 {
-		p.slack += smoothingPerRound * (slack/weight - p.slack)
+	if slackWork > 0 {
+		p.slack += smoothingPerRound * (slackSum/slackWork - p.slack)
 	}
 	return d
 }
 
-// rankWeight makes the lost work of important kinds count more. Otherwise, an overloaded pool would
-// be planned for the kinds that are cheapest to serve, at the cost of the most important one.
+// rankWeight returns the factor by which lost work of a rank counts: 1.25 for rank 1, falling
+// towards 0.75. With equal factors, an overloaded pool would be planned for the kinds that are
+// cheapest to serve, at the cost of the most important one.
 func rankWeight(rank int) float64 { return 0.75 + 0.5/float64(max(rank, 1)) }
 
 func ratio(part, total, fallback float64) float64 {
@@ -94,17 +96,17 @@
 	return s.Speed.Step(int(batch)) / batch
 }
 
-// update adds the demand of this round to the moving averages and to the history.
-func (p *Planner) update(now time.Time, d demand) {
+// updateAverages adds the demand of this round to the moving averages and to the history.
+func (p *Planner) updateAverages(now time.Time, d workParts) {
 	if p.lastRound.IsZero() {
-		p.fast, p.slow = d, d
+		p.fastDemand, p.slowDemand = d, d
 	} else {
 		elapsed := now.Sub(p.lastRound)
 		// While a planner is younger than a time constant, its age is used instead. Otherwise, the
 		// first sample would dominate the average for minutes.
 		age := now.Sub(p.started)
-		p.fast = p.fast.lerp(d, smoothingFactor(elapsed, min(p.cfg.FastTimeConstant, age)))
-		p.slow = p.slow.lerp(d, smoothingFactor(elapsed, min(p.cfg.SlowTimeConstant, age)))
+		p.fastDemand = p.fastDemand.lerp(d, smoothingFactor(elapsed, min(p.cfg.FastTimeConstant, age)))
+		p.slowDemand = p.slowDemand.lerp(d, smoothingFactor(elapsed, min(p.cfg.SlowTimeConstant, age)))
 	}
 	p.lastRound = now
 	p.history.add(now, d)
@@ -117,23 +119,24 @@
 	return 1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds())
 }
 
-// forecast extrapolates the fast average to the time at which a change ordered now is complete. The
-// slope is the difference between the two averages, divided by the difference between their lags.
-func (p *Planner) forecast(lead time.Duration) demand {
-	lag := (p.cfg.SlowTimeConstant - p.cfg.FastTimeConstant).Seconds()
-	if lag <= 0 {
-		return p.fast
+// forecast extrapolates the fast average to the time at which a change ordered now is complete; lead
+// is the duration of the change without draining. The slope is the difference between the two
+// averages, divided by the difference between their lags. An average lags by its time constant.
+func (p *Planner) forecast(lead time.Duration) workParts {
+	lagDifference := (p.cfg.SlowTimeConstant - p.cfg.FastTimeConstant).Seconds()
+	if lagDifference <= 0 {
+		return p.fastDemand
 	}
-	extrapolation := p.cfg.TrendGain * (p.cfg.FastTimeConstant + lead).Seconds() / lag
-	slope := demand{
-		long:   p.fast.long - p.slow.long,
-		short:  p.fast.short - p.slow.short,
-		decode: p.fast.decode - p.slow.decode,
+	factor := p.cfg.TrendGain * (p.cfg.FastTimeConstant + lead).Seconds() / lagDifference
+	difference := workParts{
+		long:   p.fastDemand.long - p.slowDemand.long,
+		short:  p.fastDemand.short - p.slowDemand.short,
+		decode: p.fastDemand.decode - p.slowDemand.decode,
 	}
-	return demand{
-		long:   p.fast.long + extrapolation*slope.long,
-		short:  p.fast.short + extrapolation*slope.short,
-		decode: p.fast.decode + extrapolation*slope.decode,
+	return workParts{
+		long:   p.fastDemand.long + factor*difference.long,
+		short:  p.fastDemand.short + factor*difference.short,
+		decode: p.fastDemand.decode + factor*difference.decode,
 	}.clamp()
 }
 
@@ -144,26 +147,26 @@
 
 // history keeps the mean demand of each of the last historySamples periods.
 type history struct {
-	samples [historySamples]demand
+	samples [historySamples]workParts
 	count   int
 	next    int
 
-	sum         demand
+	sum         workParts
 	sumCount    float64 // demands in sum
 	periodStart time.Time
 }
 
-func (h *history) add(now time.Time, d demand) {
+func (h *history) add(now time.Time, d workParts) {
 	if h.periodStart.IsZero() {
 		h.periodStart = now
 	}
-	h.sum = demand{h.sum.long + d.long, h.sum.short + d.short, h.sum.decode + d.decode}
+	h.sum = workParts{h.sum.long + d.long, h.sum.short + d.short, h.sum.decode + d.decode}
 	h.sumCount++
 	if now.Sub(h.periodStart) < historySamplePeriod {
 		return
 	}
-	h.samples[h.next] = demand{h.sum.long / h.sumCount, h.sum.short / h.sumCount, h.sum.decode / h.sumCount}
+	h.samples[h.next] = workParts{h.sum.long / h.sumCount, h.sum.short / h.sumCount, h.sum.decode / h.sumCount}
 	h.next = (h.next + 1) % historySamples
 	h.count = min(h.count+1, historySamples)
-	h.sum, h.sumCount, h.periodStart = demand{}, 0, now
+	h.sum, h.sumCount, h.periodStart = workParts{}, 0, now
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -35,20 +35,23 @@
 	DefaultMinLossReduction  = 0.15
 )
 
-// Config configures a Planner. Zero fields take the defaults.
+// Config configures a Planner. Fields that are zero or negative take the defaults.
 type Config struct {
 	// FastTimeConstant and SlowTimeConstant are the time constants of the two exponential moving
 	// averages of the offered work.
 	FastTimeConstant, SlowTimeConstant time.Duration
 	// Horizon is the time for which the forecast work is expected to last.
 	Horizon time.Duration
-	// HistoryWeight is the weight, as a time, of the mixes of work seen in the last 20 minutes. It
-	// makes the planner prefer a split that also suits a mix that is likely to return.
+	// HistoryWeight is the time for which the mean of the last 20 minutes' demands counts in the
+	// expected loss, beside Horizon. It makes the planner prefer a split that also suits a mix of
+	// work that is likely to return.
 	HistoryWeight time.Duration
-	// HedgeWeight is the weight, as a time, of mixes that were not seen but may occur. It prevents
-	// a long period with a steady mix from specialising the whole pool for that mix.
+	// HedgeWeight is the time for which mixes of work that were not seen but may occur count in the
+	// expected loss. It prevents a long period with a steady mix from specialising the whole pool
+	// for that mix.
 	HedgeWeight time.Duration
-	// TrendGain scales the slope of the extrapolation: 0 ignores it, 1 extrapolates linearly.
+	// TrendGain multiplies the slope of the extrapolation: 1 extrapolates linearly, smaller
+	// values follow the slope less.
 	TrendGain float64
 	// CostMargin is the share by which a gain must exceed the cost of the changes.
 	CostMargin float64
@@ -57,8 +60,8 @@
 	MinLossReduction float64
 	// MinDwell is the minimum time that an engine keeps a role.
 	MinDwell time.Duration
-	// MaxChangingShare limits the share of the pool that may be changing at the same time. One
-	// engine may always change.
+	// MaxChangingShare limits the share of the pool that may be changing at the same time. At least
+	// one engine may always be changing.
 	MaxChangingShare float64
 	// WarmUp is the time after the first round during which no roles change.
 	WarmUp time.Duration
@@ -73,8 +76,8 @@
 
 func (c Config) withDefaults() Config {
 	for _, d := range []struct {
-		v *time.Duration
-		d time.Duration
+		value    *time.Duration
+		fallback time.Duration
 	}{
 		{&c.FastTimeConstant, DefaultFastTimeConstant},
 		{&c.SlowTimeConstant, DefaultSlowTimeConstant},
@@ -85,13 +88,13 @@
 		{&c.WarmUp, DefaultWarmUp},
 		{&c.Change, DefaultChange},
 	} {
-		if *d.v <= 0 {
-			*d.v = d.d
+		if *d.value <= 0 {
+			*d.value = d.fallback
 		}
 	}
 	for _, f := range []struct {
-		v *float64
-		d float64
+		value    *float64
+		fallback float64
 	}{
 		{&c.TrendGain, DefaultTrendGain},
 		{&c.CostMargin, DefaultCostMargin},
@@ -99,8 +102,8 @@
 		{&c.MixedPrefillShare, DefaultMixedPrefillShare},
 		{&c.MinLossReduction, DefaultMinLossReduction},
 	} {
-		if *f.v <= 0 {
-			*f.v = f.d
+		if *f.value <= 0 {
+			*f.value = f.fallback
 		}
 	}
 	if c.ShortPrefill <= 0 {
@@ -113,7 +116,8 @@
 type State string
 
 // States of engines. A changing engine counts with its new role. Withdrawn and crashed engines do
-// not count; an engine that cannot be reached or ordered is reported as crashed.
+// not count. Crashed also stands for engines that are unreachable, have no models or cannot be given
+// orders.
 const (
 	Serving   State = "serving"
 	Changing  State = "changing"
@@ -127,7 +131,8 @@
 	State State
 	// Config is the engine's configuration, or its next one while the engine is changing.
 	Config external.EngineConfig
-	// Since is the time at which the engine took its role.
+	// Since is the time from which MinDwell is counted, for example the engine's last change of role
+	// or the last restart of its sidecar.
 	Since time.Time
 	// Sequences and PrefillTokens are the engine's unfinished work. The engine finishes it before
 	// it changes its role.
@@ -135,10 +140,10 @@
 	PrefillTokens float64
 }
 
-// KindWork is the work of one kind of request, including refused requests. In a Snapshot it is the
-// work since the last round.
+// KindWork is the work of one kind of request. In a Snapshot it is the work offered since the last
+// round, including refused requests. Callers also use it for totals since the start of a process.
 type KindWork struct {
-	// Rank is the kind's rank in the service document; 1 is the most important.
+	// Rank is the kind's rank in the service document; 1 is the most important. 0 counts as 1.
 	Rank     int
 	Requests float64
 	// PromptTokens is the number of tokens to prefill, without those that are expected in the
@@ -181,8 +186,9 @@
 type Change struct {
 	Engine string
 	Config external.EngineConfig
-	// Gain and Cost led to the decision, in engine-seconds. For a role change they are weighted and
-	// are those of the whole transition to the new split.
+	// Gain and Cost led to the decision. For a role change they are those of the whole transition
+	// to the new split, in engine-seconds: both are multiplied by the planning weights, and Cost
+	// includes CostMargin. For a change of models, Gain is 0 and Cost the expected time in seconds.
 	Gain, Cost float64
 	Reason     string
 }
@@ -192,26 +198,26 @@
 	cfg       Config
 	started   time.Time
 	lastRound time.Time
-	// fast and slow are the moving averages of the demand.
-	fast     demand
-	slow     demand
-	history  history
-	decision string
+	// fastDemand and slowDemand are the moving averages of the demand.
+	fastDemand workParts
+	slowDemand workParts
+	history    history
+	decision   string
 	// slack is the moving average of the time that a long prompt can wait before prefill, relative
 	// to its own prefill time.
 	slack float64
 	// rankWeights are the mean rank weights of long prompts, short prompts and decoding.
-	rankWeights demand
+	rankWeights workParts
 	// tables is reused by every round to avoid allocations.
 	tables lossTables
 }
 
 // New returns a planner with the given configuration.
 func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg.withDefaults(), slack: initialSlack, rankWeights: demand{1, 1, 1}}
+	return &Planner{cfg: cfg.withDefaults(), slack: initialSlack, rankWeights: workParts{1, 1, 1}}
 }
 
-// Explain returns the decision of the last round and its reason.
+// Explain returns the last round's decision about roles and its reason.
 func (p *Planner) Explain() string { return p.decision }
 
 // Plan runs one round and returns the changes to order now.
@@ -219,7 +225,7 @@
 	if p.started.IsZero() {
 		p.started = now
 	}
-	p.update(now, p.measureDemand(s))
+	p.updateAverages(now, p.measureDemand(s))
 	pool := newPool(s, p.cfg.MinDwell, now)
 	budget := p.changeBudget(pool)
 	if pool.size == 0 {
@@ -239,20 +245,21 @@
 	case s.FixedRoles:
 		return "the document fixes the roles"
 	case budget <= 0:
-		return "the allowed share of the pool is already changing"
+		return "the allowed share of the pool is in change"
 	default:
 		return "the averages are warming up"
 	}
 }
 
-// changeBudget returns the number of engines that may start to change in this round.
+// changeBudget returns the number of engines that may start to change in this round. It is negative
+// if more engines are changing than the limit allows.
 func (p *Planner) changeBudget(pool *pool) int {
 	return max(1, int(p.cfg.MaxChangingShare*float64(pool.size))) - pool.changing
 }
 
-// modelChanges changes an engine to the wanted models and adapters. It changes one engine per
-// round, so that the pool keeps its capacity and the engines do not all load from the weight store
-// at the same time.
+// modelChanges returns the change of at most one engine that lacks a wanted model or adapter, and
+// takes it from the budget. Only one engine changes per round, so that the pool keeps its capacity
+// and the engines do not all load from the weight store at the same time.
 func (p *Planner) modelChanges(s *Snapshot, pool *pool, budget *int) []Change {
 	if len(s.Models) == 0 || *budget <= 0 {
 		return nil
@@ -272,7 +279,7 @@
 		cfg.Models, cfg.Adapters = slices.Clone(s.Models), slices.Clone(s.Adapters)
 		return []Change{{
 			Engine: e.ID, Config: cfg, Cost: (p.cfg.Change + wait).Seconds(),
-			Reason: fmt.Sprintf("%s must be loaded, expected wait %s", missing, wait),
+			Reason: fmt.Sprintf("%s has to be loaded, expected wait %s", missing, wait),
 		}}
 	}
 	return nil
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -86,9 +86,9 @@
 	assert.Greater(t, count(placement.Weights{Goodput: 4, RoleChanges: 1}), count(placement.Weights{Goodput: 1, RoleChanges: 20}))
 }
 
-// Guards against more changing engines than the limit, changes of engines that are not in service
-// or within their minimum dwell time, and a pool without an engine that can prefill or one that can
-// decode.
+// Guards against more changing engines than the limit, and against changes of engines that are not
+// serving or within their minimum dwell time. If a round changes all engines in service, which the
+// limit allows only if there is one, the pool must still be able to prefill and to decode.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := placement.New(placement.Config{})
--- a/placement/split.go
+++ b/placement/split.go
@@ -40,13 +40,15 @@
 
 // pool is the state of the pool during one round.
 type pool struct {
-	current  split
+	current split
+	// size counts the serving and the changing engines, changing only the latter.
 	size     int
 	changing int
 	// movable counts, per role, the serving engines that have kept their role for the minimum dwell
 	// time.
 	movable split
-	// excluded marks, by index, the engines that must not change in this round.
+	// excluded marks, by index, the engines whose roles must not change in this round. It does not
+	// restrict changes of models.
 	excluded []bool
 }
 
@@ -74,8 +76,9 @@
 	return p
 }
 
-// maxDrainSeconds is the longest time that an engine takes to finish its work before a change.
-const maxDrainSeconds = 15.0
+// assumedDrainSeconds is the assumed drain time in the cost of a change of a decode or mixed engine:
+// the longest time that such an engine takes to finish its work.
+const assumedDrainSeconds = 15.0
 
 // changeCost returns the engine time, in seconds, that a change of one engine takes out of service:
 // the change itself and half of the drain, because a draining engine still works on its sequences.
@@ -84,12 +87,12 @@
 	if from == external.RolePrefill {
 		return p.cfg.Change.Seconds() + 1
 	}
-	return p.cfg.Change.Seconds() + maxDrainSeconds/2
+	return p.cfg.Change.Seconds() + assumedDrainSeconds/2
 }
 
-// moveCost returns the weighted cost of the changes from one split to another, with the margin that
-// the gain must exceed.
-func (p *Planner) moveCost(from, to split, w Weights) float64 {
+// transitionCost returns the weighted cost of the changes from one split to another, in
+// engine-seconds, including CostMargin.
+func (p *Planner) transitionCost(from, to split, w Weights) float64 {
 	cost := 0.0
 	for _, r := range roles {
 		if leaving := from.count(r) - to.count(r); leaving > 0 {
@@ -99,14 +102,14 @@
 	return cost * w.RoleChanges * (1 + p.cfg.CostMargin)
 }
 
-// mixedPenaltySeconds is added per mixed engine, so that of two splits with equal losses the one
-// with more dedicated engines is chosen.
+// mixedPenaltySeconds is added to the weighted loss and cost of a split, in engine-seconds, for each
+// mixed engine. Of two splits with equal losses, the one with more dedicated engines is chosen.
 const mixedPenaltySeconds = 0.01
 
 // roleChanges compares all splits and returns the changes to order now towards the best one.
 func (p *Planner) roleChanges(s *Snapshot, pool *pool, w Weights, budget int) []Change {
 	expected := p.forecast(p.cfg.Change)
-	tables := p.lossTables(expected, pool.size)
+	tables := p.fillLossTables(expected, pool.size)
 	currentLoss := tables.expectedLoss(pool.current) * w.Goodput
 	best, bestTotal, bestCost := pool.current, currentLoss, 0.0
 	for prefill := 0; prefill <= pool.size; prefill++ {
@@ -115,7 +118,7 @@
 			if to.mixed == 0 && (to.prefill == 0 || to.decode == 0) || !pool.canReach(to) {
 				continue
 			}
-			cost := p.moveCost(pool.current, to, w)
+			cost := p.transitionCost(pool.current, to, w)
 			if cost >= bestTotal {
 				continue
 			}
