--- a/planning/planning.go
+++ b/planning/planning.go
@@ -1,10 +1,11 @@
-// Package planning runs the planner of an entry. For each pool whose lease the entry holds, it
-// takes ownership of the engines, configures them with the models of the service document,
+// Package planning runs the planning loop of an entry. For each pool whose lease the entry holds,
+// the loop takes ownership of the engines, configures them with the models of the service document,
 // reconciles engines whose state differs from their records, and orders the changes that package
-// placement plans.
+// placement plans. Package order writes the orders.
 //
-// It issues no orders while this process's documents are not confirmed with the key-value service.
-// Each order checks the lease authority again immediately before it takes effect.
+// The loop issues no orders until this process has read its documents from the key-value service or
+// from a peer that had read them there. Each order checks the lease authority again immediately
+// before it takes effect.
 package planning
 
 import (
@@ -26,6 +27,8 @@
 
 // Documents provides the documents in force.
 type Documents interface {
+	// Lookup returns the document of a service and its revision. The document is nil if the service
+	// has none in force.
 	Lookup(service string) (*document.Service, uint64)
 }
 
@@ -36,42 +39,47 @@
 	Leases    *lease.Manager
 	KV        external.KV
 	Documents Documents
-	// Confirmed reports whether the documents are confirmed with the key-value service.
+	// Confirmed reports whether this process has read the documents from the key-value service, or
+	// from a peer that had read them there, since its start.
 	Confirmed func() bool
 	// Workers returns the status of the known sidecars.
 	Workers func() []*v1.WorkerStatus
 	// Refused returns the work of a service that this entry has refused since its start, by kind,
-	// and the number of entries. The balancer gives all entries the same mix of requests, so the
-	// work that all entries refused is estimated as this entry's work times their number.
+	// and the number of entries. The balancer spreads requests evenly over the entries, so the work
+	// refused by all is estimated as the work refused by this entry times their number.
 	Refused func(service string) (map[string]placement.KindWork, int)
 	// Speed returns the mean speed of the given engines.
 	Speed func(engines []string) load.Speed
 	// Dial returns a client for the sidecar of an engine.
-	Dial func(pool, engine string) (Worker, error)
-	// RoleChange is called for each ordered role change, and Decided for each order and for each
-	// new decision of the placement.
+	Dial func(pool, engine string) (Sidecar, error)
+	// RoleChange is called when an order that changes an engine's role has been issued. from and to
+	// are the roles.
 	RoleChange func(pool, from, to string)
-	Decided    func(subject, choice, reason string, candidates []string)
-	Log        logrus.FieldLogger
+	// Decided is called when an order has been issued, with the engine as choice, and when the
+	// decision of the placement planner differs from that of the last round, with an empty choice.
+	// The subject is the pool; candidates is nil.
+	Decided func(subject, choice, reason string, candidates []string)
+	Log     logrus.FieldLogger
 }
 
-// Worker is the client interface of a sidecar.
-type Worker interface {
+// Sidecar is the sidecar of an engine, as the loop calls it.
+type Sidecar interface {
 	order.Sidecar
+	// Probe returns the load of the engine and the work counted by the sidecar.
 	Probe(ctx context.Context) (*v1.ProbeResponse, error)
 }
 
 // Loop runs the planning rounds of the pools whose leases this process holds.
 type Loop struct {
-	cfg    Config
-	orders *order.Planner
-	pools  map[string]*pool
+	cfg          Config
+	orderPlanner *order.Planner
+	pools        map[string]*pool
 }
 
 // New returns a loop with the given configuration.
 func New(cfg Config) *Loop {
 	dial := func(pool, engine string) (order.Sidecar, error) { return cfg.Dial(pool, engine) }
-	return &Loop{cfg: cfg, orders: order.NewPlanner(cfg.KV, dial, cfg.Log), pools: map[string]*pool{}}
+	return &Loop{cfg: cfg, orderPlanner: order.NewPlanner(cfg.KV, dial, cfg.Log), pools: map[string]*pool{}}
 }
 
 // Run runs rounds until ctx ends.
@@ -129,7 +137,7 @@
 // long.
 const roundTimeout = 10 * time.Second
 
-// members returns the workers of a service in a data centre.
+// members returns the status of the sidecars of a service in a data centre.
 func (l *Loop) members(service, dataCentre string) []*v1.WorkerStatus {
 	var members []*v1.WorkerStatus
 	for _, w := range l.cfg.Workers() {
@@ -140,13 +148,14 @@
 	return members
 }
 
-// takeOwnership seals the engines that are not yet owned under this fence number.
+// takeOwnership takes ownership, under the lease's fence number, of the reachable engines that are
+// not yet owned.
 func (l *Loop) takeOwnership(ctx context.Context, a lease.Authority, p *pool) {
 	for _, e := range p.engines {
 		if e.owned || !e.reachable {
 			continue
 		}
-		if _, err := l.orders.Own(ctx, a, e.id); err != nil {
+		if _, err := l.orderPlanner.Own(ctx, a, e.id); err != nil {
 			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Info("ownership of engine not acquired; the next round tries again")
 			continue
 		}
@@ -155,15 +164,16 @@
 	}
 }
 
-// reconcile orders the recorded configuration again for engines that came back in another state. It
-// also repeats the notice of an order that has not begun, because the notice may have been lost.
+// reconcile orders the recorded configuration again for engines whose state is no longer the
+// recorded one, for example after a restart. It also repeats the notice of an order that has not
+// begun, because the notice may have been lost.
 func (l *Loop) reconcile(ctx context.Context, a lease.Authority, p *pool) {
 	for _, e := range p.engines {
 		unknown := e.record.Unknown && e.record.Phase.Settled()
 		if !e.owned || e.record.Number == 0 || !unknown && e.record.Phase != order.PhasePlanned {
 			continue
 		}
-		r, issued, err := l.orders.Reconcile(ctx, a, e.id)
+		r, issued, err := l.orderPlanner.Reconcile(ctx, a, e.id)
 		if err != nil {
 			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Warn("engine could not be reconciled")
 			continue
@@ -177,8 +187,8 @@
 
 // retryFailed repeats failed orders that never reached their engine, with the models that the
 // document wants now. Such an order was withdrawn at a handover, or its drain or the load of its
-// weights took too long. Its record holds the wanted configuration, so package placement sees no
-// change to make.
+// weights took too long. Its record holds the wanted configuration, so the placement planner sees
+// no change to make.
 func (l *Loop) retryFailed(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
 	spec := poolSpec(doc, p.dataCentre)
 	if spec == nil {
@@ -192,7 +202,7 @@
 }
 
 // configureNew orders the first configuration of engines without models. They serve nothing yet, so
-// the limits on changes do not apply. The weight store limits the number of loads.
+// the limits on changes do not apply. The weight store limits the number of concurrent loads.
 func (l *Loop) configureNew(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
 	spec := poolSpec(doc, p.dataCentre)
 	if spec == nil {
@@ -209,7 +219,7 @@
 	}
 }
 
-// orderChanges orders the changes that package placement considers worth their cost.
+// orderChanges orders the changes that package placement plans.
 func (l *Loop) orderChanges(ctx context.Context, a lease.Authority, p *pool, doc *document.Service) {
 	spec := poolSpec(doc, p.dataCentre)
 	if spec == nil {
@@ -218,12 +228,12 @@
 	refused, entries := l.cfg.Refused(doc.Service)
 	p.countRefused(refused, entries, len(doc.Pools))
 	weights := placement.Weights{Goodput: doc.Weights.Goodput, RoleChanges: doc.Weights.RoleChanges}
-	for _, c := range p.planner.Plan(time.Now(), p.snapshot(doc, spec, l.cfg.Speed), weights) {
+	for _, c := range p.placementPlanner.Plan(time.Now(), p.snapshot(doc, spec, l.cfg.Speed), weights) {
 		if e := p.engine(c.Engine); e != nil && e.owned && e.settled() {
 			l.issueOrder(ctx, a, p, e, c.Config, c.Reason)
 		}
 	}
-	if d := p.planner.Explain(); d != p.lastDecision {
+	if d := p.placementPlanner.Explain(); d != p.lastDecision {
 		p.lastDecision = d
 		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "decision": d}).Info("placement decision changed")
 		l.cfg.Decided(p.name, "", d, nil)
@@ -232,7 +242,7 @@
 
 func (l *Loop) issueOrder(ctx context.Context, a lease.Authority, p *pool, e *engine, c external.EngineConfig, reason string) {
 	from := e.config().Role
-	r, err := l.orders.Issue(ctx, a, e.id, c)
+	r, err := l.orderPlanner.Issue(ctx, a, e.id, c)
 	if err != nil {
 		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "engine": e.id}).WithError(err).Warn("order could not be issued")
 		return
--- a/planning/pool.go
+++ b/planning/pool.go
@@ -22,25 +22,27 @@
 const probeTimeout = time.Second
 
 const (
-	// recordReadInterval is the time between reads of the order records of a pool without changes.
+	// recordReadInterval is the time between reads of a pool's order records while nothing changes.
 	// Reading them in every round takes 2.5 KB/s for 32 engines, more than half of an entry's
 	// budget for control traffic.
 	recordReadInterval = 30 * time.Second
-	// recordSettleTime is how long every round reads the records after a change. A sidecar writes
-	// its record some seconds after a probe shows the cause.
-	recordSettleTime = 15 * time.Second
+	// recordWatchTime is the time after a change during which every round reads the records. A
+	// sidecar writes its record some seconds after a probe shows the cause.
+	recordWatchTime = 15 * time.Second
 )
 
-// pool is the planner's state of one pool under one fence number.
+// pool is the loop's state of one pool under one fence number.
 type pool struct {
-	name       string
-	dataCentre string
-	fence      uint64
-	planner    *placement.Planner
-	engines    []*engine
-	offered    map[string]placement.KindWork
-	// lastRefused is the work that this entry had refused since its start at the last round.
-	lastRefused  map[string]placement.KindWork
+	name             string
+	dataCentre       string
+	fence            uint64
+	placementPlanner *placement.Planner
+	engines          []*engine
+	// offered is the work offered between the last two observations, by kind.
+	offered map[string]placement.KindWork
+	// lastRefused is the result of Config.Refused in the last round.
+	lastRefused map[string]placement.KindWork
+	// interval is the time between the last two observations. It can exceed Config.Interval.
 	interval     time.Duration
 	observedAt   time.Time
 	lastDecision string
@@ -52,7 +54,7 @@
 	readRecordsUntil time.Time
 }
 
-// engine is the planner's state of one engine.
+// engine is the loop's state of one engine.
 type engine struct {
 	id        string
 	owned     bool
@@ -61,17 +63,20 @@
 	hasRecord bool
 	report    *v1.LoadReport
 	roleSince time.Time
-	// incarnation, lastFingerprint and lastWork are those of the last probe. The work since then is
-	// the difference from lastWork.
-	incarnation     string
+	// workIncarnation identifies the start of the sidecar process that counted lastWork. It is not
+	// the number in record.Incarnation.
+	workIncarnation string
+	// lastFingerprint is the result of fingerprint in the last round.
 	lastFingerprint string
-	lastWork        map[string]placement.KindWork
+	// lastWork is the work that the sidecar had counted at the last probe, by kind. The work since
+	// then is the difference from it.
+	lastWork map[string]placement.KindWork
 	// failures is the number of consecutive failed orders. The next order may be issued after
 	// retryAt.
 	failures int
 	retryAt  time.Time
-	// lastFailure is the number of the last order that was counted in failures.
-	lastFailure uint64
+	// lastFailedOrder is the number of the last order that was counted in failures.
+	lastFailedOrder uint64
 }
 
 // Waits before a failed order is repeated. The first repetition is immediate, because most failed
@@ -97,8 +102,8 @@
 		case r.Phase != order.PhaseFailed || r.Unknown:
 			continue
 		}
-		if e.lastFailure != r.Number {
-			e.lastFailure = r.Number
+		if e.lastFailedOrder != r.Number {
+			e.lastFailedOrder = r.Number
 			e.retryAt = now.Add(retryWait(e.failures))
 			e.failures++
 		}
@@ -124,7 +129,7 @@
 
 func newPool(a lease.Authority) *pool {
 	_, dataCentre, _ := strings.Cut(a.Pool, ".")
-	return &pool{name: a.Pool, dataCentre: dataCentre, fence: a.Fence, planner: placement.New(placement.Config{})}
+	return &pool{name: a.Pool, dataCentre: dataCentre, fence: a.Fence, placementPlanner: placement.New(placement.Config{})}
 }
 
 func (p *pool) engine(id string) *engine {
@@ -161,7 +166,7 @@
 	if !p.recordsDue(now) {
 		return nil
 	}
-	records, err := l.orders.Records(ctx, p.name)
+	records, err := l.orderPlanner.Records(ctx, p.name)
 	if err != nil {
 		return fmt.Errorf("read order records of pool %q: %w", p.name, err)
 	}
@@ -170,8 +175,8 @@
 	return nil
 }
 
-// updateEngines sets the list of engines to the present members. An engine that is no longer listed
-// counts as withdrawn and is left out.
+// updateEngines sets the list of engines to the present members; an engine that is no longer a
+// member is dropped. It updates record, owned and roleSince from the records.
 func (p *pool) updateEngines(members []*v1.WorkerStatus, records map[string]order.Record) {
 	var engines []*engine
 	for _, m := range members {
@@ -183,7 +188,7 @@
 		if r.Config.Role != e.record.Config.Role || r.Incarnation != e.record.Incarnation {
 			e.roleSince = time.Now()
 		}
-		// A new sidecar has not acknowledged this fence number.
+		// A sidecar that has started again has not acknowledged this fence number.
 		if r.Incarnation != e.record.Incarnation {
 			e.owned = false
 		}
@@ -195,9 +200,10 @@
 }
 
 // recordsDue reports whether the order records may have changed since they were read. They change
-// when this planner issues an order, when a sidecar executes one, and when a sidecar or an engine
-// restarts. All of these but the last show here or in a probe. No order is based on these records:
-// package order reads the record again before each write.
+// when the loop issues an order, when a sidecar executes one, and when a sidecar or an engine
+// restarts. All of these show here or in a probe, except a restart of an engine that comes back with
+// the same role and models. Outdated records are safe: package order reads the record again before
+// each write.
 func (p *pool) recordsDue(now time.Time) bool {
 	for _, e := range p.engines {
 		if seen := e.fingerprint(); seen != e.lastFingerprint {
@@ -211,7 +217,7 @@
 	return p.records == nil || now.Before(p.readRecordsUntil) || now.Sub(p.recordsReadAt) >= recordReadInterval
 }
 
-// setRecord stores a record that this planner has written.
+// setRecord stores a record that the order planner has written.
 func (p *pool) setRecord(e *engine, r order.Record) {
 	e.record = r
 	p.records[e.id] = r
@@ -219,7 +225,7 @@
 }
 
 // expectRecordChange makes the following rounds read the records.
-func (p *pool) expectRecordChange(now time.Time) { p.readRecordsUntil = now.Add(recordSettleTime) }
+func (p *pool) expectRecordChange(now time.Time) { p.readRecordsUntil = now.Add(recordWatchTime) }
 
 // fingerprint returns the state of the engine as the last probe reported it, for comparison with
 // the next probe.
@@ -231,7 +237,8 @@
 	return fmt.Sprint(r.GetIncarnation(), r.GetDraining(), r.GetRole(), r.GetModels())
 }
 
-// probeAll asks all sidecars concurrently for their load and work.
+// probeAll asks all sidecars concurrently for their load and work. It returns the responses, without
+// the engines whose sidecars did not respond, and sets reachable on every engine.
 func (l *Loop) probeAll(ctx context.Context, p *pool) map[*engine]*v1.ProbeResponse {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -265,8 +272,8 @@
 // countOffered adds the work that was offered to an engine since the last probe.
 func (p *pool) countOffered(e *engine, resp *v1.ProbeResponse) {
 	e.report = resp.GetLoad()
-	restarted := e.incarnation != e.report.GetIncarnation()
-	e.incarnation = e.report.GetIncarnation()
+	restarted := e.workIncarnation != e.report.GetIncarnation()
+	e.workIncarnation = e.report.GetIncarnation()
 	for _, w := range resp.GetWork() {
 		current := placement.KindWork{
 			Requests: float64(w.GetRequests()), PromptTokens: float64(w.GetPromptTokens()), OutputTokens: float64(w.GetOutputTokens()),
@@ -294,8 +301,8 @@
 		offered := p.offered[kind]
 		output := current.OutputTokens - previous.OutputTokens
 		if offered.Requests > 0 {
-			// The output tokens of a refused request are its limit, so the mean length of the
-			// served answers is used instead.
+			// A refused request counts with its maximum number of output tokens. If any requests
+			// of the kind were served, their mean number is used instead.
 			output = (current.Requests - previous.Requests) * offered.OutputTokens / offered.Requests
 		}
 		offered.Requests += scale * (current.Requests - previous.Requests)
--- a/planning/rpc.go
+++ b/planning/rpc.go
@@ -15,25 +15,25 @@
 
 // DialRPC returns a function that looks up the sidecar of an engine in the membership and returns
 // an RPC client for it.
-func DialRPC(clients *rpc.Clients, cluster string, find func(instance string) (membership.Member, bool)) func(pool, engine string) (Worker, error) {
-	return func(_, engine string) (Worker, error) {
+func DialRPC(clients *rpc.Clients, cluster string, find func(instance string) (membership.Member, bool)) func(pool, engine string) (Sidecar, error) {
+	return func(_, engine string) (Sidecar, error) {
 		m, ok := find(engine)
 		if !ok {
 			return nil, fmt.Errorf("engine %q is not in the instance list", engine)
 		}
-		return &worker{client: clients.Worker(m.Address), cluster: cluster}, nil
+		return &sidecar{client: clients.Worker(m.Address), cluster: cluster}, nil
 	}
 }
 
-type worker struct {
+type sidecar struct {
 	client  quetzallugv1connect.WorkerServiceClient
 	cluster string
 }
 
 // Seal implements order.Sidecar.
-func (w *worker) Seal(ctx context.Context, r order.SealRequest) (order.SealResult, error) {
-	resp, err := w.client.Seal(ctx, connect.NewRequest(&v1.SealRequest{
-		Cluster: w.cluster, Pool: r.Pool, Engine: r.Engine, Fence: r.Fence, Holder: r.Holder,
+func (s *sidecar) Seal(ctx context.Context, r order.SealRequest) (order.SealResult, error) {
+	resp, err := s.client.Seal(ctx, connect.NewRequest(&v1.SealRequest{
+		Cluster: s.cluster, Pool: r.Pool, Engine: r.Engine, Fence: r.Fence, Holder: r.Holder,
 	}))
 	if err != nil {
 		return order.SealResult{}, err
@@ -45,9 +45,9 @@
 }
 
 // NotifyOrder implements order.Sidecar.
-func (w *worker) NotifyOrder(ctx context.Context, n order.Notice) error {
-	resp, err := w.client.NotifyOrder(ctx, connect.NewRequest(&v1.NotifyOrderRequest{
-		Cluster: w.cluster, Pool: n.Pool, Engine: n.Engine, Fence: n.Fence, OrderNumber: n.Number,
+func (s *sidecar) NotifyOrder(ctx context.Context, n order.Notice) error {
+	resp, err := s.client.NotifyOrder(ctx, connect.NewRequest(&v1.NotifyOrderRequest{
+		Cluster: s.cluster, Pool: n.Pool, Engine: n.Engine, Fence: n.Fence, OrderNumber: n.Number,
 	}))
 	if err != nil {
 		return err
@@ -58,9 +58,9 @@
 	return nil
 }
 
-// Probe implements Worker.
-func (w *worker) Probe(ctx context.Context) (*v1.ProbeResponse, error) {
-	resp, err := w.client.Probe(ctx, connect.NewRequest(&v1.ProbeRequest{Cluster: w.cluster}))
+// Probe implements Sidecar.
+func (s *sidecar) Probe(ctx context.Context) (*v1.ProbeResponse, error) {
+	resp, err := s.client.Probe(ctx, connect.NewRequest(&v1.ProbeRequest{Cluster: s.cluster}))
 	if err != nil {
 		return nil, err
 	}
