--- a/once/codec.go
+++ b/once/codec.go
@@ -12,20 +12,21 @@
 // Encoding of a record, format version 1. Integers are unsigned varints unless a size is given.
 // Differences marked as signed are zigzag varints.
 //
-//	format version 1 byte
-//	number of sealed records, then for each: version minus that of the previous one, last creation
-//	  time in seconds minus that of the previous one (signed)
-//	number of claims, then for each: flags 1 byte, key, request ID, fingerprint 8 bytes, creation
-//	  time in milliseconds minus that of the previous claim (signed); if complete: status,
-//	  content type, body
-//	xxhash64 of all the above, 8 bytes
+//	format version: 1 byte
+//	number of sealed records; for each: version minus that of the previous one, last creation time
+//	  in seconds minus that of the previous one (signed)
+//	number of claims; for each: flags (1 byte), key, request ID, fingerprint (8 bytes), creation time
+//	  in milliseconds minus that of the previous claim (signed); if complete: status, content type,
+//	  body
+//	xxhash64 of all the above: 8 bytes
 //
 // Strings are encoded as their length followed by their bytes. A key or request ID that is a UUID in
 // canonical form is encoded as its 16 bytes.
 const formatVersion = 1
 
-// recordOverhead is an upper bound on the encoded size of a record without claims and segments, in
-// bytes. It includes the version and time of the first segment, which are encoded in full.
+// recordOverhead is an upper bound on the encoded size of a record without claims and without its list
+// of sealed records, in bytes. It includes the version and time of the first listed record, which are
+// encoded in full.
 const recordOverhead = 1 + 4*binary.MaxVarintLen64 + 8
 
 const (
@@ -41,22 +42,22 @@
 	b = append(b, formatVersion)
 	b = binary.AppendUvarint(b, uint64(len(rec.Sealed)))
 	var version uint64
-	var last int64
-	for _, g := range rec.Sealed {
-		b = binary.AppendUvarint(b, g.Version-version)
-		b = binary.AppendVarint(b, g.LastCreated.Unix()-last)
-		version, last = g.Version, g.LastCreated.Unix()
+	var lastSeconds int64
+	for _, ref := range rec.Sealed {
+		b = binary.AppendUvarint(b, ref.Version-version)
+		b = binary.AppendVarint(b, ref.LastCreated.Unix()-lastSeconds)
+		version, lastSeconds = ref.Version, ref.LastCreated.Unix()
 	}
 	b = binary.AppendUvarint(b, uint64(len(rec.claims)))
-	var created int64
+	var createdMS int64
 	for _, c := range rec.claims {
-		b = c.encode(b, created)
-		created = c.Created.UnixMilli()
+		b = c.encode(b, createdMS)
+		createdMS = c.Created.UnixMilli()
 	}
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-func (c *Claim) encode(b []byte, previous int64) []byte {
+func (c *Claim) encode(b []byte, previousMS int64) []byte {
 	flags := byte(0)
 	if c.Complete {
 		flags |= flagComplete
@@ -73,7 +74,7 @@
 	b = appendID(b, c.Key, key, keyIsUUID)
 	b = appendID(b, c.RequestID, request, requestIsUUID)
 	b = binary.LittleEndian.AppendUint64(b, c.Fingerprint)
-	b = binary.AppendVarint(b, c.Created.UnixMilli()-previous)
+	b = binary.AppendVarint(b, c.Created.UnixMilli()-previousMS)
 	if c.Complete {
 		b = binary.AppendUvarint(b, uint64(c.Answer.Status))
 		b = appendBytes(b, []byte(c.Answer.ContentType))
@@ -134,26 +135,26 @@
 func (d *decoder) record() *Record {
 	rec := newRecord()
 	var version uint64
-	var last int64
+	var lastSeconds int64
 	for range d.count() {
 		version += d.uvarint()
-		last += d.varint()
-		rec.Sealed = append(rec.Sealed, Segment{Version: version, LastCreated: time.Unix(last, 0)})
+		lastSeconds += d.varint()
+		rec.Sealed = append(rec.Sealed, SealedRef{Version: version, LastCreated: time.Unix(lastSeconds, 0)})
 	}
-	var created int64
+	var createdMS int64
 	for range d.count() {
-		c := d.claim(created)
+		c := d.claim(createdMS)
 		if d.malformed || rec.index[c.Key] != nil {
 			d.malformed = true
 			break
 		}
-		created = c.Created.UnixMilli()
+		createdMS = c.Created.UnixMilli()
 		rec.add(c)
 	}
 	return rec
 }
 
-func (d *decoder) claim(previous int64) *Claim {
+func (d *decoder) claim(previousMS int64) *Claim {
 	flags := d.take(1)
 	if d.malformed || flags[0]&^knownFlags != 0 {
 		d.malformed = true
@@ -167,7 +168,7 @@
 	if fp := d.take(8); !d.malformed {
 		c.Fingerprint = binary.LittleEndian.Uint64(fp)
 	}
-	c.Created = time.UnixMilli(previous + d.varint())
+	c.Created = time.UnixMilli(previousMS + d.varint())
 	if c.Complete {
 		c.Answer.Status = uint32(d.uvarint())
 		c.Answer.ContentType = string(d.bytes())
--- a/once/commit.go
+++ b/once/commit.go
@@ -19,88 +19,91 @@
 }
 
 // tryCommit makes one attempt to commit the requests and returns those to retry. Requests past their
-// retry deadline fail, so that the caller learns the outcome while it can still use it.
-func (w *shardWorker) tryCommit(ops []*op, retry *backoff) []*op {
+// retry deadline fail, so that the caller of Do learns the outcome while it can still use it.
+func (w *shardWorker) tryCommit(requests []*queuedRequest, retry *backoff) []*queuedRequest {
 	ctx, cancel := context.WithTimeout(context.Background(), w.committer.settings.CommitTimeout)
 	defer cancel()
-	pending, err := w.commitBatch(ctx, w.dropAbandoned(ops))
+	unfinished, err := w.commitBatch(ctx, w.dropAbandoned(requests))
 	if err == nil {
 		retry.reset()
-		return pending
+		return unfinished
 	}
 	w.cached = nil
 	if errors.Is(err, ErrRecordInvalid) || errors.Is(err, ErrRecordMissing) {
-		w.fail(pending, err)
+		w.fail(unfinished, err)
 		return nil
 	}
 	now := time.Now()
-	var remaining, expired []*op
-	for _, o := range pending {
-		if now.Before(o.retryUntil) {
-			remaining = append(remaining, o)
+	var retryable, expired []*queuedRequest
+	for _, q := range unfinished {
+		if now.Before(q.retryUntil) {
+			retryable = append(retryable, q)
 		} else {
-			expired = append(expired, o)
+			expired = append(expired, q)
 		}
 	}
 	if len(expired) > 0 {
 		w.fail(expired, err)
 	}
-	if len(remaining) > 0 {
+	if len(retryable) > 0 {
 		retry.sleep(context.Background())
 	}
-	return remaining
+	return retryable
 }
 
-// dropAbandoned finishes the abandoned claims and returns the other requests.
-func (w *shardWorker) dropAbandoned(ops []*op) []*op {
-	kept := make([]*op, 0, len(ops))
-	for _, o := range ops {
-		if !w.isAbandoned(o) {
-			kept = append(kept, o)
+// dropAbandoned finishes, with StateUnavailable, the abandoned claims that are certainly not recorded, and
+// returns the other requests.
+func (w *shardWorker) dropAbandoned(requests []*queuedRequest) []*queuedRequest {
+	kept := make([]*queuedRequest, 0, len(requests))
+	for _, q := range requests {
+		if !w.canDrop(q) {
+			kept = append(kept, q)
 			continue
 		}
-		o.finish(Result{State: StateUnavailable, Err: errCallerGone})
+		q.finish(Result{State: StateUnavailable, Err: errCallEnded})
 	}
 	return kept
 }
 
 // fail finishes requests that could not be committed. A request that was never part of a write with an
 // unknown outcome is certainly not recorded.
-func (w *shardWorker) fail(ops []*op, err error) {
-	w.log.WithError(err).WithField("requests", len(ops)).Warn("claims could not be committed")
-	for _, o := range ops {
+func (w *shardWorker) fail(requests []*queuedRequest, err error) {
+	w.log.WithError(err).WithField("requests", len(requests)).Warn("claim requests could not be committed")
+	for _, q := range requests {
 		state := StateUnavailable
-		if o.maybeWritten {
+		if q.maybeWritten {
 			state = StateUnknown
 		}
-		o.finish(Result{State: state, Err: err})
+		q.finish(Result{State: state, Err: err})
 	}
 }
 
-// commitBatch applies the requests to their records once and returns those without a result.
-func (w *shardWorker) commitBatch(ctx context.Context, ops []*op) ([]*op, error) {
-	if len(ops) == 0 {
+// commitBatch makes one pass over the requests and returns those to retry, also if the error is nil. If
+// the claims in the open record have reached RotateBytes, it only rotates the record and returns all
+// requests.
+func (w *shardWorker) commitBatch(ctx context.Context, requests []*queuedRequest) ([]*queuedRequest, error) {
+	if len(requests) == 0 {
 		return nil, nil
 	}
 	if err := w.load(ctx); err != nil {
-		return ops, err
+		return requests, err
 	}
-	if w.cached.record.size >= w.committer.settings.RotateBytes {
-		return ops, w.rotate(ctx)
+	if w.cached.record.claimBytes >= w.committer.settings.RotateBytes {
+		return requests, w.rotate(ctx)
 	}
-	open, sealed, err := w.groupByRecord(ctx, ops)
+	open, sealed, err := w.groupByRecord(ctx, requests)
 	if err != nil {
-		return ops, err
+		return requests, err
 	}
-	var undecided []*op
+	var unfinished []*queuedRequest
 	for _, g := range sealed {
-		remaining, segErr := w.commitSegment(ctx, g)
-		undecided = append(undecided, remaining...)
-		err = errors.Join(err, segErr)
+		unfinishedSealed, sealedErr := w.commitSealed(ctx, g)
+		unfinished = append(unfinished, unfinishedSealed...)
+		err = errors.Join(err, sealedErr)
 	}
-	remaining, openErr := w.commitOpen(ctx, open)
-	w.deleteExpiredSegment(ctx)
-	return append(undecided, remaining...), errors.Join(err, openErr)
+	unfinishedOpen, openErr := w.commitOpen(ctx, open)
+	w.deleteExpiredSealed(ctx)
+	return append(unfinished, unfinishedOpen...), errors.Join(err, openErr)
 }
 
 // load reads the open record unless it is cached.
@@ -125,64 +128,65 @@
 	return nil
 }
 
-// commitOpen applies the requests to the open record with one compare-and-swap.
-func (w *shardWorker) commitOpen(ctx context.Context, ops []*op) ([]*op, error) {
-	if len(ops) == 0 {
+// commitOpen applies the requests to the open record with one compare-and-swap. It returns the requests to
+// retry: all of them after an error, or with a nil error if the cached record may be stale and must be
+// read again.
+func (w *shardWorker) commitOpen(ctx context.Context, requests []*queuedRequest) ([]*queuedRequest, error) {
+	if len(requests) == 0 {
 		return nil, nil
 	}
-	// The time is taken after the sealed records were read. With an earlier time, a key could still
-	// count as accepted although its expired sealed record was deleted before the read, and be granted
-	// again.
+	// Take the time after groupByRecord. If it were taken before, a key could expire and its sealed
+	// record be deleted between the two, and the key would be granted again.
 	now := time.Now()
 	next := w.cached.record.Clone()
 	w.dropExpired(next, now)
-	results, written := applyAll(next, ops, now, &w.committer.settings)
-	if len(written) == 0 {
+	results, changed := applyAll(next, requests, now, &w.committer.settings)
+	if len(changed) == 0 {
 		if !w.cached.fresh {
 			w.cached = nil
-			return ops, nil
+			return requests, nil
 		}
-		finishAll(ops, results)
+		finishAll(requests, results)
 		return nil, nil
 	}
 	version, err := w.committer.compareAndSwap(ctx, w.recordKey, w.cached.version, next.Encode())
 	if err != nil {
-		markMaybeWritten(written, err)
-		return ops, err
+		markMaybeWritten(changed, err)
+		return requests, err
 	}
 	w.cached = &cachedRecord{version: version, record: next}
-	finishAll(ops, results)
+	finishAll(requests, results)
 	return nil, nil
 }
 
 // applyAll applies the requests in order. It returns their results, and the requests that changed the
 // record.
-func applyAll(rec *Record, ops []*op, now time.Time, settings *Settings) (results []Result, written []*op) {
-	results = make([]Result, len(ops))
-	for i, o := range ops {
-		r, changed := rec.Apply(&o.req, now, settings)
+func applyAll(rec *Record, requests []*queuedRequest, now time.Time, settings *Settings) (results []Result, changed []*queuedRequest) {
+	results = make([]Result, len(requests))
+	for i, q := range requests {
+		r, recordChanged := rec.Apply(&q.req, now, settings)
 		results[i] = r
-		if changed {
-			written = append(written, o)
+		if recordChanged {
+			changed = append(changed, q)
 		}
 	}
-	return results, written
+	return results, changed
 }
 
-func finishAll(ops []*op, results []Result) {
-	for i, o := range ops {
-		o.finish(results[i])
+func finishAll(requests []*queuedRequest, results []Result) {
+	for i, q := range requests {
+		q.finish(results[i])
 	}
 }
 
 // markMaybeWritten marks the requests of a write with an unknown outcome. The retry reads the records
-// again: if the write took effect, each request finds its own ID. Otherwise the next write expects the
-// version that was read, and once it succeeds, a delayed write that expects the old version fails.
-func markMaybeWritten(written []*op, err error) {
+// again. If the write took effect, the retry finds its effect. Otherwise the retry's write expects the
+// same version as the delayed one, so that at most one of the two takes effect.
+func markMaybeWritten(requests []*queuedRequest, err error) {
 	if !errors.Is(err, external.ErrOutcomeUnknown) {
 		return
 	}
-	for _, o := range written {
-		o.maybeWritten = true
+	for _, q := range requests {
+		q.maybeWritten = true
 	}
 }
--- a/once/committer.go
+++ b/once/committer.go
@@ -54,28 +54,31 @@
 	}, nil
 }
 
-// op is a queued request.
-type op struct {
+// queuedRequest is a request that waits for its result, in the queue of a shardWorker or in a batch.
+type queuedRequest struct {
 	req Request
 	// due is the time at which the batch of the request is committed at the latest, unless writes are
 	// delayed by the rate limiter. The request is not retried after retryUntil.
 	due, retryUntil time.Time
 	result          chan Result
-	// dequeued means that the request has joined a batch, abandoned that its caller has stopped
-	// waiting. Both are guarded by shardWorker.mu.
+	// dequeued means that the request has joined a batch, abandoned that its Do call has ended. Both
+	// are guarded by shardWorker.mu.
 	dequeued, abandoned bool
 	// maybeWritten means that a write with this request may have reached the key-value service. Only
 	// the worker's goroutine uses it.
 	maybeWritten bool
 }
 
-// Do queues the request and waits for its result. If ctx ends first, a claim that is still queued is
-// removed and its result is StateUnavailable; in all other cases the result is StateUnknown, and a
-// completion or release stays queued.
+// Do queues the request and waits for its result. It returns StateUnavailable without queuing the request
+// if the service's number of shards cannot be read, also because ctx ends.
 //
-// A claim may be recorded after its caller has stopped waiting. The committer must not release
-// such a claim itself: the entry that owns the request ID may have been granted the claim through
-// another process and have dispatched the request.
+// If ctx ends while the request waits, Do returns the result if there already is one. Otherwise a claim
+// that is still queued is removed and its result is StateUnavailable; in all other cases the result is
+// StateUnknown, and a completion or release that is still queued stays queued.
+//
+// A claim may be recorded after its Do call has ended. The committer must not release such a claim
+// itself: the entry that owns the request ID may have been granted the claim through another process
+// and have dispatched the request.
 func (c *Committer) Do(ctx context.Context, r Request) Result {
 	if err := r.Validate(); err != nil {
 		return Result{State: StateUnavailable, Err: err}
@@ -83,17 +86,17 @@
 	if r.Action == ActionClaim && !KeyAccepted(r.Key, time.Now(), &c.settings) {
 		return Result{State: StateExpired}
 	}
-	shards, err := c.layout(ctx, r.Service)
+	shards, err := c.shardCount(ctx, r.Service)
 	if err != nil {
 		return Result{State: StateUnavailable, Err: err}
 	}
 	w := c.worker(r.Service, ShardOf(r.Key, shards))
-	o := w.enqueue(r) //nolint:contextcheck // a batch outlives the contexts of its requests
+	q := w.enqueue(r) //nolint:contextcheck // a batch outlives the contexts of its requests
 	select {
-	case res := <-o.result:
+	case res := <-q.result:
 		return res
 	case <-ctx.Done():
-		return w.abandon(o)
+		return w.abandon(q)
 	}
 }
 
@@ -166,10 +169,10 @@
 	return w
 }
 
-// layout returns the recorded number of shards of a service. If each process used its own setting, two
-// processes with different settings could look for the same key in different records, and both be
-// granted it.
-func (c *Committer) layout(ctx context.Context, service string) (int, error) {
+// shardCount returns the recorded number of shards of a service, and reads or creates the layout record
+// on first use. If each process used its own setting, two processes with different settings could look
+// for the same key in different records, and both be granted it.
+func (c *Committer) shardCount(ctx context.Context, service string) (int, error) {
 	c.mu.Lock()
 	n := c.shardCounts[service]
 	c.mu.Unlock()
@@ -228,8 +231,9 @@
 	return c.kv.Get(ctx, key)
 }
 
-// compareAndSwap writes a value if the stored version is the expected one. ErrConflict and
-// ErrUnavailable mean that the write certainly had no effect; all other errors wrap ErrOutcomeUnknown.
+// compareAndSwap writes a value if the stored version is the expected one, and returns the new version.
+// ErrConflict and ErrUnavailable mean that the write certainly had no effect; all other errors wrap
+// ErrOutcomeUnknown.
 func (c *Committer) compareAndSwap(ctx context.Context, key string, expected uint64, value []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout)
 	defer cancel()
--- a/once/executor.go
+++ b/once/executor.go
@@ -18,8 +18,8 @@
 	RefuseDuplicate
 	// RefuseIncarnation refuses an attempt addressed to another incarnation. It did not run.
 	RefuseIncarnation
-	// RefuseFull refuses an attempt because the table is full and no entry may be evicted. It did not
-	// run.
+	// RefuseFull refuses an attempt because the table of attempts is full and none of them may be
+	// evicted. It did not run.
 	RefuseFull
 )
 
@@ -39,8 +39,8 @@
 	// Capacity is the largest number of attempts in the table.
 	Capacity int
 	// KeepFor is the time for which an ended attempt stays in the table. It must exceed the longest
-	// deadline, after which no delivery of the attempt can arrive. When the table is full, attempts of
-	// repeatable requests are evicted earlier.
+	// deadline of a request, after which no delivery of its attempts can arrive. When the table is
+	// full, attempts of repeatable requests are evicted earlier.
 	KeepFor time.Duration
 }
 
--- a/once/key.go
+++ b/once/key.go
@@ -34,7 +34,7 @@
 	return now.Sub(t) <= s.Retention && t.Sub(now) <= s.Skew
 }
 
-// ShardOf returns the number of the shard that holds a key.
+// ShardOf returns the index of the shard that holds a key, from 0 to shards-1.
 func ShardOf(key string, shards int) int {
 	return int(xxhash.Sum64String(key) % uint64(shards))
 }
@@ -45,6 +45,6 @@
 	return "once/" + service + "/" + strconv.Itoa(shard)
 }
 
-func segmentKey(shardKey string, version uint64) string {
-	return shardKey + "/" + strconv.FormatUint(version, 10)
+func sealedKey(recordKey string, version uint64) string {
+	return recordKey + "/" + strconv.FormatUint(version, 10)
 }
--- a/once/queue.go
+++ b/once/queue.go
@@ -20,34 +20,34 @@
 	log       logrus.FieldLogger
 
 	mu      sync.Mutex
-	queue   []*op
+	queue   []*queuedRequest
 	running bool
 
 	// The fields below are used only by the goroutine and need no lock: a new goroutine starts only
 	// after the previous one has cleared running under mu.
 	cached      *cachedRecord
-	indexes     map[uint64]segmentIndex
+	indexes     map[uint64]sealedIndex
 	indexedKeys int             // number of keys in indexes
 	deleted     map[uint64]bool // sealed records that were deleted but are still listed
 }
 
-func (w *shardWorker) enqueue(r Request) *op {
+func (w *shardWorker) enqueue(r Request) *queuedRequest {
 	wait := w.committer.settings.Window
 	if r.Action != ActionClaim {
 		wait = max(wait, w.committer.settings.CompletionDelay)
 	}
 	now := time.Now()
-	o := &op{req: r, due: now.Add(wait), retryUntil: now.Add(wait + w.committer.settings.CommitTimeout), result: make(chan Result, 1)}
+	q := &queuedRequest{req: r, due: now.Add(wait), retryUntil: now.Add(wait + w.committer.settings.CommitTimeout), result: make(chan Result, 1)}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.queue = append(w.queue, o)
+	w.queue = append(w.queue, q)
 	if !w.running {
 		w.running = true
 		go w.run()
-		return o
+		return q
 	}
 	w.wakeUp()
-	return o
+	return q
 }
 
 func (w *shardWorker) wakeUp() {
@@ -57,22 +57,21 @@
 	}
 }
 
-// abandon returns the result of a request whose caller stops waiting, and removes a claim that is still
-// queued.
-func (w *shardWorker) abandon(o *op) Result {
+// abandon returns the result of a request whose Do call ends, and removes a claim that is still queued.
+func (w *shardWorker) abandon(q *queuedRequest) Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	select {
-	case r := <-o.result:
+	case r := <-q.result:
 		return r
 	default:
 	}
-	o.abandoned = true
-	if o.dequeued || o.req.Action != ActionClaim {
-		return Result{State: StateUnknown, Err: errCallerGone}
+	q.abandoned = true
+	if q.dequeued || q.req.Action != ActionClaim {
+		return Result{State: StateUnknown, Err: errCallEnded}
 	}
-	w.queue = slices.DeleteFunc(w.queue, func(q *op) bool { return q == o })
-	return Result{State: StateUnavailable, Err: errCallerGone}
+	w.queue = slices.DeleteFunc(w.queue, func(other *queuedRequest) bool { return other == q })
+	return Result{State: StateUnavailable, Err: errCallEnded}
 }
 
 func (w *shardWorker) isRunning() bool {
@@ -83,10 +82,10 @@
 
 func (w *shardWorker) run() {
 	retry := w.committer.newBackoff()
-	var pending []*op
+	var unfinished []*queuedRequest
 	for {
-		if len(pending) == 0 {
-			wait, ok := w.nextDue()
+		if len(unfinished) == 0 {
+			wait, ok := w.nextDueOrStop()
 			if !ok {
 				return
 			}
@@ -98,14 +97,15 @@
 		// Requests that arrive during the wait for the rate limiter join the batch, and so do those
 		// that arrive while others are retried.
 		_ = w.limiter.Wait(context.Background())
-		pending = append(pending, w.dequeue(w.committer.settings.MaxBatch-len(pending))...)
-		pending = w.tryCommit(pending, retry)
+		unfinished = append(unfinished, w.dequeue(w.committer.settings.MaxBatch-len(unfinished))...)
+		unfinished = w.tryCommit(unfinished, retry)
 	}
 }
 
-// nextDue returns the time until the next batch is due. If the queue is empty, it marks the worker as
-// stopped and returns false.
-func (w *shardWorker) nextDue() (time.Duration, bool) {
+// nextDueOrStop returns the time until the next batch is due. It is at most 0 if the batch is due now, the
+// queue holds a full batch or the committer is closing. If the queue is empty, nextDueOrStop marks the
+// worker as stopped and returns false.
+func (w *shardWorker) nextDueOrStop() (time.Duration, bool) {
 	closing := w.committer.isClosing()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,14 +117,15 @@
 		return 0, true
 	}
 	due := w.queue[0].due
-	for _, o := range w.queue[1:] {
-		if o.due.Before(due) {
-			due = o.due
+	for _, q := range w.queue[1:] {
+		if q.due.Before(due) {
+			due = q.due
 		}
 	}
 	return time.Until(due), true
 }
 
+// waitFor waits for d or until wakeUp is called.
 func (w *shardWorker) waitFor(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -135,24 +136,24 @@
 }
 
 // dequeue removes up to limit requests from the queue and returns them.
-func (w *shardWorker) dequeue(limit int) []*op {
+func (w *shardWorker) dequeue(limit int) []*queuedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := min(len(w.queue), limit)
 	batch := w.queue[:n:n]
 	w.queue = slices.Clone(w.queue[n:])
-	for _, o := range batch {
-		o.dequeued = true
+	for _, q := range batch {
+		q.dequeued = true
 	}
 	return batch
 }
 
-// isAbandoned reports whether a claim can be dropped because its caller has stopped waiting and it was
-// never part of a write that may have taken effect.
-func (w *shardWorker) isAbandoned(o *op) bool {
+// canDrop reports whether the request is a claim whose Do call has ended and that was never part of a
+// write with an unknown outcome.
+func (w *shardWorker) canDrop(q *queuedRequest) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return o.abandoned && !o.maybeWritten && o.req.Action == ActionClaim
+	return q.abandoned && !q.maybeWritten && q.req.Action == ActionClaim
 }
 
-func (o *op) finish(r Result) { o.result <- r }
+func (q *queuedRequest) finish(r Result) { q.result <- r }
--- a/once/router.go
+++ b/once/router.go
@@ -21,17 +21,17 @@
 // that it is not forwarded again.
 type Router struct {
 	self      string
-	entries   func() []external.Instance
+	instances func() []external.Instance
 	forwarder Forwarder
 	committer *Committer
 }
 
 var _ Claimer = (*Router)(nil)
 
-// NewRouter returns a Router for the entry with the ID self. The function entries returns the known
+// NewRouter returns a Router for the entry with the ID self. The function instances returns the known
 // instances; only live entries among them receive requests.
-func NewRouter(self string, entries func() []external.Instance, f Forwarder, c *Committer) *Router {
-	return &Router{self: self, entries: entries, forwarder: f, committer: c}
+func NewRouter(self string, instances func() []external.Instance, f Forwarder, c *Committer) *Router {
+	return &Router{self: self, instances: instances, forwarder: f, committer: c}
 }
 
 // Do sends the request to the shard owner. If the owner returns no definite result, it falls back:
@@ -41,11 +41,11 @@
 //     to the shard's secondary, in another data centre if possible. If the secondary does not answer
 //     either, the request is committed locally.
 //
-// Each fallback reads the record first and writes only if the request ID is not in it, so that at most
-// one claim is recorded. Since the secondary is tried before a local commit, at most two processes
-// write to a shard's record when the key-value service recovers from an outage. When all entries
-// committed locally instead, their write conflicts kept the service above its rate limit after the
-// outage had ended.
+// Each fallback adds the claim by compare-and-swap to a record that lacks the key, so that at most one
+// claim is recorded. The secondary is tried before a local commit so that, while it and the owner
+// answer, only these two write to the shard, also when the key-value service recovers from an outage.
+// Local commits by all entries would conflict, and keep the service above its write limit after the
+// outage has ended.
 func (r *Router) Do(ctx context.Context, req Request) Result {
 	if err := req.Validate(); err != nil {
 		return Result{State: StateUnavailable, Err: err}
@@ -80,11 +80,11 @@
 // targets returns the shard's owner, its secondary and this entry, in this order and without
 // duplicates.
 func (r *Router) targets(req *Request) []external.Instance {
-	entries := r.entries()
+	instances := r.instances()
 	self := external.Instance{ID: r.self}
-	first, second := rendezvous(shardKey(req.Service, ShardOf(req.Key, r.committer.Shards(req.Service))), entries)
+	owner, secondary := ownerAndSecondary(shardKey(req.Service, ShardOf(req.Key, r.committer.Shards(req.Service))), instances)
 	targets := make([]external.Instance, 0, 3)
-	for _, in := range []external.Instance{first, second, self} {
+	for _, in := range []external.Instance{owner, secondary, self} {
 		if in.ID != "" && !slices.ContainsFunc(targets, func(o external.Instance) bool { return o.ID == in.ID }) {
 			targets = append(targets, in)
 		}
@@ -113,20 +113,20 @@
 // Owner returns the entry that owns the key's shard by rendezvous hashing, and false if there is no
 // live entry.
 func (r *Router) Owner(service, key string) (external.Instance, bool) {
-	first, _ := rendezvous(shardKey(service, ShardOf(key, r.committer.Shards(service))), r.entries())
-	return first, first.ID != ""
+	owner, _ := ownerAndSecondary(shardKey(service, ShardOf(key, r.committer.Shards(service))), r.instances())
+	return owner, owner.ID != ""
 }
 
-// rendezvous returns the live entry with the highest hash of subject and instance ID, and the live
-// entry with the highest hash in another data centre. If no other data centre has a live entry, second
-// is the entry with the next highest hash.
-func rendezvous(subject string, instances []external.Instance) (first, second external.Instance) {
-	first = highestHash(subject, instances, func(external.Instance) bool { return true })
-	second = highestHash(subject, instances, func(in external.Instance) bool { return in.DataCentre != first.DataCentre })
-	if second.ID == "" {
-		second = highestHash(subject, instances, func(in external.Instance) bool { return in.ID != first.ID })
+// ownerAndSecondary returns the live entry with the highest hash of subject and instance ID, and the live
+// entry with the highest hash in another data centre. If no other data centre has a live entry, the
+// secondary is the entry with the next highest hash.
+func ownerAndSecondary(subject string, instances []external.Instance) (owner, secondary external.Instance) {
+	owner = highestHash(subject, instances, func(external.Instance) bool { return true })
+	secondary = highestHash(subject, instances, func(in external.Instance) bool { return in.DataCentre != owner.DataCentre })
+	if secondary.ID == "" {
+		secondary = highestHash(subject, instances, func(in external.Instance) bool { return in.ID != owner.ID })
 	}
-	return first, second
+	return owner, secondary
 }
 
 // highestHash returns the allowed live entry with the highest hash. Equal hashes are ordered by ID.
--- a/once/settings.go
+++ b/once/settings.go
@@ -16,13 +16,15 @@
 	// CompletionDelay is the longest time for which completions and releases wait to be batched with a
 	// claim.
 	CompletionDelay time.Duration
-	// WritesPerSecond limits the writes per second for one service, summed over its shards.
+	// WritesPerSecond limits the commit attempts per second of one process for one service, summed
+	// over its shards. An attempt may write several records.
 	WritesPerSecond float64
 	// MaxBatch is the largest number of requests in one write.
 	MaxBatch int
 	// MaxBodyBytes is the size of the largest answer body that is recorded.
 	MaxBodyBytes int
-	// RotateBytes is the size at which the open record is sealed.
+	// RotateBytes is the size of the claims in the open record, without its list of sealed records, at
+	// which it is sealed.
 	RotateBytes int
 	// IndexBytes bounds the memory for the indexes of one shard's sealed records, at 8 bytes per claim.
 	IndexBytes int
@@ -33,14 +35,15 @@
 	Skew time.Duration
 	// CallTimeout bounds one call to the key-value service.
 	CallTimeout time.Duration
-	// CommitTimeout bounds one attempt to commit a batch, and the time for which a request is retried
-	// after its first attempt is due.
+	// CommitTimeout bounds one attempt to commit a batch, the time for which a request is retried after
+	// its first attempt is due, and the first read of a service's layout.
 	CommitTimeout time.Duration
 	// ForwardTimeout bounds a forwarded request. It must leave the owner enough time to report that
-	// the key-value service is unavailable; otherwise an outage of the service is taken for a failure
-	// of the owner.
+	// the key-value service is unavailable; otherwise an outage of the key-value service is taken for a
+	// failure of the owner.
 	ForwardTimeout time.Duration
-	// RetryMin and RetryMax bound the jittered back-off between retries.
+	// RetryMin and RetryMax are the first and the largest back-off between retries before jitter; a wait
+	// is 50 to 150 % of it.
 	RetryMin, RetryMax time.Duration
 }
 
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// maxClaimAge is the age above which a claim is removed. The timestamp of a time-ordered key may be
-// ahead of its claim by the skew bound, and a clock that is behind by another skew bound accepts the
-// key for the retention period after this timestamp.
+// maxClaimAge is the age above which a claim is removed. An entry accepts a time-ordered key until
+// Retention after its timestamp. The timestamp may be Skew later than the claim, and the entry's clock
+// Skew behind that of the entry that recorded it.
 func (s *Settings) maxClaimAge() time.Duration { return s.Retention + 2*s.Skew }
--- a/once/shard.go
+++ b/once/shard.go
@@ -17,32 +17,32 @@
 	Answer Answer
 }
 
-// Segment describes a sealed record.
-type Segment struct {
+// SealedRef refers to a sealed record.
+type SealedRef struct {
 	// Version is the version of the open record that was sealed. It is part of the sealed record's key.
 	Version uint64
 	// LastCreated is the latest creation time of its claims, rounded up to a second, and at least
-	// that of the previous segment.
+	// that of the previous sealed record.
 	LastCreated time.Time
 }
 
 // Record holds claims: it is either the open record of a shard, with the list of sealed records, or a
 // sealed record, whose list is empty. It does no I/O.
 type Record struct {
-	Sealed []Segment
+	Sealed []SealedRef
 
-	claims []*Claim
-	index  map[string]*Claim
-	size   int
+	claims     []*Claim
+	index      map[string]*Claim
+	claimBytes int // sum of the sizes of the claims
 }
 
 // claimOverhead is an upper bound on the encoded size of a claim without its strings, in bytes:
-// flags 1, lengths 2+1+1+3, fingerprint 8, creation time 10, status 5.
+// flags 1, lengths 2+1+2+3, fingerprint 8, creation time 10, status 5.
 const claimOverhead = 32
 
-// segmentOverhead is an upper bound on the encoded size of a listed segment, in bytes: its differences
-// from the previous segment stay below 2^28 versions and 2^27 seconds.
-const segmentOverhead = 8
+// refOverhead is an upper bound on the encoded size of a SealedRef, in bytes: its differences from
+// the previous one stay below 2^28 versions and 2^27 seconds.
+const refOverhead = 8
 
 func newRecord() *Record { return &Record{index: map[string]*Claim{}} }
 
@@ -53,7 +53,7 @@
 func (rec *Record) Get(key string) *Claim { return rec.index[key] }
 
 // Size returns an upper bound on the encoded size, in bytes.
-func (rec *Record) Size() int { return rec.size + len(rec.Sealed)*segmentOverhead + recordOverhead }
+func (rec *Record) Size() int { return rec.claimBytes + len(rec.Sealed)*refOverhead + recordOverhead }
 
 func (c *Claim) size() int {
 	return claimOverhead + len(c.Key) + len(c.RequestID) + len(c.Answer.ContentType) + len(c.Answer.Body)
@@ -62,10 +62,10 @@
 // Clone returns a copy that can be modified independently.
 func (rec *Record) Clone() *Record {
 	n := &Record{
-		Sealed: slices.Clone(rec.Sealed),
-		claims: slices.Clone(rec.claims),
-		index:  make(map[string]*Claim, len(rec.claims)),
-		size:   rec.size,
+		Sealed:     slices.Clone(rec.Sealed),
+		claims:     slices.Clone(rec.claims),
+		index:      make(map[string]*Claim, len(rec.claims)),
+		claimBytes: rec.claimBytes,
 	}
 	for _, c := range rec.claims {
 		n.index[c.Key] = c
@@ -76,20 +76,20 @@
 func (rec *Record) add(c *Claim) {
 	rec.claims = append(rec.claims, c)
 	rec.index[c.Key] = c
-	rec.size += c.size()
+	rec.claimBytes += c.size()
 }
 
 func (rec *Record) replace(old, c *Claim) {
 	rec.claims[slices.Index(rec.claims, old)] = c
 	rec.index[c.Key] = c
-	rec.size += c.size() - old.size()
+	rec.claimBytes += c.size() - old.size()
 }
 
 func (rec *Record) remove(c *Claim) {
 	i := slices.Index(rec.claims, c)
 	rec.claims = slices.Delete(rec.claims, i, i+1)
 	delete(rec.index, c.Key)
-	rec.size -= c.size()
+	rec.claimBytes -= c.size()
 }
 
 // Expire removes the claims that are older than maxAge and returns their number.
@@ -101,7 +101,7 @@
 		}
 		dropped++
 		delete(rec.index, c.Key)
-		rec.size -= c.size()
+		rec.claimBytes -= c.size()
 		return true
 	})
 	return dropped
@@ -200,6 +200,6 @@
 	sealed = rec.Clone()
 	sealed.Sealed = nil
 	open = newRecord()
-	open.Sealed = append(slices.Clone(rec.Sealed), Segment{Version: version, LastCreated: rec.lastCreated()})
+	open.Sealed = append(slices.Clone(rec.Sealed), SealedRef{Version: version, LastCreated: rec.lastCreated()})
 	return sealed, open
 }
--- a/once/shard_test.go
+++ b/once/shard_test.go
@@ -36,22 +36,22 @@
 func TestRecordRoundTrip(t *testing.T) {
 	settings := once.DefaultSettings()
 	rapid.Check(t, func(t *rapid.T) {
-		s, err := once.Decode(mustEncodeEmpty())
+		rec, err := once.Decode(encodedEmptyRecord())
 		require.NoError(t, err)
 		now := time.UnixMilli(1e12)
 		for _, r := range rapid.SliceOfN(rapid.Custom(drawRequest), 0, 30).Draw(t, "requests") {
-			s.Apply(&r, now, &settings)
+			rec.Apply(&r, now, &settings)
 			now = now.Add(time.Duration(rapid.IntRange(-50, 500).Draw(t, "ms")) * time.Millisecond)
 		}
-		s.Sealed = []once.Segment{{Version: 3, LastCreated: now.Truncate(time.Second)}, {Version: 900, LastCreated: now.Truncate(time.Second).Add(time.Hour)}}
-		data := s.Encode()
-		require.LessOrEqual(t, len(data), s.Size())
+		rec.Sealed = []once.SealedRef{{Version: 3, LastCreated: now.Truncate(time.Second)}, {Version: 900, LastCreated: now.Truncate(time.Second).Add(time.Hour)}}
+		data := rec.Encode()
+		require.LessOrEqual(t, len(data), rec.Size())
 		back, err := once.Decode(data)
 		require.NoError(t, err)
 		require.Equal(t, data, back.Encode())
-		require.Equal(t, s.Len(), back.Len())
+		require.Equal(t, rec.Len(), back.Len())
 		for _, key := range recordKeys {
-			require.Equal(t, s.Get(key) == nil, back.Get(key) == nil, key)
+			require.Equal(t, rec.Get(key) == nil, back.Get(key) == nil, key)
 		}
 
 		i := rapid.IntRange(0, len(data)-1).Draw(t, "position")
@@ -63,24 +63,25 @@
 	})
 }
 
-func mustEncodeEmpty() []byte {
+// encodedEmptyRecord returns the encoding of an empty record.
+func encodedEmptyRecord() []byte {
 	// Format version 1, no sealed records, no claims, checksum.
-	s := &once.Record{}
-	return s.Encode()
+	rec := &once.Record{}
+	return rec.Encode()
 }
 
 // Guards against a record that is larger than a value of the key-value service may be, and against an
 // answer above the size limit that is returned as recorded.
 func TestRecordBounds(t *testing.T) {
 	settings := once.DefaultSettings()
-	s, err := once.Decode(mustEncodeEmpty())
+	rec, err := once.Decode(encodedEmptyRecord())
 	require.NoError(t, err)
 	now := time.UnixMilli(1e12)
 	large := once.Answer{Status: 200, Body: make([]byte, settings.MaxBodyBytes+1)}
 	fits := once.Answer{Status: 200, Body: make([]byte, settings.MaxBodyBytes)}
 	for i := 0; ; i++ {
 		r := once.Request{Key: strings.Repeat("k", 200) + time.Duration(i).String(), RequestID: "r", Action: once.ActionClaim}
-		res, _ := s.Apply(&r, now, &settings)
+		res, _ := rec.Apply(&r, now, &settings)
 		if res.State == once.StateUnavailable {
 			require.ErrorIs(t, res.Err, once.ErrRecordFull)
 			break
@@ -88,28 +89,28 @@
 		r.Action = once.ActionComplete
 		if i == 0 {
 			r.Answer = large
-			res, _ = s.Apply(&r, now, &settings)
+			res, _ = rec.Apply(&r, now, &settings)
 			require.True(t, res.Answer.Omitted())
 			continue
 		}
 		if i == 1 {
 			r.Answer = fits
-			res, _ = s.Apply(&r, now, &settings)
+			res, _ = rec.Apply(&r, now, &settings)
 			require.False(t, res.Answer.Omitted())
 		}
 	}
-	require.LessOrEqual(t, len(s.Encode()), once.MaxRecordBytes)
+	require.LessOrEqual(t, len(rec.Encode()), once.MaxRecordBytes)
 }
 
 // Guards against a list of sealed records that leaves no space for claims in the open record: at 1,200
 // claims/s over four shards, a shard seals a record every 3.3 s, which adds 26,000 list entries a day.
 func TestListOfSealedRecordsIsShort(t *testing.T) {
-	s := &once.Record{}
+	rec := &once.Record{}
 	for i := range 26000 {
-		s.Sealed = append(s.Sealed, once.Segment{Version: uint64(200 * i), LastCreated: time.Unix(1e9+3*int64(i), 0)})
+		rec.Sealed = append(rec.Sealed, once.SealedRef{Version: uint64(200 * i), LastCreated: time.Unix(1e9+3*int64(i), 0)})
 	}
-	data := s.Encode()
-	require.LessOrEqual(t, len(data), s.Size())
+	data := rec.Encode()
+	require.LessOrEqual(t, len(data), rec.Size())
 	require.Less(t, len(data), 80<<10)
 }
 
--- a/once/types.go
+++ b/once/types.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// State is the state of a key after a request. The values equal those of ClaimState in the wire
+// State is the state of a key after a claim operation. The values equal those of ClaimState in the wire
 // protocol.
 type State uint8
 
@@ -22,9 +22,9 @@
 	StateComplete
 	// StateMismatch means that the key was used for a request with another fingerprint.
 	StateMismatch
-	// StateUnavailable means that the request is certainly not recorded.
+	// StateUnavailable means that the operation is certainly not recorded.
 	StateUnavailable
-	// StateUnknown means that the request may or may not be recorded.
+	// StateUnknown means that the operation may or may not be recorded.
 	StateUnknown
 	// StateExpired means that the key's timestamp is outside the accepted period.
 	StateExpired
@@ -40,8 +40,7 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// Action is the operation that a request performs on a key. The values equal those of ClaimAction in
-// the wire protocol.
+// Action is the kind of a claim operation. The values equal those of ClaimAction in the wire protocol.
 type Action uint8
 
 // Actions of a Request.
@@ -55,30 +54,31 @@
 	ActionRelease
 )
 
-// Answer is the recorded response to a request. A status of 0 means that the response was too large to
-// be recorded.
+// Answer is the recorded answer to a client's request. Status is the HTTP status; 0 means that the answer
+// was omitted, because its body or content type exceeds the limit or the record is full.
 type Answer struct {
 	Status      uint32
 	ContentType string
 	Body        []byte
 }
 
-// Omitted reports whether the answer was too large to be recorded.
+// Omitted reports whether the answer was omitted, because its body or content type exceeds the limit or
+// the record is full.
 func (a Answer) Omitted() bool { return a.Status == 0 }
 
-// Request is a claim, completion or release of one key.
+// Request is a claim operation: the claim, completion or release of one key.
 type Request struct {
 	Service   string
 	Key       string
-	RequestID string
+	RequestID string // ID of the client's request
 	Action    Action
-	// Fingerprint is a hash of the caller's request. It detects the reuse of a key for another request.
+	// Fingerprint is a hash of the client's request. It detects the reuse of a key for another request.
 	Fingerprint uint64
 	// Answer is the answer to record with ActionComplete.
 	Answer Answer
 }
 
-// Result is the result of a request.
+// Result is the result of a claim operation.
 type Result struct {
 	State State
 	// Answer is set with StateComplete.
@@ -87,7 +87,7 @@
 	Err error
 }
 
-// Maximum sizes of a request's fields, in bytes.
+// Maximum sizes of the fields of a Request, in bytes.
 const (
 	MaxKeyBytes         = 255
 	MaxRequestIDBytes   = 64
@@ -96,7 +96,7 @@
 
 // Errors of this package.
 var (
-	// ErrInvalid means that a request is malformed.
+	// ErrInvalid means that a Request is malformed.
 	ErrInvalid = errors.New("invalid claim request")
 	// ErrRecordInvalid means that a stored record cannot be decoded.
 	ErrRecordInvalid = errors.New("invalid claim record")
@@ -104,18 +104,20 @@
 	ErrRecordMissing = errors.New("sealed claim record is missing")
 	// ErrRecordFull means that the record would exceed MaxRecordBytes.
 	ErrRecordFull = errors.New("claim record is full")
-	// ErrNotSent means that a forwarded request certainly did not reach the other entry.
+	// ErrNotSent means that a forwarded operation certainly did not reach the other entry.
 	ErrNotSent = errors.New("claim was not sent to the shard owner")
-	// errCallerGone means that the caller stopped waiting.
-	errCallerGone = errors.New("caller stopped waiting for the claim")
+	// errCallEnded means that the context of the Do call ended before there was a result.
+	errCallEnded = errors.New("caller stopped waiting for the claim")
 )
 
 // Claimer performs claims, completions and releases of keys.
 type Claimer interface {
+	// Do performs a claim operation and returns its result. If ctx ends first, the state is
+	// StateUnavailable if the operation is certainly not recorded, otherwise StateUnknown.
 	Do(ctx context.Context, r Request) Result
 }
 
-// Validate returns an error that wraps ErrInvalid if the request is malformed.
+// Validate returns an error that wraps ErrInvalid if the operation is malformed.
 func (r *Request) Validate() error {
 	switch {
 	case r.Service == "":
