--- a/lease/acquire.go
+++ b/lease/acquire.go
@@ -10,12 +10,12 @@
 	"github.com/quetzallug/quetzallug/internal/cas"
 )
 
-// maxFenceTries bounds the compare-and-swap loop on the fence. Only processes whose lease was
+// maxFenceAttempts bounds the compare-and-swap loop on the fence. Only processes whose lease was
 // granted compete for it, so conflicts are rare.
-const maxFenceTries = 4
+const maxFenceAttempts = 4
 
-// acquire runs the three steps of an acquisition. On failure it revokes the lease, so that an
-// abandoned holder key does not block the pool for the rest of its TTL.
+// acquire grants a lease, creates the holder key and increments the fence. On failure it revokes
+// the lease, so that an abandoned holder key does not block the pool for the rest of its TTL.
 func (m *Manager) acquire(ctx context.Context, pool string) (Authority, session, error) {
 	s := session{pool: pool, id: cas.NewID(), granted: time.Now()}
 	var err error
@@ -43,7 +43,8 @@
 	return sent.Add(m.cfg.TTL - m.cfg.SafetyMargin)
 }
 
-// grant does not retry: a grant whose response was lost is a lease that nobody renews.
+// grant does not retry: if the response is lost, the granted lease expires because nobody renews
+// it.
 func (m *Manager) grant(ctx context.Context) (external.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, cas.DefaultCallTimeout)
 	defer cancel()
@@ -60,16 +61,17 @@
 		Value: mustEncode(HolderRecord{Holder: m.cfg.Holder, Session: s.id}),
 		Lease: s.lease,
 		ID:    s.id,
-		Check: m.unexpired(s),
+		Check: m.checkUnexpired(s),
 	})
-	return convert("create holder of pool "+s.pool, err)
+	return wrapError("create holder of pool "+s.pool, err)
 }
 
-// incrementFence reads the fence and raises it by one. The session's validity is checked between
-// the read and each send: while it holds, no other session can have raised the fence since, so a
-// process that was paused past its TTL cannot raise the fence under a new holder.
+// incrementFence reads the fence and increments it by one. The session's validity is checked
+// between the read and each write. While the session is valid, no other session can have
+// incremented the fence since the read, so a process that was paused past its TTL cannot increment
+// the fence of a new holder.
 func (m *Manager) incrementFence(ctx context.Context, s session) (uint64, error) {
-	for range maxFenceTries {
+	for range maxFenceAttempts {
 		state, err := ReadPool(ctx, m.kv, s.pool)
 		if err != nil {
 			return 0, err
@@ -77,20 +79,20 @@
 		r := FenceRecord{Fence: state.Fence.Fence + 1, Holder: m.cfg.Holder, Session: s.id, WriteID: cas.NewID()}
 		_, err = cas.Swap(ctx, m.kv, cas.Write{
 			Key: FenceKey(s.pool), Expected: state.fenceVersion, Value: mustEncode(r), ID: r.WriteID,
-			Check: m.unexpired(s),
+			Check: m.checkUnexpired(s),
 		})
 		if err == nil {
 			return r.Fence, nil
 		}
 		if !errors.Is(err, external.ErrConflict) {
-			return 0, convert("increment fence of pool "+s.pool, err)
+			return 0, wrapError("increment fence of pool "+s.pool, err)
 		}
 	}
 	return 0, fmt.Errorf("increment fence of pool %q: %w", s.pool, ErrHeld)
 }
 
-// unexpired is the validity check of a session that has no authority yet.
-func (m *Manager) unexpired(s session) func() error {
+// checkUnexpired returns the validity check of a session that has no authority yet.
+func (m *Manager) checkUnexpired(s session) func() error {
 	return func() error {
 		if time.Now().Before(m.validUntil(s.granted)) {
 			return nil
@@ -103,19 +105,19 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cas.DefaultCallTimeout)
 	defer cancel()
 	if err := m.kv.RevokeLease(ctx, s.lease); err != nil {
-		m.cfg.Log.WithField("pool", s.pool).WithError(err).Warn("lease not revoked; it expires by itself")
+		m.cfg.Log.WithField("pool", s.pool).WithError(err).Warn("lease not revoked; it will expire")
 	}
 }
 
-// convert maps errors of the key-value service to errors of this layer.
-func convert(what string, err error) error {
+// wrapError converts errors of the key-value service to errors of this package.
+func wrapError(operation string, err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, external.ErrConflict):
-		return fmt.Errorf("%s: %w", what, ErrHeld)
+		return fmt.Errorf("%s: %w", operation, ErrHeld)
 	case errors.Is(err, external.ErrLeaseExpired), errors.Is(err, ErrLost):
-		return fmt.Errorf("%s: %w", what, ErrLost)
+		return fmt.Errorf("%s: %w", operation, ErrLost)
 	}
-	return fmt.Errorf("%s: %w: %w", what, ErrUnavailable, err)
+	return fmt.Errorf("%s: %w: %w", operation, ErrUnavailable, err)
 }
--- a/lease/authority.go
+++ b/lease/authority.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Authority is the right to give orders to a pool's engines. Copies share one validity. The zero
-// value is never valid.
+// Authority is the right to issue orders to a pool's engines. Copies share the same state. The
+// zero value is never valid.
 type Authority struct {
 	Pool   string
 	Holder string
@@ -16,33 +16,34 @@
 }
 
 type validity struct {
-	mu    sync.Mutex
-	until time.Time
-	ended bool
-	done  chan struct{}
+	mu       sync.Mutex
+	deadline time.Time
+	ended    bool
+	done     chan struct{}
 }
 
 // NewAuthority returns an authority that is valid until the given time, which must carry a
 // monotonic clock reading. Manager issues authorities; other packages use this in tests.
-func NewAuthority(pool, holder string, fence uint64, until time.Time) Authority {
+func NewAuthority(pool, holder string, fence uint64, deadline time.Time) Authority {
 	return Authority{
 		Pool: pool, Holder: holder, Fence: fence,
-		state: &validity{until: until, done: make(chan struct{})},
+		state: &validity{deadline: deadline, done: make(chan struct{})},
 	}
 }
 
-// Valid reports whether the authority holds now. Callers check it immediately before each effect.
-// Once false, it stays false.
+// Valid reports whether the authority is valid now. Callers check it immediately before each
+// action that requires it. Once false, it stays false.
 func (a Authority) Valid() bool {
 	if a.state == nil {
 		return false
 	}
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
-	return a.state.check()
+	return a.state.checkDeadline()
 }
 
-// Done is closed when the manager has noticed the end of the authority. Valid may be false earlier.
+// Done returns a channel that is closed when the end of the authority has been detected. Valid
+// may be false earlier.
 func (a Authority) Done() <-chan struct{} {
 	if a.state == nil {
 		closed := make(chan struct{})
@@ -52,30 +53,31 @@
 	return a.state.done
 }
 
-// check ends the validity if its time is over. The caller holds mu.
-func (v *validity) check() bool {
-	if !v.ended && !time.Now().Before(v.until) {
-		v.finish()
+// checkDeadline ends the validity if its deadline has passed, and reports whether it is still
+// valid. The caller holds mu.
+func (v *validity) checkDeadline() bool {
+	if !v.ended && !time.Now().Before(v.deadline) {
+		v.markEnded()
 	}
 	return !v.ended
 }
 
-func (v *validity) finish() {
+func (v *validity) markEnded() {
 	if !v.ended {
 		v.ended = true
 		close(v.done)
 	}
 }
 
-// extend moves the end of the validity, unless it has passed already.
-func (a Authority) extend(until time.Time) bool {
+// extend moves the deadline to a later time. It returns false if the authority has ended already.
+func (a Authority) extend(deadline time.Time) bool {
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
-	if !a.state.check() {
+	if !a.state.checkDeadline() {
 		return false
 	}
-	if until.After(a.state.until) {
-		a.state.until = until
+	if deadline.After(a.state.deadline) {
+		a.state.deadline = deadline
 	}
 	return true
 }
@@ -83,14 +85,14 @@
 func (a Authority) end() {
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
-	a.state.finish()
+	a.state.markEnded()
 }
 
 func (a Authority) remaining() time.Duration {
 	a.state.mu.Lock()
 	defer a.state.mu.Unlock()
-	if !a.state.check() {
+	if !a.state.checkDeadline() {
 		return 0
 	}
-	return time.Until(a.state.until)
+	return time.Until(a.state.deadline)
 }
--- a/lease/errors.go
+++ b/lease/errors.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// Errors of the lease layer.
+// Errors of this package.
 var (
 	// ErrHeld means that another session holds the pool.
 	ErrHeld = errors.New("pool is held by another session")
 	// ErrLost means that the session's validity has ended.
 	ErrLost = errors.New("authority has ended")
-	// ErrUnavailable means that the key-value service did not answer; nothing was decided.
+	// ErrUnavailable means that the key-value service did not answer; the pool's state is unknown.
 	ErrUnavailable = errors.New("pool state cannot be read or written")
 	// ErrBadRecord means that a pool record cannot be decoded.
 	ErrBadRecord = errors.New("pool record is malformed")
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -22,16 +22,16 @@
 
 const pool = "oracolo.catania"
 
-// effect is one line of the journal: an authority was valid at a time, and who held the pool.
+// effect records that a process acted under an authority at a time, and whether it held the pool.
 type effect struct {
 	at      time.Time
 	fence   uint64
 	holder  string
-	current bool // the service names this holder and fence
+	current bool // the pool's records contain this holder and fence
 }
 
-// group is a number of processes that compete for one pool.
-type group struct {
+// simulation runs processes that compete for one pool.
+type simulation struct {
 	ctx     context.Context
 	store   *kv.Store
 	network *fault.Network
@@ -45,44 +45,45 @@
 	effects   []effect
 }
 
-func newGroup(ctx context.Context, seed uint64) *group {
-	return &group{ctx: ctx, store: kv.NewStore(kv.Limits{}), network: &fault.Network{}, random: rand.New(rand.NewPCG(seed, 2))}
+func newSimulation(ctx context.Context, seed uint64) *simulation {
+	return &simulation{ctx: ctx, store: kv.NewStore(kv.Limits{}), network: &fault.Network{}, random: rand.New(rand.NewPCG(seed, 2))}
 }
 
-func (g *group) rand() float64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.random.Float64()
+func (sim *simulation) rand() float64 {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.random.Float64()
 }
 
-func (g *group) start(pools ...string) (*fault.Process, *lease.Manager) {
-	g.mu.Lock()
-	g.started++
-	name := fmt.Sprintf("entry-%d", g.started)
-	g.mu.Unlock()
-	p := fault.NewProcess(g.ctx, name, nil)
+func (sim *simulation) start(pools ...string) (*fault.Process, *lease.Manager) {
+	sim.mu.Lock()
+	sim.started++
+	name := fmt.Sprintf("entry-%d", sim.started)
+	sim.mu.Unlock()
+	p := fault.NewProcess(sim.ctx, name, nil)
 	p.Hook = func(c fault.Call) fault.Action {
-		if g.hook == nil {
+		if sim.hook == nil {
 			return fault.Action{}
 		}
-		return g.hook(p, c)
+		return sim.hook(p, c)
 	}
-	m, err := lease.NewManager(&fault.KV{Process: p, Network: g.network, Store: g.store},
-		lease.Config{Holder: p.Name, Pools: pools, Random: g.rand})
+	m, err := lease.NewManager(&fault.KV{Process: p, Network: sim.network, Store: sim.store},
+		lease.Config{Holder: p.Name, Pools: pools, Random: sim.rand})
 	if err != nil {
 		panic(err)
 	}
-	g.mu.Lock()
-	g.processes, g.managers = append(g.processes, p), append(g.managers, m)
-	g.mu.Unlock()
+	sim.mu.Lock()
+	sim.processes, sim.managers = append(sim.processes, p), append(sim.managers, m)
+	sim.mu.Unlock()
 	go m.Run(p.Context())
-	go g.act(p, m)
+	go sim.recordEffects(p, m)
 	return p, m
 }
 
-// act has an effect every 50 ms while the process believes in its authority. The authority is
-// kept across pauses, as a process that is paused between two steps keeps it.
-func (g *group) act(p *fault.Process, m *lease.Manager) {
+// recordEffects records an effect every 50 ms while the process considers its authority valid. It
+// obtains the authority before a possible pause and checks it afterwards, as a process that is
+// paused between two steps does.
+func (sim *simulation) recordEffects(p *fault.Process, m *lease.Manager) {
 	for p.Context().Err() == nil {
 		a, ok := m.Authority(pool)
 		select {
@@ -92,88 +93,88 @@
 		if !p.Gate() || !ok || !a.Valid() {
 			continue
 		}
-		s, err := lease.ReadPool(g.ctx, g.store, pool)
-		g.mu.Lock()
-		g.effects = append(g.effects, effect{at: time.Now(), fence: a.Fence, holder: a.Holder, current: err == nil && s.Current(a.Fence, a.Holder)})
-		g.mu.Unlock()
+		s, err := lease.ReadPool(sim.ctx, sim.store, pool)
+		sim.mu.Lock()
+		sim.effects = append(sim.effects, effect{at: time.Now(), fence: a.Fence, holder: a.Holder, current: err == nil && s.Current(a.Fence, a.Holder)})
+		sim.mu.Unlock()
 	}
 }
 
-// check reads only the journal of effects.
-func (g *group) check() []string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	var bad []string
+// findViolations returns the violations of I3 among the recorded effects.
+func (sim *simulation) findViolations() []string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var violations []string
 	holders := map[uint64]string{}
 	var last uint64
-	for _, e := range g.effects {
+	for _, e := range sim.effects {
 		if !e.current {
-			bad = append(bad, fmt.Sprintf("I3: %s had an effect under fence %d at %v without holding the pool", e.holder, e.fence, e.at))
+			violations = append(violations, fmt.Sprintf("I3: %s had an effect under fence %d at %v without holding the pool", e.holder, e.fence, e.at))
 		}
 		if e.fence < last {
-			bad = append(bad, fmt.Sprintf("I3: effect under fence %d after one under %d", e.fence, last))
+			violations = append(violations, fmt.Sprintf("I3: effect under fence %d after one under %d", e.fence, last))
 		}
 		if h := holders[e.fence]; h != "" && h != e.holder {
-			bad = append(bad, fmt.Sprintf("I3: fence %d was used by %s and %s", e.fence, h, e.holder))
+			violations = append(violations, fmt.Sprintf("I3: fence %d was used by %s and %s", e.fence, h, e.holder))
 		}
 		last, holders[e.fence] = max(last, e.fence), e.holder
 	}
-	return bad
+	return violations
 }
 
-func (g *group) stop() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, p := range g.processes {
+func (sim *simulation) stop() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, p := range sim.processes {
 		p.Kill()
 	}
 }
 
 var faults = []string{"killed", "paused", "down", "slow", "lost", "twice"}
 
-func (g *group) strike(name string, p *fault.Process) {
+func (sim *simulation) injectFault(name string, p *fault.Process) {
 	switch name {
 	case "killed":
 		p.Kill()
 		time.AfterFunc(2*time.Second, func() {
-			if g.ctx.Err() == nil {
-				g.start(pool)
+			if sim.ctx.Err() == nil {
+				sim.start(pool)
 			}
 		})
 	case "paused":
 		p.Pause(15 * time.Second)
 	case "down":
-		g.network.Down(15 * time.Second)
+		sim.network.Down(15 * time.Second)
 	case "slow":
-		g.network.Slow(15*time.Second, 900*time.Millisecond)
+		sim.network.Slow(15*time.Second, 900*time.Millisecond)
 	}
 }
 
-// Guards against two processes that both act for a pool, effects after a lease has expired, a fence
-// that falls, and a pool that stays without a holder after the faults.
+// Guards against two processes that act for a pool at once, effects after a lease has expired, a
+// fence that decreases, and a pool that stays without a holder after the faults.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		script := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) string {
+		sequence := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) string {
 			return fmt.Sprintf("%d %s %d", rapid.IntRange(1, 9000).Draw(t, "wait in ms"), rapid.SampledFrom(faults).Draw(t, "fault"),
 				rapid.IntRange(0, 9).Draw(t, "target"))
 		}), 1, 15).Draw(rt, "faults")
-		var bad []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			bad = playScript(newGroup(ctx, 3), script)
+			violations = runFaults(newSimulation(ctx, 3), sequence)
 		})
-		if len(bad) > 0 {
-			rt.Fatalf("%s", strings.Join(bad, "\n"))
+		if len(violations) > 0 {
+			rt.Fatalf("%s", strings.Join(violations, "\n"))
 		}
 	})
 }
 
-func playScript(g *group, script []string) []string {
-	defer g.stop()
+func runFaults(sim *simulation, sequence []string) []string {
+	defer sim.stop()
 	var mu sync.Mutex
 	next := ""
-	g.hook = func(_ *fault.Process, c fault.Call) fault.Action {
+	sim.hook = func(_ *fault.Process, c fault.Call) fault.Action {
 		mu.Lock()
 		defer mu.Unlock()
 		name := next
@@ -184,12 +185,12 @@
 		return fault.Action{Lose: name == "lost", Twice: name == "twice"}
 	}
 	for range 3 {
-		g.start(pool)
+		sim.start(pool)
 	}
-	for _, line := range script {
+	for _, step := range sequence {
 		var wait, target int
 		var name string
-		if _, err := fmt.Sscan(line, &wait, &name, &target); err != nil {
+		if _, err := fmt.Sscan(step, &wait, &name, &target); err != nil {
 			return []string{err.Error()}
 		}
 		time.Sleep(time.Duration(wait) * time.Millisecond)
@@ -198,55 +199,56 @@
 			next = name
 		}
 		mu.Unlock()
-		g.mu.Lock()
-		p := g.processes[target%len(g.processes)]
-		g.mu.Unlock()
-		g.strike(name, p)
+		sim.mu.Lock()
+		p := sim.processes[target%len(sim.processes)]
+		sim.mu.Unlock()
+		sim.injectFault(name, p)
 	}
 	time.Sleep(60 * time.Second)
-	bad := g.check()
-	g.mu.Lock()
-	managers := slices.Clone(g.managers)
-	g.mu.Unlock()
+	violations := sim.findViolations()
+	sim.mu.Lock()
+	managers := slices.Clone(sim.managers)
+	sim.mu.Unlock()
 	for _, m := range managers {
 		if _, ok := m.Authority(pool); ok {
-			return bad
+			return violations
 		}
 	}
-	return append(bad, "liveness: no process holds the pool a minute after the last fault")
+	return append(violations, "liveness: no process holds the pool a minute after the last fault")
 }
 
-func inBubble(t *testing.T, f func(t *testing.T, g *group)) {
+func inBubble(t *testing.T, f func(t *testing.T, sim *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g := newGroup(ctx, 1)
-		defer g.stop()
-		f(t, g)
+		sim := newSimulation(ctx, 1)
+		defer sim.stop()
+		f(t, sim)
 	})
 }
 
-// Guards against a paused process that raises the fence under the feet of a newer holder.
+// Guards against a process that, after a pause, increments the fence while another process holds
+// the pool.
 func TestPauseBeforeFenceIncrement(t *testing.T) {
-	inBubble(t, func(t *testing.T, g *group) {
+	inBubble(t, func(t *testing.T, sim *simulation) {
 		paused := false
-		g.hook = func(p *fault.Process, c fault.Call) fault.Action {
-			// The process is paused after it has created the holder key and before it reads the fence.
+		sim.hook = func(p *fault.Process, c fault.Call) fault.Action {
+			// The process is paused after it creates the holder key and before it reads the fence.
 			if p.Name == "entry-1" && c.Op == "cas" && c.Key == lease.HolderKey(pool) && !paused {
 				paused = true
 				return fault.Action{After: func() { p.Pause(20 * time.Second) }}
 			}
 			return fault.Action{}
 		}
-		g.start(pool)
+		sim.start(pool)
 		time.Sleep(3 * time.Second)
-		_, second := g.start(pool)
+		_, second := sim.start(pool)
 		time.Sleep(18 * time.Second)
 		a, ok := second.Authority(pool)
 		require.True(t, ok)
 		time.Sleep(10 * time.Second)
-		s, err := lease.ReadPool(t.Context(), g.store, pool)
+		s, err := lease.ReadPool(t.Context(), sim.store, pool)
 		require.NoError(t, err)
 		require.True(t, s.Current(a.Fence, a.Holder), "pool is %+v", s)
 		require.True(t, a.Valid())
@@ -255,20 +257,20 @@
 
 // Guards against a keep-alive that succeeds after the authority's end and makes it valid again.
 func TestLateKeepAliveDoesNotRevive(t *testing.T) {
-	inBubble(t, func(t *testing.T, g *group) {
+	inBubble(t, func(t *testing.T, sim *simulation) {
 		acquired := make(chan lease.Authority, 1)
-		g.hook = func(_ *fault.Process, c fault.Call) fault.Action {
+		sim.hook = func(_ *fault.Process, c fault.Call) fault.Action {
 			if c.Op == "cas" && c.Key == lease.FenceKey(pool) {
-				// Keep-alives fail for 8.2 s. The next takes 900 ms: it ends after the authority (9 s)
-				// and before the lease in the service (10 s).
+				// Keep-alives fail for 8.2 s. The next one takes 900 ms: it returns after the authority
+				// has ended (9 s) and before the lease has expired in the service (10 s).
 				return fault.Action{After: func() {
-					g.network.Down(8200 * time.Millisecond)
-					time.AfterFunc(8200*time.Millisecond, func() { g.network.Slow(time.Minute, 900*time.Millisecond) })
+					sim.network.Down(8200 * time.Millisecond)
+					time.AfterFunc(8200*time.Millisecond, func() { sim.network.Slow(time.Minute, 900*time.Millisecond) })
 				}}
 			}
 			return fault.Action{}
 		}
-		_, m := g.start(pool)
+		_, m := sim.start(pool)
 		go func() {
 			for t.Context().Err() == nil {
 				if a, ok := m.Authority(pool); ok {
@@ -288,12 +290,12 @@
 
 // Guards against an authority that becomes valid again after a pause past its end.
 func TestPauseEndsAuthorityForGood(t *testing.T) {
-	inBubble(t, func(t *testing.T, g *group) {
-		p, m := g.start(pool)
+	inBubble(t, func(t *testing.T, sim *simulation) {
+		p, m := sim.start(pool)
 		time.Sleep(5 * time.Second)
 		a, ok := m.Authority(pool)
 		require.True(t, ok)
-		// The pause ends after the authority's end and before the lease's end in the service.
+		// The pause ends after the authority has ended and before the lease expires in the service.
 		p.Pause(9500 * time.Millisecond)
 		time.Sleep(9500 * time.Millisecond)
 		require.False(t, a.Valid())
@@ -308,12 +310,12 @@
 // Guards against a shutdown that blocks the pool for the rest of the TTL, and against effects after
 // the lease was revoked.
 func TestShutdownRevokes(t *testing.T) {
-	inBubble(t, func(t *testing.T, g *group) {
-		p, m := g.start(pool)
+	inBubble(t, func(t *testing.T, sim *simulation) {
+		p, m := sim.start(pool)
 		time.Sleep(5 * time.Second)
 		a, ok := m.Authority(pool)
 		require.True(t, ok)
-		g.hook = func(_ *fault.Process, c fault.Call) fault.Action {
+		sim.hook = func(_ *fault.Process, c fault.Call) fault.Action {
 			if c.Op == "revoke" {
 				require.False(t, a.Valid())
 			}
@@ -322,32 +324,32 @@
 		p.Shutdown()
 		synctest.Wait()
 		<-a.Done()
-		s, err := lease.ReadPool(t.Context(), g.store, pool)
+		s, err := lease.ReadPool(t.Context(), sim.store, pool)
 		require.NoError(t, err)
 		require.False(t, s.Present)
 		require.Equal(t, a.Fence, s.Fence.Fence, "the fence must outlive the lease")
 	})
 }
 
-// Guards against one process that takes all pools, and against more calls than stated in the
-// package comment.
+// Guards against one process that acquires all pools, and against more calls than the package
+// comment states.
 func TestPoolLimitAndCallRate(t *testing.T) {
-	inBubble(t, func(t *testing.T, g *group) {
-		_, m := g.start("a", "b", "c", pool)
+	inBubble(t, func(t *testing.T, sim *simulation) {
+		_, m := sim.start("a", "b", "c", pool)
 		time.Sleep(10 * time.Second)
 		require.Len(t, m.Authorities(), lease.DefaultMaxPools)
-		_, other := g.start("a", "b", "c", pool)
+		_, other := sim.start("a", "b", "c", pool)
 		time.Sleep(10 * time.Second)
 		require.Len(t, other.Authorities(), lease.DefaultMaxPools)
-		before := g.store.Calls()
+		before := sim.store.Calls()
 		time.Sleep(300 * time.Second)
-		calls := g.store.Calls()
-		// Four pools at 0.3 writes per second each; full processes do not poll.
+		calls := sim.store.Calls()
+		// Four pools at 0.3 writes per second each; processes that hold MaxPools pools do not poll.
 		require.InDelta(t, 4*0.3*300, float64(calls.Writes-before.Writes), 30)
 	})
 }
 
-// Guards against settings under which no keep-alive could succeed in time, and unusable pool names.
+// Guards against settings with which no keep-alive could succeed in time, and invalid pool names.
 func TestConfigIsChecked(t *testing.T) {
 	for name, c := range map[string]lease.Config{
 		"no holder": {Pools: []string{"a"}},
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -31,17 +31,17 @@
 const (
 	minPollInterval = 2 * time.Second
 	maxPollInterval = 30 * time.Second
-	// keepAlivesPerTTL leaves two further tries after a failed keep-alive.
+	// keepAlivesPerTTL leaves time for two more attempts after a failed keep-alive.
 	keepAlivesPerTTL = 3
-	// jitterShare spreads periodic calls by up to this share of their interval on either side.
-	jitterShare = 0.2
-	// retryDelay is the mean pause after a failed keep-alive.
-	retryDelay = 500 * time.Millisecond
+	// jitterFraction spreads periodic calls by up to this share of their interval on either side.
+	jitterFraction = 0.2
+	// keepAliveRetryDelay is the mean delay after a failed keep-alive.
+	keepAliveRetryDelay = 500 * time.Millisecond
 )
 
 // Config configures a Manager.
 type Config struct {
-	// Holder names this process. It must differ between processes and between restarts.
+	// Holder identifies this process. It must differ between processes and between restarts.
 	Holder string
 	// Pools are the pools to compete for. PoolNames replaces them if it is set; it is read before
 	// each poll.
@@ -51,13 +51,13 @@
 	SafetyMargin time.Duration
 	// MaxPools bounds the number of pools that this process holds at once.
 	MaxPools int
-	// Share, if set, lowers MaxPools to the number of pools that is this process's share now. It is
-	// read before each poll. A pool that is held already is not given up when the share falls.
+	// Share, if set, returns this process's current share of the pools, which lowers MaxPools. It
+	// is read before each poll. A pool that is already held is not given up when the share falls.
 	Share       func() int
 	PollSpacing time.Duration
 	// Competitors returns the number of processes that compete for these pools; nil means 1.
 	Competitors func() int
-	// Random returns a number in [0, 1); nil means the runtime's source.
+	// Random returns a number in [0, 1); nil means math/rand/v2.
 	Random func() float64
 	// OnAcquire is called for each new authority. It must not block.
 	OnAcquire func(Authority)
@@ -111,7 +111,7 @@
 	}
 }
 
-// Run competes until ctx ends, then gives up all pools and returns.
+// Run competes for the pools until ctx ends, then gives up all pools and returns.
 func (m *Manager) Run(ctx context.Context) {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
@@ -119,14 +119,14 @@
 		return
 	}
 	for {
-		for _, pool := range m.vacant(ctx) {
+		for _, pool := range m.vacantPools(ctx) {
 			a, s, err := m.acquire(ctx, pool)
 			if err != nil {
 				m.cfg.Log.WithField("pool", pool).WithError(err).Info("pool not acquired")
 				continue
 			}
-			m.take(a)
-			sessions.Go(func() { m.hold(ctx, a, s) })
+			m.addHeld(a)
+			sessions.Go(func() { m.runSession(ctx, a, s) })
 		}
 		if !pause.For(ctx, m.jitter(m.pollInterval())) {
 			return
@@ -156,30 +156,30 @@
 	return all
 }
 
-// vacant returns the pools without a holder that this process may take now.
-func (m *Manager) vacant(ctx context.Context) []string {
+// vacantPools returns the pools without a holder that this process may acquire now.
+func (m *Manager) vacantPools(ctx context.Context) []string {
 	m.mu.Lock()
-	room := m.maxPools() - len(m.held)
+	capacity := m.maxPools() - len(m.held)
 	held := make([]string, 0, len(m.held))
 	for p := range m.held {
 		held = append(held, p)
 	}
 	m.mu.Unlock()
-	if room <= 0 || ctx.Err() != nil {
+	if capacity <= 0 || ctx.Err() != nil {
 		return nil
 	}
 	states, err := readPools(ctx, m.kv, KeyPrefix)
 	if err != nil {
-		m.cfg.Log.WithError(err).Warn("pool states not read")
+		m.cfg.Log.WithError(err).Warn("cannot read pool states")
 		return nil
 	}
 	var free []string
-	for _, p := range m.pools() {
+	for _, p := range m.poolNames() {
 		if s := states[p]; !s.Present && s.malformed == nil && !slices.Contains(held, p) {
 			free = append(free, p)
 		}
 	}
-	return free[:min(room, len(free))]
+	return free[:min(capacity, len(free))]
 }
 
 func (m *Manager) maxPools() int {
@@ -189,14 +189,14 @@
 	return min(m.cfg.MaxPools, m.cfg.Share())
 }
 
-func (m *Manager) pools() []string {
+func (m *Manager) poolNames() []string {
 	if m.cfg.PoolNames != nil {
 		return m.cfg.PoolNames()
 	}
 	return m.cfg.Pools
 }
 
-func (m *Manager) take(a Authority) {
+func (m *Manager) addHeld(a Authority) {
 	m.mu.Lock()
 	m.held[a.Pool] = a
 	m.mu.Unlock()
@@ -206,9 +206,9 @@
 	}
 }
 
-// hold keeps one session alive until it is lost or ctx ends. The authority ends before the lease
-// is revoked, so that no effect follows the revocation.
-func (m *Manager) hold(ctx context.Context, a Authority, s session) {
+// runSession keeps a session alive until it is lost or ctx ends. The authority ends before the
+// lease is revoked, so that the process does not act under it after the revocation.
+func (m *Manager) runSession(ctx context.Context, a Authority, s session) {
 	reason := m.keepAlive(ctx, a, s)
 	a.end()
 	m.mu.Lock()
@@ -234,7 +234,7 @@
 			return fmt.Errorf("%w: %w", ErrLost, err)
 		}
 		if err != nil {
-			wait = m.jitter(retryDelay)
+			wait = m.jitter(keepAliveRetryDelay)
 			continue
 		}
 		if !a.extend(m.validUntil(sent)) {
@@ -256,5 +256,5 @@
 }
 
 func (m *Manager) jitter(d time.Duration) time.Duration {
-	return d + time.Duration((2*m.cfg.Random()-1)*jitterShare*float64(d))
+	return d + time.Duration((2*m.cfg.Random()-1)*jitterFraction*float64(d))
 }
--- a/lease/records.go
+++ b/lease/records.go
@@ -19,10 +19,10 @@
 	fenceSuffix  = "/fence"
 )
 
-// HolderKey is the key that names a pool's holder while its lease lives.
+// HolderKey returns the key of a pool's holder record, which exists as long as the holder's lease.
 func HolderKey(pool string) string { return KeyPrefix + pool + holderSuffix }
 
-// FenceKey is the key of a pool's fence record.
+// FenceKey returns the key of a pool's fence record.
 func FenceKey(pool string) string { return KeyPrefix + pool + fenceSuffix }
 
 // HolderRecord is the value of the holder key. Its write ID is the session ID.
@@ -73,13 +73,14 @@
 	}
 	states := map[string]PoolState{}
 	for _, e := range entries {
-		addEntry(states, e)
+		decodeEntry(states, e)
 	}
 	return states, nil
 }
 
-// addEntry decodes a pool key. A malformed record makes its own pool unusable, not the others.
-func addEntry(states map[string]PoolState, e external.Entry) {
+// decodeEntry decodes a pool record into states. A malformed record makes only its own pool
+// unusable.
+func decodeEntry(states map[string]PoolState, e external.Entry) {
 	name := strings.TrimPrefix(e.Key, KeyPrefix)
 	pool, isHolder := strings.CutSuffix(name, holderSuffix)
 	if isHolder {
