--- a/order/attempt.go
+++ b/order/attempt.go
@@ -14,12 +14,12 @@
 	"github.com/quetzallug/quetzallug/lease"
 )
 
-// outcomeTries bounds the immediate retries of the write that ends an order, which a planner's
-// adoption may meet. Later steps try again.
-const outcomeTries = 4
+// maxOutcomeWrites bounds the immediate attempts to record the outcome of an order. An attempt
+// fails if a planner adopts the record at the same time. A later call of processRecord retries.
+const maxOutcomeWrites = 4
 
-// step reads the record and does what it calls for.
-func (e *Executor) step(ctx context.Context) error {
+// processRecord reads the record and takes the action that its phase requires.
+func (e *Executor) processRecord(ctx context.Context) error {
 	v, err := e.store.read(ctx)
 	if err != nil {
 		return err
@@ -27,44 +27,45 @@
 	if err := checkIncarnation(v.Record, e.incarnation); err != nil {
 		return err
 	}
-	e.last = v
+	e.lastRecord = v
 	switch {
 	case v.Phase.Settled():
-		return e.observe(ctx, v)
-	case e.outcome != nil && e.outcome.number == v.Number:
+		return e.observeEngine(ctx, v)
+	case e.unrecordedOutcome != nil && e.unrecordedOutcome.number == v.Number:
 		return e.writeOutcome(ctx)
 	case v.Fence != v.IssuedFence:
-		// Another planner has adopted the order before it reached the engine.
-		e.fail(v.Number, "authority changed before the effect")
+		// Another planner adopted the record before the order was applied.
+		e.setFailed(v.Number, "authority changed before the effect")
 		return e.writeOutcome(ctx)
 	}
 	if err := e.checkFence(v.Fence); err != nil {
 		return err
 	}
-	if err := e.attempt(ctx, v); err != nil {
+	if err := e.executeOrder(ctx, v); err != nil {
 		return err
 	}
 	return e.writeOutcome(ctx)
 }
 
-// observe marks a settled record if the engine is not in the recorded state.
-func (e *Executor) observe(ctx context.Context, v versioned) error {
-	s, err := e.state(ctx)
+// observeEngine updates a settled record if the engine has restarted or is not in the recorded
+// state.
+func (e *Executor) observeEngine(ctx context.Context, v versioned) error {
+	s, err := e.engineState(ctx)
 	if err != nil || s.Changing {
 		return err
 	}
 	event := Observe{Incarnation: e.incarnation, State: s}
 	n, err := Next(v.Record, event)
-	if err != nil || !differs(n, v.Record) {
+	if err != nil || !stateChanged(n, v.Record) {
 		return err
 	}
-	e.last, err = e.store.write(ctx, v, event, nil)
+	e.lastRecord, err = e.store.write(ctx, v, event, nil)
 	return err
 }
 
-// attempt drains the engine, takes weights, and executes the order. It sets the outcome or returns
-// an error. The engine takes new work again when the attempt ends, whatever its result.
-func (e *Executor) attempt(ctx context.Context, v versioned) error {
+// executeOrder drains the engine, acquires weights and applies the order. It sets the outcome or
+// returns an error. In either case the engine accepts new work again when it returns.
+func (e *Executor) executeOrder(ctx context.Context, v versioned) error {
 	id := BeginDrain{Incarnation: e.incarnation, Fence: v.Fence, Number: v.Number}
 	var err error
 	if v.Phase == PhasePlanned {
@@ -74,26 +75,26 @@
 	}
 	defer e.cfg.Drainer.EndDrain()
 	if err := e.prepare(ctx, v.Config); err != nil {
-		return e.abandon(ctx, v.Number, err)
+		return e.handlePrepareError(ctx, v.Number, err)
 	}
 	if v.Phase == PhaseDraining {
 		if v, err = e.store.write(ctx, v, BeginExecute(id), nil); err != nil {
 			return err
 		}
 	}
-	err = e.permit(ctx, v)
+	err = e.authoriseApply(ctx, v)
 	if errors.Is(err, ErrStaleFence) {
-		e.fail(v.Number, "authority lost before the effect")
+		e.setFailed(v.Number, "authority lost before the effect")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	return e.apply(ctx, v)
+	return e.applyOrder(ctx, v)
 }
 
-// prepare ends with no request in flight that may not be interrupted, an engine that is not
-// changing, and weights granted.
+// prepare drains the engine, waits until it is not changing, and acquires the weights of the
+// models that it does not have.
 func (e *Executor) prepare(ctx context.Context, config external.EngineConfig) error {
 	if err := e.drain(ctx); err != nil {
 		return err
@@ -127,19 +128,22 @@
 	return nil
 }
 
-// abandon fails an order whose preparation has failed; the engine is untouched. An engine whose
-// state is not established is tried again.
-func (e *Executor) abandon(ctx context.Context, number uint64, cause error) error {
+// handlePrepareError fails an order whose preparation has failed; the engine is unchanged. If the
+// engine's state could not be established or ctx has ended, it returns the error instead, so that
+// the order is tried again.
+func (e *Executor) handlePrepareError(ctx context.Context, number uint64, cause error) error {
 	if ctx.Err() != nil || errors.Is(cause, ErrEngine) {
 		return cause
 	}
-	e.fail(number, cause.Error())
+	e.setFailed(number, cause.Error())
 	return nil
 }
 
-// permit reads the record and the pool again and allows the effect if all match and the reads are
-// recent. It marks the order as executing under the lock that orders it with seals.
-func (e *Executor) permit(ctx context.Context, v versioned) error {
+// authoriseApply reads the record and the pool again, immediately before the order is applied. It
+// returns nil if the record is unchanged, the pool is held under the order's fence number, and the
+// reads began at most EffectBound ago. It then marks the order as executing, under the mutex that
+// Seal takes too.
+func (e *Executor) authoriseApply(ctx context.Context, v versioned) error {
 	began := time.Now()
 	now, err := e.store.read(ctx)
 	if err != nil {
@@ -160,88 +164,89 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if v.Fence != e.highest {
+	if v.Fence != e.highestFence {
 		return ErrConflict
 	}
 	if age := time.Since(began); age > EffectBound {
 		return fmt.Errorf("%v after the read, at most %v: %w", age, EffectBound, ErrTooSlow)
 	}
-	e.executing = v.Number
+	e.executingOrder = v.Number
 	return nil
 }
 
-// apply sends the order to the engine and sets the outcome.
-func (e *Executor) apply(ctx context.Context, v versioned) error {
-	event, err := e.send(ctx, v)
+// applyOrder sends the order to the engine and sets the outcome.
+func (e *Executor) applyOrder(ctx context.Context, v versioned) error {
+	event, err := e.applyToBackend(ctx, v)
 	e.mu.Lock()
-	e.executing = 0
+	e.executingOrder = 0
 	e.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	e.outcome = &outcome{number: v.Number, event: event}
+	e.unrecordedOutcome = &outcome{number: v.Number, event: event}
 	e.cfg.Log.WithFields(logrus.Fields{
 		"engine": e.cfg.Engine, "fence": v.Fence, "order": v.Number, "role": v.Config.Role, "outcome": fmt.Sprintf("%T", event),
 	}).Info("order executed")
 	return nil
 }
 
-// send returns the event that ends the order, or an error if the sidecar is stopping.
-func (e *Executor) send(ctx context.Context, v versioned) (Event, error) {
+// applyToBackend returns the event that ends the order, or an error if the sidecar is stopping.
+func (e *Executor) applyToBackend(ctx context.Context, v versioned) (Event, error) {
 	applyCtx, cancel := context.WithTimeout(ctx, e.cfg.ApplyTimeout)
 	defer cancel()
 	err := e.cfg.Backend.Apply(applyCtx, external.EngineOrder{Fence: v.Fence, Number: v.Number, Config: v.Config})
 	if ctx.Err() != nil {
-		// The next incarnation finds out what the engine did.
+		// The engine may have applied the order. The next incarnation compares its state.
 		return nil, ctx.Err()
 	}
 	fail := Fail{Incarnation: e.incarnation, Number: v.Number}
 	switch {
 	case err == nil:
-		return Finish{Incarnation: e.incarnation, Number: v.Number, StartID: e.startID(ctx)}, nil
+		return Finish{Incarnation: e.incarnation, Number: v.Number, StartID: e.currentStartID(ctx)}, nil
 	case errors.Is(err, external.ErrStaleFence), errors.Is(err, external.ErrEngineRefused):
 		fail.Detail = err.Error()
 		return fail, nil
 	}
 	s, stateErr := e.steadyState(ctx)
-	if stateErr == nil && holds(s, v.Record) {
+	if stateErr == nil && matchesRecord(s, v.Record) {
 		return Finish{Incarnation: e.incarnation, Number: v.Number, StartID: s.StartID}, nil
 	}
 	fail.StartID, fail.Detail, fail.Unknown = s.StartID, err.Error(), true
 	return fail, ctx.Err()
 }
 
-// startID asks for the engine's start ID. Without an answer the recorded one stays, and the next
-// comparison reports a restart.
-func (e *Executor) startID(ctx context.Context) string {
-	s, err := e.state(ctx)
+// currentStartID returns the engine's start ID, or "" if the engine does not answer. In that case
+// the record keeps the previous ID, and the next comparison reports a restart if the ID differs.
+func (e *Executor) currentStartID(ctx context.Context) string {
+	s, err := e.engineState(ctx)
 	if err != nil {
 		return ""
 	}
 	return s.StartID
 }
 
-// fail sets the outcome of an order that did not reach the engine.
-func (e *Executor) fail(number uint64, detail string) {
-	e.outcome = &outcome{number: number, event: Fail{Incarnation: e.incarnation, Number: number, Detail: detail}}
+// setFailed sets the outcome of an order that did not reach the engine.
+func (e *Executor) setFailed(number uint64, detail string) {
+	e.unrecordedOutcome = &outcome{number: number, event: Fail{Incarnation: e.incarnation, Number: number, Detail: detail}}
 	e.cfg.Log.WithFields(logrus.Fields{"engine": e.cfg.Engine, "order": number, "detail": detail}).Warn("order not executed")
 }
 
-// writeOutcome records the end of an order. It keeps the outcome for a later step on failure.
+// writeOutcome records the outcome of an order. On failure it keeps the outcome for a later call.
 func (e *Executor) writeOutcome(ctx context.Context) error {
 	var err error
-	for range outcomeTries {
+	for range maxOutcomeWrites {
 		var v versioned
 		if v, err = e.store.read(ctx); err != nil {
 			return err
 		}
-		if v.Number != e.outcome.number || v.Phase.Settled() {
-			// A planner withdrew the order, or a write whose response was lost took effect.
-			e.outcome, e.last = nil, v
+		if v.Number != e.unrecordedOutcome.number || v.Phase.Settled() {
+			// A planner has withdrawn the order, or an earlier write succeeded and its response was
+			// lost.
+			e.unrecordedOutcome, e.lastRecord = nil, v
 			return checkIncarnation(v.Record, e.incarnation)
 		}
-		if v, err = e.store.write(ctx, v, e.outcome.event, nil); err == nil {
-			e.outcome, e.last = nil, v
+		if v, err = e.store.write(ctx, v, e.unrecordedOutcome.event, nil); err == nil {
+			e.unrecordedOutcome, e.lastRecord = nil, v
 			return nil
 		}
 		if !errors.Is(err, ErrConflict) {
@@ -256,17 +261,17 @@
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ApplyTimeout)
 	defer cancel()
 	for {
-		s, err := e.state(ctx)
+		s, err := e.engineState(ctx)
 		if err == nil && !s.Changing {
 			return s, nil
 		}
-		if !pause.For(ctx, stateInterval) {
+		if !pause.For(ctx, steadyPollInterval) {
 			return s, fmt.Errorf("%w: changing %t, last error %w", ErrEngine, s.Changing, errors.Join(err, ctx.Err()))
 		}
 	}
 }
 
-func (e *Executor) state(ctx context.Context) (external.EngineState, error) {
+func (e *Executor) engineState(ctx context.Context) (external.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	s, err := e.cfg.Backend.State(ctx)
--- a/order/bubble_test.go
+++ b/order/bubble_test.go
@@ -5,9 +5,10 @@
 	"testing/synctest"
 )
 
-// bubble runs f under virtual time and returns its result, so that rapid can shrink a failure.
-func bubble(t *testing.T, f func(t *testing.T) []string) (bad []string) {
+// runInBubble runs f in a synctest bubble and returns the violations that it found. It does not
+// fail the test itself, so that rapid can shrink the input.
+func runInBubble(t *testing.T, f func(t *testing.T) []string) (violations []string) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { bad = f(t) })
-	return bad
+	synctest.Test(t, func(t *testing.T) { violations = f(t) })
+	return violations
 }
--- a/order/engine_test.go
+++ b/order/engine_test.go
@@ -10,74 +10,74 @@
 	"github.com/quetzallug/quetzallug/lease"
 )
 
-// entry is one line of the journal that the checker reads.
-type journalEntry struct {
+// historyEvent is one event of the history that findViolations checks.
+type historyEvent struct {
 	at time.Time
 	// kind is apply, applied, refused, crash, pool or seal.
 	kind          string
 	sidecar       string
 	fence, number uint64
 	config        external.EngineConfig
-	// inFlight counts requests that may not be interrupted, at the begin of an apply.
-	inFlight int
-	open     bool // the engine took new work
-	// executing is the order number in a seal's answer.
+	// inFlight is the number of requests in flight that may not be interrupted when an apply begins.
+	inFlight      int
+	acceptingWork bool // the sidecar accepted new work when the apply began
+	// executing is the order number in the response to a seal.
 	executing uint64
-	held      bool // pool: holder and fence name the same session
+	held      bool // pool: the holder key and the fence record contain the same session
 }
 
-type journal struct {
-	mu      sync.Mutex
-	entries []journalEntry
+type history struct {
+	mu     sync.Mutex
+	events []historyEvent
 }
 
-func (j *journal) add(e journalEntry) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (h *history) add(e historyEvent) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	e.at = time.Now()
-	j.entries = append(j.entries, e)
+	h.events = append(h.events, e)
 }
 
-func (j *journal) all() []journalEntry {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]journalEntry(nil), j.entries...)
+func (h *history) snapshot() []historyEvent {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]historyEvent(nil), h.events...)
 }
 
 const (
-	applyTime   = 3 * time.Second
-	restartTime = 2 * time.Second
+	applyDuration   = 3 * time.Second
+	restartDuration = 2 * time.Second
 )
 
 // fakeEngine records the orders that reach it.
 type fakeEngine struct {
-	journal *journal
-	// checksFence makes it refuse lower fence numbers, as some engines do.
+	history *history
+	// checksFence makes the engine refuse lower fence numbers, as some engines do.
 	checksFence bool
 
-	mu    sync.Mutex
-	state external.EngineState
-	down  bool
-	run   int
+	mu         sync.Mutex
+	state      external.EngineState
+	down       bool
+	generation int
 }
 
-func newFakeEngine(j *journal, checksFence bool) *fakeEngine {
-	return &fakeEngine{journal: j, checksFence: checksFence, state: external.EngineState{StartID: "start-0"}}
+func newFakeEngine(h *history, checksFence bool) *fakeEngine {
+	return &fakeEngine{history: h, checksFence: checksFence, state: external.EngineState{StartID: "start-0"}}
 }
 
-// crash loses all state. The engine is back after restartTime.
+// crash discards the engine's state. The engine answers again after restartDuration.
 func (f *fakeEngine) crash() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.run++
+	f.generation++
 	f.down = true
-	f.state = external.EngineState{StartID: fmt.Sprintf("start-%d", f.run)}
-	run := f.run
-	f.journal.add(journalEntry{kind: "crash"})
-	time.AfterFunc(restartTime, func() {
+	f.state = external.EngineState{StartID: fmt.Sprintf("start-%d", f.generation)}
+	generation := f.generation
+	f.history.add(historyEvent{kind: "crash"})
+	time.AfterFunc(restartDuration, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.run == run {
+		if f.generation == generation {
 			f.down = false
 		}
 	})
@@ -89,8 +89,8 @@
 	return f.state, f.down
 }
 
-// apply runs to its end even if the sidecar that sent the order dies.
-func (f *fakeEngine) apply(e journalEntry, o external.EngineOrder) error {
+// apply runs to completion even if the sidecar that sent the order is killed.
+func (f *fakeEngine) apply(e historyEvent, o external.EngineOrder) error {
 	f.mu.Lock()
 	e.fence, e.number, e.config = o.Fence, o.Number, o.Config
 	if f.down {
@@ -100,41 +100,41 @@
 	if f.checksFence && o.Fence < f.state.Fence {
 		f.mu.Unlock()
 		e.kind = "refused"
-		f.journal.add(e)
+		f.history.add(e)
 		return external.ErrStaleFence
 	}
 	e.kind = "apply"
-	f.journal.add(e)
+	f.history.add(e)
 	f.state.Changing, f.state.Fence = true, max(f.state.Fence, o.Fence)
-	run := f.run
+	generation := f.generation
 	f.mu.Unlock()
-	time.Sleep(applyTime)
+	time.Sleep(applyDuration)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.run != run {
+	if f.generation != generation {
 		return external.ErrEngineFailed
 	}
 	f.state.Changing, f.state.Number, f.state.Config = false, o.Number, o.Config
 	e.kind = "applied"
-	f.journal.add(e)
+	f.history.add(e)
 	return nil
 }
 
-// slotDrainer holds the requests that one sidecar has in flight.
-type slotDrainer struct {
+// fakeDrainer counts the requests that one sidecar has in flight.
+type fakeDrainer struct {
 	mu       sync.Mutex
 	inFlight int
 	draining bool
 }
 
-func (d *slotDrainer) BeginDrain(context.Context) error {
+func (d *fakeDrainer) BeginDrain(context.Context) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining = true
 	return nil
 }
 
-func (d *slotDrainer) Wait(ctx context.Context) error {
+func (d *fakeDrainer) Wait(ctx context.Context) error {
 	for {
 		if n, _ := d.counts(); n == 0 {
 			return nil
@@ -147,20 +147,21 @@
 	}
 }
 
-func (d *slotDrainer) EndDrain() {
+func (d *fakeDrainer) EndDrain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining = false
 }
 
-func (d *slotDrainer) counts() (int, bool) {
+func (d *fakeDrainer) counts() (int, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.inFlight, d.draining
 }
 
-// traffic starts a request that may not be interrupted every 300 ms while the engine takes work.
-func (d *slotDrainer) traffic(ctx context.Context) {
+// generateRequests starts a request that may not be interrupted every 300 ms unless the sidecar is
+// draining.
+func (d *fakeDrainer) generateRequests(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.mu.Lock()
 		if !d.draining {
@@ -179,16 +180,16 @@
 	}
 }
 
-// check is the model: it reads only the journal and reports violations of the invariants.
-func check(entries []journalEntry) []string {
-	var bad []string
-	report := func(invariant string, e journalEntry, format string, a ...any) {
-		bad = append(bad, fmt.Sprintf("%s: order %d, fence %d, at %v: ", invariant, e.number, e.fence, e.at)+fmt.Sprintf(format, a...))
+// findViolations returns the violations of the invariants in a history.
+func findViolations(events []historyEvent) []string {
+	var violations []string
+	report := func(invariant string, e historyEvent, format string, a ...any) {
+		violations = append(violations, fmt.Sprintf("%s: order %d, fence %d, at %v: ", invariant, e.number, e.fence, e.at)+fmt.Sprintf(format, a...))
 	}
 	var running bool
 	var lastNumber, lastFence uint64
-	sealed := map[string]journalEntry{} // by sidecar
-	for i, e := range entries {
+	sealed := map[string]historyEvent{} // by sidecar
+	for i, e := range events {
 		switch e.kind {
 		case "seal":
 			sealed[e.sidecar] = e
@@ -201,8 +202,8 @@
 			if e.number <= lastNumber {
 				report("I1", e, "began after order %d", lastNumber)
 			}
-			if e.inFlight > 0 || e.open {
-				report("I2", e, "interrupted %d requests, engine took work: %t", e.inFlight, e.open)
+			if e.inFlight > 0 || e.acceptingWork {
+				report("I2", e, "interrupted %d requests, engine took work: %t", e.inFlight, e.acceptingWork)
 			}
 			if e.fence < lastFence {
 				report("I3", e, "began after an order under fence %d", lastFence)
@@ -210,18 +211,18 @@
 			if s := sealed[e.sidecar]; e.fence < s.fence && s.executing != e.number {
 				report("I3", e, "began after the seal under fence %d", s.fence)
 			}
-			if !authorised(entries[:i], e) {
+			if !authorised(events[:i], e) {
 				report("I3", e, "fence was not in force within 500 ms before")
 			}
 			running, lastNumber, lastFence = true, e.number, e.fence
 		}
 	}
-	return bad
+	return violations
 }
 
 // authorised reports whether the pool was held under the order's fence number at some time in the
 // 500 ms before the order.
-func authorised(before []journalEntry, order journalEntry) bool {
+func authorised(before []historyEvent, order historyEvent) bool {
 	for i := len(before) - 1; i >= 0; i-- {
 		if before[i].kind != "pool" {
 			continue
@@ -230,13 +231,13 @@
 			return true
 		}
 		if order.at.Sub(before[i].at) > 500*time.Millisecond {
-			return false // this state was in force during the whole interval
+			return false // the pool was in this state during the whole interval
 		}
 	}
 	return false
 }
 
-// poolEntry turns a pool state into a line of the journal.
-func poolEntry(s lease.PoolState) journalEntry {
-	return journalEntry{kind: "pool", fence: s.Fence.Fence, held: s.Current(s.Fence.Fence, s.Fence.Holder)}
+// poolEvent converts a pool state to an event of the history.
+func poolEvent(s lease.PoolState) historyEvent {
+	return historyEvent{kind: "pool", fence: s.Fence.Fence, held: s.Current(s.Fence.Fence, s.Fence.Holder)}
 }
--- a/order/executor.go
+++ b/order/executor.go
@@ -15,32 +15,33 @@
 	"github.com/quetzallug/quetzallug/lease"
 )
 
-// EffectBound is the longest time between the start of the read that allows an effect and the
-// effect. It is far below the lease's TTL, so a read that a pause separates from the effect is
-// discarded before another planner can have sealed the engine.
+// EffectBound is the maximum time between the start of the reads that allow an order and its
+// application to the engine. It is far below the lease's TTL: if the process is paused in between
+// for long enough that another planner can have sealed the engine, the reads are discarded.
 const EffectBound = 500 * time.Millisecond
 
-// claimWait covers the effects that an earlier sidecar may still begin after a claim, and the time
-// that its call takes to reach the engine on loopback.
+// claimWait is the delay after a claim. It covers the time in which an earlier sidecar may still
+// apply an order, and the time that its call takes to reach the engine on loopback.
 const claimWait = EffectBound + 100*time.Millisecond
 
 // Defaults of ExecutorConfig.
 const (
-	// DefaultDrainTimeout exceeds the longest answer that a planned change waits for.
+	// DefaultDrainTimeout exceeds the duration of the longest response that a planned change waits
+	// for.
 	DefaultDrainTimeout  = 2 * time.Minute
 	DefaultWeightTimeout = 2 * time.Minute
 	DefaultApplyTimeout  = 2 * time.Minute
-	// DefaultPollInterval makes 640 sidecars read their records 21 times per second together.
+	// DefaultPollInterval amounts to 21 reads per second for 640 sidecars.
 	DefaultPollInterval = 30 * time.Second
-	// DefaultStateInterval applies to calls to the engine on loopback.
+	// DefaultStateInterval is the time between state requests to the engine on loopback.
 	DefaultStateInterval = 2 * time.Second
 )
 
 const (
-	stateTimeout  = 2 * time.Second
-	stateInterval = 200 * time.Millisecond
-	minRetry      = 200 * time.Millisecond
-	maxRetry      = 5 * time.Second
+	stateTimeout       = 2 * time.Second
+	steadyPollInterval = 200 * time.Millisecond
+	minRetryDelay      = 200 * time.Millisecond
+	maxRetryDelay      = 5 * time.Second
 )
 
 // ExecutorConfig configures an Executor.
@@ -50,37 +51,38 @@
 	Backend      external.Engine
 	Weights      external.WeightStore
 	Drainer      Drainer
-	// ModelBytes returns the size of a model's weights; nil means 0 for all.
+	// ModelBytes returns the size of a model's weights in bytes; nil means 0 for all models.
 	ModelBytes    func(external.ModelVersion) int64
 	DrainTimeout  time.Duration
 	WeightTimeout time.Duration
 	ApplyTimeout  time.Duration
 	PollInterval  time.Duration
 	StateInterval time.Duration
-	// Random returns a number in [0, 1); nil means the runtime's source.
+	// Random returns a number in [0, 1); nil means math/rand/v2.
 	Random func() float64
 	Log    logrus.FieldLogger
 }
 
-// Executor is the sidecar's side of orders for one engine. It implements Sidecar.
+// Executor executes the orders for one engine in its sidecar. It implements Sidecar.
 type Executor struct {
 	cfg   ExecutorConfig
 	store store
 	wake  chan struct{}
 
-	// incarnation, last and outcome belong to the goroutine of Run. incarnation is written under mu.
-	last    versioned
-	outcome *outcome
+	// lastRecord and unrecordedOutcome are used only by the goroutine of Run. That goroutine writes
+	// incarnation with mu held and reads it without.
+	lastRecord        versioned
+	unrecordedOutcome *outcome
 
-	mu          sync.Mutex // guards the fields below
-	incarnation uint64
-	ready       bool
-	superseded  bool
-	highest     uint64
-	executing   uint64
+	mu             sync.Mutex // guards the fields below
+	incarnation    uint64
+	ready          bool
+	superseded     bool
+	highestFence   uint64 // highest fence number of a seal, or of the pool at start
+	executingOrder uint64 // number of the order being applied, 0 if none
 }
 
-// outcome is the end of an executed order that is not yet recorded.
+// outcome is the result of an order that is not recorded yet.
 type outcome struct {
 	number uint64
 	event  Event
@@ -88,7 +90,7 @@
 
 var _ Sidecar = (*Executor)(nil)
 
-// NewExecutor returns an executor that refuses everything until Run has established its state.
+// NewExecutor returns an executor that refuses all messages until Run has established its state.
 func NewExecutor(cfg ExecutorConfig) *Executor {
 	setDefault(&cfg.DrainTimeout, DefaultDrainTimeout)
 	setDefault(&cfg.WeightTimeout, DefaultWeightTimeout)
@@ -113,39 +115,40 @@
 	}
 }
 
-// Run establishes the executor's state and executes orders until ctx ends, or until another
-// sidecar has claimed the engine; it then returns ErrSuperseded.
+// Run establishes the executor's state and executes orders until ctx ends or another sidecar
+// claims the engine. In the latter case it returns ErrSuperseded.
 func (e *Executor) Run(ctx context.Context) error {
-	if err := e.untilReady(ctx); err != nil {
+	if err := e.startWithRetry(ctx); err != nil {
 		return err
 	}
-	state := time.NewTicker(e.cfg.StateInterval)
-	defer state.Stop()
-	next, delay := time.Duration(0), time.Duration(0)
+	stateTicker := time.NewTicker(e.cfg.StateInterval)
+	defer stateTicker.Stop()
+	wait, delay := time.Duration(0), time.Duration(0)
 	for {
-		timer := time.NewTimer(next)
-		err := e.await(ctx, timer, state)
+		timer := time.NewTimer(wait)
+		err := e.waitForTrigger(ctx, timer, stateTicker)
 		timer.Stop()
 		if err == nil {
-			err = e.step(ctx)
+			err = e.processRecord(ctx)
 		}
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, ErrSuperseded):
-			return e.supersede(err)
+			return e.markSuperseded(err)
 		case err != nil:
-			delay = min(max(minRetry, 2*delay), maxRetry)
-			next = e.jitter(delay)
-			e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Warn("order step put off")
+			delay = min(max(minRetryDelay, 2*delay), maxRetryDelay)
+			wait = e.jitter(delay)
+			e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Warn("order record not processed; retrying")
 		default:
-			delay, next = 0, e.jitter(e.cfg.PollInterval)
+			delay, wait = 0, e.jitter(e.cfg.PollInterval)
 		}
 	}
 }
 
-// await returns when there is a reason to read the record.
-func (e *Executor) await(ctx context.Context, timer *time.Timer, state *time.Ticker) error {
+// waitForTrigger returns when the record must be read: after a notice, when the timer fires, or
+// when the engine's state differs from the record.
+func (e *Executor) waitForTrigger(ctx context.Context, timer *time.Timer, stateTicker *time.Ticker) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -154,26 +157,26 @@
 			return nil
 		case <-timer.C:
 			return nil
-		case <-state.C:
-			if e.engineDiffers(ctx) {
+		case <-stateTicker.C:
+			if e.engineDiverged(ctx) {
 				return nil
 			}
 		}
 	}
 }
 
-// engineDiffers compares the engine's state with the last record that was read.
-func (e *Executor) engineDiffers(ctx context.Context) bool {
-	s, err := e.state(ctx)
-	if err != nil || s.Changing || !e.last.Phase.Settled() {
+// engineDiverged reports whether the engine's state differs from the last record that was read.
+func (e *Executor) engineDiverged(ctx context.Context) bool {
+	s, err := e.engineState(ctx)
+	if err != nil || s.Changing || !e.lastRecord.Phase.Settled() {
 		return false
 	}
-	n := compare(e.last.Record, s)
-	return n.Unknown != e.last.Unknown || n.StartID != e.last.StartID
+	n := markDivergence(e.lastRecord.Record, s)
+	return n.Unknown != e.lastRecord.Unknown || n.StartID != e.lastRecord.StartID
 }
 
-func (e *Executor) untilReady(ctx context.Context) error {
-	delay := minRetry
+func (e *Executor) startWithRetry(ctx context.Context) error {
+	delay := minRetryDelay
 	for {
 		err := e.start(ctx)
 		switch {
@@ -182,17 +185,18 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, ErrSuperseded):
-			return e.supersede(err)
+			return e.markSuperseded(err)
 		}
-		e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Warn("sidecar state not established")
+		e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Warn("sidecar state not established; retrying")
 		if !pause.For(ctx, e.jitter(delay)) {
 			return ctx.Err()
 		}
-		delay = min(2*delay, maxRetry)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// start claims the engine's record, reads the pool's fence, and compares the record with the engine.
+// start claims the engine's record, reads the pool's fence, and reconciles the record with the
+// engine's state.
 func (e *Executor) start(ctx context.Context) error {
 	if err := e.claim(ctx); err != nil {
 		return err
@@ -218,14 +222,14 @@
 	if err != nil {
 		return err
 	}
-	if differs(n, v.Record) {
+	if stateChanged(n, v.Record) {
 		if v, err = e.store.write(ctx, v, Resolve{Incarnation: e.incarnation, State: s}, nil); err != nil {
 			return err
 		}
 	}
-	e.last = v
+	e.lastRecord = v
 	e.mu.Lock()
-	e.highest, e.ready = max(e.highest, pool.Fence.Fence), true
+	e.highestFence, e.ready = max(e.highestFence, pool.Fence.Fence), true
 	e.mu.Unlock()
 	e.cfg.Log.WithFields(logrus.Fields{
 		"engine": e.cfg.Engine, "incarnation": v.Incarnation, "order": v.Number, "phase": v.Phase, "unknown": v.Unknown,
@@ -233,7 +237,7 @@
 	return nil
 }
 
-// claim writes the next incarnation number, unless an earlier try of this process has done so.
+// claim writes the next incarnation number, unless an earlier attempt of this process has done so.
 func (e *Executor) claim(ctx context.Context) error {
 	v, err := e.store.read(ctx)
 	if err != nil {
@@ -251,15 +255,15 @@
 	return nil
 }
 
-func differs(a, b Record) bool {
+func stateChanged(a, b Record) bool {
 	return a.Phase != b.Phase || a.Number != b.Number || a.StartID != b.StartID || a.Unknown != b.Unknown
 }
 
-func (e *Executor) supersede(err error) error {
+func (e *Executor) markSuperseded(err error) error {
 	e.mu.Lock()
 	e.superseded, e.ready = true, false
 	e.mu.Unlock()
-	e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Error("sidecar stops giving orders")
+	e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Error("sidecar superseded; it executes no more orders")
 	return err
 }
 
@@ -278,14 +282,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	// A seal with a higher number may have been accepted since the read.
-	if r.Fence < e.highest {
-		return SealResult{}, fmt.Errorf("fence %d, highest is %d: %w", r.Fence, e.highest, ErrStaleFence)
+	if r.Fence < e.highestFence {
+		return SealResult{}, fmt.Errorf("fence %d, highest is %d: %w", r.Fence, e.highestFence, ErrStaleFence)
 	}
-	e.highest = r.Fence
-	return SealResult{HighestFence: e.highest, Incarnation: e.incarnation, Executing: e.executing}, nil
+	e.highestFence = r.Fence
+	return SealResult{HighestFence: e.highestFence, Incarnation: e.incarnation, Executing: e.executingOrder}, nil
 }
 
-// NotifyOrder implements Sidecar. The record itself is read from the key-value service.
+// NotifyOrder implements Sidecar. It wakes Run, which reads the record from the key-value service.
 func (e *Executor) NotifyOrder(_ context.Context, n Notice) error {
 	if err := e.checkMessage(n.Pool, n.Engine); err != nil {
 		return err
@@ -311,9 +315,11 @@
 func (e *Executor) HighestFence() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.highest
+	return e.highestFence
 }
 
+// checkMessage refuses a message that is for another engine, or that arrives while the executor is
+// not ready.
 func (e *Executor) checkMessage(pool, engine string) error {
 	if pool != e.cfg.Pool || engine != e.cfg.Engine {
 		return fmt.Errorf("message for %s/%s at %s/%s: %w", pool, engine, e.cfg.Pool, e.cfg.Engine, ErrWrongEngine)
@@ -329,14 +335,15 @@
 	return nil
 }
 
+// checkFence refuses a fence number other than the one under which the engine is sealed.
 func (e *Executor) checkFence(fence uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
-	case fence < e.highest:
-		return fmt.Errorf("fence %d, highest is %d: %w", fence, e.highest, ErrStaleFence)
-	case fence > e.highest:
-		return fmt.Errorf("fence %d, highest is %d: %w", fence, e.highest, ErrNotSealed)
+	case fence < e.highestFence:
+		return fmt.Errorf("fence %d, highest is %d: %w", fence, e.highestFence, ErrStaleFence)
+	case fence > e.highestFence:
+		return fmt.Errorf("fence %d, highest is %d: %w", fence, e.highestFence, ErrNotSealed)
 	}
 	return nil
 }
--- a/order/faults_test.go
+++ b/order/faults_test.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	faultKilled       = "killed"
-	faultPaused       = "paused past the lease"
-	faultKVDown       = "key-value service down"
-	faultKVSlow       = "key-value service slow"
-	faultLost         = "response lost"
-	faultDuplicate    = "duplicate delivery"
-	faultEngineCrash  = "engine crash"
-	faultRestart      = "sidecar restarted"
-	faultTwoHolders   = "two holders"
-	faultTwoSidecars  = "two sidecars"
-	outage            = 15 * time.Second // exceeds the lease's TTL of 10 s
-	slowCall          = 800 * time.Millisecond
-	respawnAfter      = 3 * time.Second
-	sidecarSpawnAfter = 500 * time.Millisecond
-	duringCall        = 300 * time.Millisecond
+	faultKilled         = "killed"
+	faultPaused         = "paused past the lease"
+	faultKVDown         = "key-value service down"
+	faultKVSlow         = "key-value service slow"
+	faultLost           = "response lost"
+	faultDuplicate      = "duplicate delivery"
+	faultEngineCrash    = "engine crash"
+	faultRestart        = "sidecar restarted"
+	faultTwoHolders     = "two holders"
+	faultTwoSidecars    = "two sidecars"
+	faultDuration       = 15 * time.Second // longer than the lease's TTL of 10 s
+	slowCallDelay       = 800 * time.Millisecond
+	entryRestartDelay   = 3 * time.Second
+	sidecarRestartDelay = 500 * time.Millisecond
+	midCallDelay        = 300 * time.Millisecond
 )
 
 var allFaults = []string{
@@ -35,111 +35,111 @@
 	faultEngineCrash, faultRestart, faultTwoHolders, faultTwoSidecars,
 }
 
-// moment places a fault relative to the effect of the call that it meets.
-type moment string
+// faultTiming is the time of a fault relative to the call at which it is injected.
+type faultTiming string
 
 const (
-	before moment = "before"
-	during moment = "during"
-	after  moment = "after"
+	before faultTiming = "before"
+	during faultTiming = "during"
+	after  faultTiming = "after"
 )
 
-// strike performs a fault that is not tied to one call.
-func (w *world) strike(name string, p *fault.Process) {
+// injectFault injects a fault that does not apply to a single call.
+func (sim *simulation) injectFault(name string, p *fault.Process) {
 	switch name {
 	case faultKilled:
-		w.kill(p)
+		sim.kill(p)
 	case faultPaused:
-		p.Pause(outage)
+		p.Pause(faultDuration)
 	case faultKVDown:
-		w.network.Down(outage)
+		sim.network.Down(faultDuration)
 	case faultKVSlow:
-		w.network.Slow(outage, slowCall)
+		sim.network.Slow(faultDuration, slowCallDelay)
 	case faultEngineCrash:
-		w.engine.crash()
+		sim.engine.crash()
 	case faultRestart:
-		if s := w.dial(); s != nil {
-			w.kill(s.process)
+		if s := sim.reachableSidecar(); s != nil {
+			sim.kill(s.process)
 		}
 	case faultTwoHolders:
-		// The service drops all leases early: the holder's clock still says that it is valid.
+		// The service revokes all leases early: the holder still considers its authority valid.
 		for id := range 200 {
-			_ = w.store.RevokeLease(w.ctx, leaseID(id+1))
+			_ = sim.store.RevokeLease(sim.ctx, leaseID(id+1))
 		}
 	case faultTwoSidecars:
-		w.startSidecar()
-		w.mu.Lock()
-		w.dialOld = time.Now().Add(outage)
-		w.mu.Unlock()
+		sim.startSidecar()
+		sim.mu.Lock()
+		sim.dialOldestUntil = time.Now().Add(faultDuration)
+		sim.mu.Unlock()
 	}
 }
 
-// kill ends a process and starts a new one of its kind later.
-func (w *world) kill(p *fault.Process) {
+// kill ends a process and later starts a new one of the same kind.
+func (sim *simulation) kill(p *fault.Process) {
 	if p.Dead() {
 		return
 	}
 	p.Kill()
 	if strings.HasPrefix(p.Name, "sidecar") {
-		time.AfterFunc(sidecarSpawnAfter, func() { w.respawn(func() { w.startSidecar() }) })
+		time.AfterFunc(sidecarRestartDelay, func() { sim.respawn(func() { sim.startSidecar() }) })
 		return
 	}
-	time.AfterFunc(respawnAfter, func() { w.respawn(w.startEntry) })
+	time.AfterFunc(entryRestartDelay, func() { sim.respawn(sim.startEntry) })
 }
 
-func (w *world) respawn(start func()) {
-	if w.ctx.Err() == nil {
+func (sim *simulation) respawn(start func()) {
+	if sim.ctx.Err() == nil {
 		start()
 	}
 }
 
-// action is the fault at one call.
-func (w *world) action(name string, at moment, p *fault.Process) fault.Action {
+// faultAction returns the action that injects a fault at one call.
+func (sim *simulation) faultAction(name string, at faultTiming, p *fault.Process) fault.Action {
 	switch name {
 	case faultLost:
 		return fault.Action{Lose: true}
 	case faultDuplicate:
 		return fault.Action{Twice: true}
 	}
-	do := func() { w.strike(name, p) }
+	inject := func() { sim.injectFault(name, p) }
 	switch at {
 	case before:
-		return fault.Action{Before: do}
+		return fault.Action{Before: inject}
 	case after:
-		return fault.Action{After: do}
+		return fault.Action{After: inject}
 	}
-	return fault.Action{Before: func() { time.AfterFunc(duringCall, do) }}
+	return fault.Action{Before: func() { time.AfterFunc(midCallDelay, inject) }}
 }
 
-// step matches the calls of one protocol step.
-type step struct {
+// protocolStep is a step of a protocol, recognised by the call that it makes.
+type protocolStep struct {
 	protocol, name string
 	invariant      string
-	match          func(call) bool
-	// setup starts the situation in which the step occurs; nil if it occurs by itself.
-	setup func(*world)
-	// from is the earliest time of the fault.
-	from time.Duration
+	match          func(observedCall) bool
+	// setup brings about the situation in which the step occurs; nil if it needs none.
+	setup func(*simulation)
+	// notBefore is the earliest time of the fault since the start of the simulation.
+	notBefore time.Duration
 }
 
-// call is a call with what the matchers need to know about its process.
-type call struct {
+// observedCall is a call with the details of its process that the match functions need.
+type observedCall struct {
 	fault.Call
 	sidecar   bool
 	record    order.Record // of a compare-and-swap of an order record
-	executing bool         // the process's last record write began an execution
+	executing bool         // the process's last record write set PhaseExecuting
 }
 
-func isOp(op string) func(call) bool {
-	return func(c call) bool { return c.Op == op }
+func isOp(op string) func(observedCall) bool {
+	return func(c observedCall) bool { return c.Op == op }
 }
 
-func isSwap(key string) func(call) bool {
-	return func(c call) bool { return c.Op == "cas" && c.Key == key }
+func isSwap(key string) func(observedCall) bool {
+	return func(c observedCall) bool { return c.Op == "cas" && c.Key == key }
 }
 
-func recordWrite(sidecar bool, phases ...order.Phase) func(call) bool {
-	return func(c call) bool {
+func recordWrite(sidecar bool, phases ...order.Phase) func(observedCall) bool {
+	return func(c observedCall) bool {
 		for _, p := range phases {
 			if c.record.Phase == p && c.sidecar == sidecar {
 				return true
@@ -149,135 +149,138 @@
 	}
 }
 
-func isAdopt(c call) bool {
+func isAdopt(c observedCall) bool {
 	return !c.sidecar && c.record.Phase != "" && c.record.Phase != order.PhasePlanned
 }
 
-func steps() []step {
+func steps() []protocolStep {
 	const i13, i123 = "I1, I3", "I1, I2, I3"
-	late := 8 * time.Second // some orders have been executed
-	all := []step{
+	afterFirstOrders := 8 * time.Second // at least one order has been executed
+	all := []protocolStep{
 		{protocol: "lease", name: "grant", invariant: "I3", match: isOp("grant")},
 		{protocol: "lease", name: "create holder", invariant: "I3", match: isSwap(lease.HolderKey(pool))},
 		{protocol: "lease", name: "increment fence", invariant: "I3", match: isSwap(lease.FenceKey(pool))},
-		{protocol: "lease", name: "keep alive", invariant: "I3", match: isOp("keepalive"), from: late},
-		{protocol: "order", name: "claim", invariant: i13, match: recordWrite(true, order.PhaseDone), setup: restartSidecar, from: late},
-		{protocol: "order", name: "plan", invariant: i13, match: recordWrite(false, order.PhasePlanned), from: late},
-		{protocol: "order", name: "notify", invariant: i13, match: isOp("notify"), from: late},
-		{protocol: "order", name: "drain", invariant: i123, match: isOp("drain"), from: late},
-		{protocol: "order", name: "read before effect", invariant: i123, match: func(c call) bool {
+		{protocol: "lease", name: "keep alive", invariant: "I3", match: isOp("keepalive"), notBefore: afterFirstOrders},
+		{protocol: "order", name: "claim", invariant: i13, match: recordWrite(true, order.PhaseDone), setup: restartSidecar, notBefore: afterFirstOrders},
+		{protocol: "order", name: "plan", invariant: i13, match: recordWrite(false, order.PhasePlanned), notBefore: afterFirstOrders},
+		{protocol: "order", name: "notify", invariant: i13, match: isOp("notify"), notBefore: afterFirstOrders},
+		{protocol: "order", name: "drain", invariant: i123, match: isOp("drain"), notBefore: afterFirstOrders},
+		{protocol: "order", name: "read before effect", invariant: i123, match: func(c observedCall) bool {
 			return c.sidecar && c.Op == "list" && c.executing
-		}, from: late},
-		{protocol: "order", name: "execute", invariant: i123, match: isOp("apply"), from: late},
-		{protocol: "order", name: "write result", invariant: i13, match: recordWrite(true, order.PhaseDone, order.PhaseFailed), from: late},
+		}, notBefore: afterFirstOrders},
+		{protocol: "order", name: "execute", invariant: i123, match: isOp("apply"), notBefore: afterFirstOrders},
+		{protocol: "order", name: "write result", invariant: i13, match: recordWrite(true, order.PhaseDone, order.PhaseFailed), notBefore: afterFirstOrders},
 	}
 	for _, p := range []order.Phase{order.PhasePlanned, order.PhaseDraining, order.PhaseExecuting} {
 		suffix := " (" + string(p) + " order)"
 		all = append(all,
-			step{protocol: "handover", name: "seal" + suffix, invariant: i13, match: isOp("seal"), setup: killHolderAt(p), from: late},
-			step{protocol: "handover", name: "adopt" + suffix, invariant: i13, match: isAdopt, setup: killHolderAt(p), from: late})
+			protocolStep{protocol: "handover", name: "seal" + suffix, invariant: i13, match: isOp("seal"), setup: killHolderAt(p), notBefore: afterFirstOrders},
+			protocolStep{protocol: "handover", name: "adopt" + suffix, invariant: i13, match: isAdopt, setup: killHolderAt(p), notBefore: afterFirstOrders})
 	}
 	return all
 }
 
-func restartSidecar(w *world) { w.strike(faultRestart, nil) }
+func restartSidecar(sim *simulation) { sim.injectFault(faultRestart, nil) }
 
 // killHolderAt kills the pool's holder when its order reaches a phase.
-func killHolderAt(p order.Phase) func(*world) {
-	return func(w *world) {
-		w.observe = func(c call) {
+func killHolderAt(p order.Phase) func(*simulation) {
+	return func(sim *simulation) {
+		sim.observe = func(c observedCall) {
 			if c.record.Phase != p {
 				return
 			}
-			w.observe = nil
-			state, err := lease.ReadPool(w.ctx, w.store, pool)
+			sim.observe = nil
+			state, err := lease.ReadPool(sim.ctx, sim.store, pool)
 			if err != nil {
 				return
 			}
-			w.mu.Lock()
-			entries := slices.Clone(w.entries)
-			w.mu.Unlock()
+			sim.mu.Lock()
+			entries := slices.Clone(sim.entries)
+			sim.mu.Unlock()
 			for _, e := range entries {
 				if e.Name == state.Holder.Holder {
-					go w.kill(e)
+					go sim.kill(e)
 				}
 			}
 		}
 	}
 }
 
-// script plays faults in a world: the first at a step, the others one second apart after it.
-type script struct {
-	step   step
-	at     moment
+// faultInjector injects faults into a simulation: the first at a protocol step, the others after
+// it at intervals of faultSpacing.
+type faultInjector struct {
+	step   protocolStep
+	at     faultTiming
 	faults []string
 
 	mu        sync.Mutex
-	fired     bool
-	armed     bool
-	pending   string // a fault that waits for the process's next write or message
+	injected  bool
+	setupDone bool
+	pending   string // a fault that applies to the next call with an effect
 	executing map[string]bool
 }
 
-const secondFaultAfter = time.Second
+const faultSpacing = time.Second
 
-// describe needs the script's lock.
-func (s *script) describe(p *fault.Process, c fault.Call) call {
-	k := call{Call: c, sidecar: strings.HasPrefix(p.Name, "sidecar"), executing: s.executing[p.Name]}
+// classify adds the details to a call. The caller holds mu.
+func (inj *faultInjector) classify(p *fault.Process, c fault.Call) observedCall {
+	k := observedCall{Call: c, sidecar: strings.HasPrefix(p.Name, "sidecar"), executing: inj.executing[p.Name]}
 	if c.Op == "cas" && c.Key == order.Key(pool, engineName) {
 		_ = json.Unmarshal(c.Value, &k.record)
-		s.executing[p.Name] = k.record.Phase == order.PhaseExecuting
+		inj.executing[p.Name] = k.record.Phase == order.PhaseExecuting
 	}
 	return k
 }
 
-func (s *script) hook(w *world, p *fault.Process, c fault.Call) fault.Action {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.describe(p, c)
-	if w.observe != nil {
-		w.observe(k)
+func (inj *faultInjector) hook(sim *simulation, p *fault.Process, c fault.Call) fault.Action {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	k := inj.classify(p, c)
+	if sim.observe != nil {
+		sim.observe(k)
 	}
-	if time.Since(w.began) < s.step.from {
+	if time.Since(sim.began) < inj.step.notBefore {
 		return fault.Action{}
 	}
-	if !s.armed {
-		s.armed = true
-		if s.step.setup != nil {
-			s.step.setup(w)
+	if !inj.setupDone {
+		inj.setupDone = true
+		if inj.step.setup != nil {
+			inj.step.setup(sim)
 		}
 	}
-	if s.fired {
-		return s.next(w, p, c)
+	if inj.injected {
+		return inj.injectPending(sim, p, c)
 	}
-	if w.observe != nil || !s.step.match(k) {
+	if sim.observe != nil || !inj.step.match(k) {
 		return fault.Action{}
 	}
-	s.fired = true
-	for i, name := range s.faults[1:] {
-		time.AfterFunc(time.Duration(i+1)*secondFaultAfter, func() { s.later(w, name, p) })
+	inj.injected = true
+	for i, name := range inj.faults[1:] {
+		time.AfterFunc(time.Duration(i+1)*faultSpacing, func() { inj.injectOrDefer(sim, name, p) })
 	}
-	return w.action(s.faults[0], s.at, p)
+	return sim.faultAction(inj.faults[0], inj.at, p)
 }
 
-func (s *script) later(w *world, name string, p *fault.Process) {
+// injectOrDefer injects a fault now, or at the next call that has an effect if the fault applies to
+// a single call.
+func (inj *faultInjector) injectOrDefer(sim *simulation, name string, p *fault.Process) {
 	if name == faultLost || name == faultDuplicate {
-		s.mu.Lock()
-		s.pending = name
-		s.mu.Unlock()
+		inj.mu.Lock()
+		inj.pending = name
+		inj.mu.Unlock()
 		return
 	}
-	w.strike(name, p)
+	sim.injectFault(name, p)
 }
 
-// next applies a waiting fault to the next call that has an effect.
-func (s *script) next(w *world, p *fault.Process, c fault.Call) fault.Action {
+// injectPending injects the pending fault, if any, at a call that has an effect.
+func (inj *faultInjector) injectPending(sim *simulation, p *fault.Process, c fault.Call) fault.Action {
 	switch c.Op {
 	case "cas", "grant", "keepalive", "seal", "notify":
-		name := s.pending
-		s.pending = ""
+		name := inj.pending
+		inj.pending = ""
 		if name != "" {
-			return w.action(name, after, p)
+			return sim.faultAction(name, after, p)
 		}
 	}
 	return fault.Action{}
--- a/order/guards_test.go
+++ b/order/guards_test.go
@@ -13,92 +13,92 @@
 	"github.com/quetzallug/quetzallug/standin/fault"
 )
 
-// bench is one sidecar and one planner process without a lease manager: the test itself grants
+// fixture is one sidecar and one planner process without a lease manager: the test grants
 // authority by writing the pool's keys.
-type bench struct {
-	*world
+type fixture struct {
+	*simulation
 	t       *testing.T
 	process *fault.Process
 	planner *order.Planner
 	sidecar *sidecar
 }
 
-func onBench(t *testing.T, f func(t *testing.T, b *bench)) {
+func withFixture(t *testing.T, f func(t *testing.T, fx *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, false)
-		defer w.stop()
-		b := &bench{world: w, t: t, process: w.process("entry")}
-		b.planner = order.NewPlanner(w.view(b.process), func(string, string) (order.Sidecar, error) {
-			return &remote{w: w, from: b.process}, nil
+		sim := newSimulation(t, 1, false)
+		defer sim.stop()
+		fx := &fixture{simulation: sim, t: t, process: sim.newProcess("entry")}
+		fx.planner = order.NewPlanner(sim.kvClient(fx.process), func(string, string) (order.Sidecar, error) {
+			return &sidecarClient{sim: sim, from: fx.process}, nil
 		}, nil)
-		b.sidecar = w.startSidecar()
+		fx.sidecar = sim.startSidecar()
 		time.Sleep(2 * time.Second)
-		f(t, b)
-		require.Empty(t, check(w.journal.all()), dump(w.journal.all(), w.began))
+		f(t, fx)
+		require.Empty(t, findViolations(sim.history.snapshot()), formatHistory(sim.history.snapshot(), sim.began))
 	})
 }
 
-// hold makes a session the pool's holder and returns its authority.
-func (b *bench) hold(fence uint64, valid time.Duration) lease.Authority {
-	b.t.Helper()
+// grantPool makes a new session the pool's holder and returns its authority.
+func (fx *fixture) grantPool(fence uint64, valid time.Duration) lease.Authority {
+	fx.t.Helper()
 	holder, session := "holder", "session-"+string(rune('0'+fence))
-	b.put(lease.HolderKey(pool), lease.HolderRecord{Holder: holder, Session: session})
-	b.put(lease.FenceKey(pool), lease.FenceRecord{Fence: fence, Holder: holder, Session: session})
+	fx.put(lease.HolderKey(pool), lease.HolderRecord{Holder: holder, Session: session})
+	fx.put(lease.FenceKey(pool), lease.FenceRecord{Fence: fence, Holder: holder, Session: session})
 	return lease.NewAuthority(pool, holder, fence, time.Now().Add(valid))
 }
 
-func (b *bench) put(key string, v any) {
-	b.t.Helper()
+func (fx *fixture) put(key string, v any) {
+	fx.t.Helper()
 	value, err := json.Marshal(v)
-	require.NoError(b.t, err)
-	e, _ := b.store.Get(b.t.Context(), key)
-	_, err = b.store.CompareAndSwap(b.t.Context(), key, e.Version, value, 0)
-	require.NoError(b.t, err)
+	require.NoError(fx.t, err)
+	e, _ := fx.store.Get(fx.t.Context(), key)
+	_, err = fx.store.CompareAndSwap(fx.t.Context(), key, e.Version, value, 0)
+	require.NoError(fx.t, err)
 }
 
-func (b *bench) dropHolder() {
-	e, err := b.store.Get(b.t.Context(), lease.HolderKey(pool))
+func (fx *fixture) dropHolder() {
+	e, err := fx.store.Get(fx.t.Context(), lease.HolderKey(pool))
 	if err == nil {
-		_ = b.store.Delete(b.t.Context(), lease.HolderKey(pool), e.Version)
+		_ = fx.store.Delete(fx.t.Context(), lease.HolderKey(pool), e.Version)
 	}
 }
 
-func (b *bench) record() order.Record {
-	b.t.Helper()
-	r, err := b.planner.Read(b.t.Context(), pool, engineName)
-	require.NoError(b.t, err)
+func (fx *fixture) record() order.Record {
+	fx.t.Helper()
+	r, err := fx.planner.Read(fx.t.Context(), pool, engineName)
+	require.NoError(fx.t, err)
 	return r
 }
 
-func (b *bench) own(a lease.Authority) {
-	b.t.Helper()
-	_, err := b.planner.Own(b.t.Context(), a, engineName)
-	require.NoError(b.t, err)
+func (fx *fixture) takeOver(a lease.Authority) {
+	fx.t.Helper()
+	_, err := fx.planner.Own(fx.t.Context(), a, engineName)
+	require.NoError(fx.t, err)
 }
 
-func (b *bench) issue(a lease.Authority, n int) error {
-	_, err := b.planner.Issue(b.t.Context(), a, engineName, config(n))
+func (fx *fixture) issue(a lease.Authority, n int) error {
+	_, err := fx.planner.Issue(fx.t.Context(), a, engineName, config(n))
 	return err
 }
 
-// onCall runs do at the first call that matches.
-func (b *bench) onCall(match func(call) bool, do func(*fault.Process) fault.Action) {
-	s := &script{executing: map[string]bool{}}
-	b.setHook(func(_ *world, p *fault.Process, c fault.Call) fault.Action {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if k := s.describe(p, c); s.fired || !match(k) {
+// onFirstCall injects the action that do returns at the first call that matches.
+func (fx *fixture) onFirstCall(match func(observedCall) bool, do func(*fault.Process) fault.Action) {
+	inj := &faultInjector{executing: map[string]bool{}}
+	fx.setHook(func(_ *simulation, p *fault.Process, c fault.Call) fault.Action {
+		inj.mu.Lock()
+		defer inj.mu.Unlock()
+		if k := inj.classify(p, c); inj.injected || !match(k) {
 			return fault.Action{}
 		}
-		s.fired = true
+		inj.injected = true
 		return do(p)
 	})
 }
 
-func (b *bench) applies() int {
+func (fx *fixture) applyCount() int {
 	n := 0
-	for _, e := range b.journal.all() {
+	for _, e := range fx.history.snapshot() {
 		if e.kind == "apply" {
 			n++
 		}
@@ -106,70 +106,70 @@
 	return n
 }
 
-func readsBeforeEffect(c call) bool { return c.sidecar && c.Op == "list" && c.executing }
+func isReadBeforeApply(c observedCall) bool { return c.sidecar && c.Op == "list" && c.executing }
 
-// Guards against a planner that writes after its lease has ended during a pause.
+// Guards against a planner that writes although its lease expired while it was paused.
 func TestPausedPlannerWritesNothing(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, 5*time.Second)
-		b.own(a)
-		b.onCall(func(c call) bool { return !c.sidecar && c.Op == "get" }, func(p *fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, 5*time.Second)
+		fx.takeOver(a)
+		fx.onFirstCall(func(c observedCall) bool { return !c.sidecar && c.Op == "get" }, func(p *fault.Process) fault.Action {
 			return fault.Action{After: func() { p.Pause(6 * time.Second) }}
 		})
-		before := b.record().Number
-		require.ErrorIs(t, b.issue(a, 1), order.ErrNoAuthority)
-		require.Equal(t, before, b.record().Number)
+		before := fx.record().Number
+		require.ErrorIs(t, fx.issue(a, 1), order.ErrNoAuthority)
+		require.Equal(t, before, fx.record().Number)
 	})
 }
 
-// Guards against orders to an engine whose sidecar might still follow an earlier planner.
+// Guards against orders for an engine whose sidecar may still execute orders of an earlier planner.
 func TestIssueNeedsSeal(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		first := b.hold(1, time.Minute)
-		require.ErrorIs(t, b.issue(first, 1), order.ErrNotSealed)
-		b.own(first)
-		second := b.hold(2, time.Minute)
-		require.ErrorIs(t, b.issue(second, 1), order.ErrNotSealed)
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		first := fx.grantPool(1, time.Minute)
+		require.ErrorIs(t, fx.issue(first, 1), order.ErrNotSealed)
+		fx.takeOver(first)
+		second := fx.grantPool(2, time.Minute)
+		require.ErrorIs(t, fx.issue(second, 1), order.ErrNotSealed)
 	})
 }
 
-// Guards against a second order that overwrites one still under way.
+// Guards against a second order that overwrites an unfinished one.
 func TestIssueNeedsSettledOrder(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
-		require.NoError(t, b.issue(a, 1))
-		require.ErrorIs(t, b.issue(a, 2), order.ErrUnsettled)
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
+		require.NoError(t, fx.issue(a, 1))
+		require.ErrorIs(t, fx.issue(a, 2), order.ErrUnsettled)
 		time.Sleep(5 * time.Second)
-		require.Equal(t, order.PhaseDone, b.record().Phase)
-		require.NoError(t, b.issue(a, 2))
+		require.Equal(t, order.PhaseDone, fx.record().Phase)
+		require.NoError(t, fx.issue(a, 2))
 	})
 }
 
 // Guards against a delayed seal of an earlier planner that lowers the fence again.
 func TestDelayedSealIsRefused(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		b.hold(1, time.Minute)
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		fx.grantPool(1, time.Minute)
 		delayed := make(chan error, 1)
-		b.onCall(func(c call) bool { return c.sidecar && c.Op == "list" }, func(*fault.Process) fault.Action {
+		fx.onFirstCall(func(c observedCall) bool { return c.sidecar && c.Op == "list" }, func(*fault.Process) fault.Action {
 			return fault.Action{After: func() { time.Sleep(time.Second) }}
 		})
 		go func() {
-			_, err := b.sidecar.executor.Seal(t.Context(), order.SealRequest{Pool: pool, Engine: engineName, Fence: 1, Holder: "holder"})
+			_, err := fx.sidecar.executor.Seal(t.Context(), order.SealRequest{Pool: pool, Engine: engineName, Fence: 1, Holder: "holder"})
 			delayed <- err
 		}()
 		time.Sleep(100 * time.Millisecond)
-		b.own(b.hold(2, time.Minute))
+		fx.takeOver(fx.grantPool(2, time.Minute))
 		require.ErrorIs(t, <-delayed, order.ErrStaleFence)
-		require.Equal(t, uint64(2), b.sidecar.executor.HighestFence())
+		require.Equal(t, uint64(2), fx.sidecar.executor.HighestFence())
 	})
 }
 
-// Guards against messages that are forged, stale or meant for another engine.
+// Guards against a sidecar that accepts messages that are forged, stale or for another engine.
 func TestSidecarRefusesMessages(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		b.own(b.hold(3, time.Minute))
-		e, ctx := b.sidecar.executor, t.Context()
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		fx.takeOver(fx.grantPool(3, time.Minute))
+		e, ctx := fx.sidecar.executor, t.Context()
 		_, err := e.Seal(ctx, order.SealRequest{Pool: pool, Engine: engineName, Fence: 99, Holder: "holder"})
 		require.ErrorIs(t, err, order.ErrForgedFence)
 		_, err = e.Seal(ctx, order.SealRequest{Pool: pool, Engine: engineName, Fence: 3, Holder: "other"})
@@ -183,168 +183,169 @@
 	})
 }
 
-// Guards against an order that reaches the engine after its planner has lost the pool.
+// Guards against an order that is applied after its planner has lost the pool.
 func TestLostAuthorityStopsOrder(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
-		b.onCall(isOp("drain"), func(*fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
+		fx.onFirstCall(isOp("drain"), func(*fault.Process) fault.Action {
 			return fault.Action{After: func() {
-				b.dropHolder()
+				fx.dropHolder()
 				time.Sleep(time.Second)
 			}}
 		})
-		require.NoError(t, b.issue(a, 1))
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(10 * time.Second)
-		require.Zero(t, b.applies())
-		require.Equal(t, order.PhaseFailed, b.record().Phase)
+		require.Zero(t, fx.applyCount())
+		require.Equal(t, order.PhaseFailed, fx.record().Phase)
 	})
 }
 
-// Guards against an effect on the strength of a read from before a pause.
+// Guards against an order that is applied because of a read that was made before a pause.
 func TestOldReadIsDiscarded(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
-		b.onCall(readsBeforeEffect, func(p *fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
+		fx.onFirstCall(isReadBeforeApply, func(p *fault.Process) fault.Action {
 			return fault.Action{After: func() {
-				b.dropHolder()
+				fx.dropHolder()
 				p.Pause(20 * time.Second)
 			}}
 		})
-		require.NoError(t, b.issue(a, 1))
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(40 * time.Second)
-		require.Zero(t, b.applies())
+		require.Zero(t, fx.applyCount())
 	})
 }
 
-// Guards against two sidecars of one engine that both give it orders.
+// Guards against two sidecars of one engine that both send it orders.
 func TestLowerIncarnationStops(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
-		// The first sidecar is about to begin the execution when the second claims the engine.
-		b.onCall(isOp("weights"), func(p *fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
+		// The second sidecar claims the engine when the first is about to execute the order.
+		fx.onFirstCall(isOp("weights"), func(p *fault.Process) fault.Action {
 			return fault.Action{After: func() {
-				b.startSidecar()
+				fx.startSidecar()
 				p.Pause(5 * time.Second)
 			}}
 		})
-		require.NoError(t, b.issue(a, 1))
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(20 * time.Second)
-		require.True(t, b.sidecar.process.Dead(), "the first sidecar still runs")
-		require.Equal(t, 1, b.applies())
-		require.Equal(t, uint64(2), b.record().Incarnation)
+		require.True(t, fx.sidecar.process.Dead(), "the first sidecar still runs")
+		require.Equal(t, 1, fx.applyCount())
+		require.Equal(t, uint64(2), fx.record().Incarnation)
 	})
 }
 
-// Guards against a second sidecar that begins an order while the first one's order is on its way.
+// Guards against a second sidecar that sends an order while the first one's order is in flight.
 func TestClaimWaitsForEarlierEffect(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, 2*time.Minute)
-		b.own(a)
-		b.onCall(readsBeforeEffect, func(p *fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, 2*time.Minute)
+		fx.takeOver(a)
+		fx.onFirstCall(isReadBeforeApply, func(p *fault.Process) fault.Action {
 			return fault.Action{After: func() {
-				b.quiet = true // a drain would take as long as the wait
-				b.startSidecar()
-				p.Pause(400 * time.Millisecond) // below the bound: the effect is allowed
+				fx.noRequests = true // a drain would hide a missing claimWait
+				fx.startSidecar()
+				p.Pause(400 * time.Millisecond) // below EffectBound: the order may be applied
 			}}
 		})
-		require.NoError(t, b.issue(a, 1))
+		require.NoError(t, fx.issue(a, 1))
 		for n := 2; n < 20; n++ {
 			time.Sleep(100 * time.Millisecond)
-			_ = b.issue(a, n) // refused until the first order is settled
+			_ = fx.issue(a, n) // refused until the first order is settled
 		}
 		time.Sleep(20 * time.Second)
-		require.Equal(t, order.PhaseDone, b.record().Phase)
+		require.Equal(t, order.PhaseDone, fx.record().Phase)
 	})
 }
 
-// Guards against a planned change that interrupts a request.
+// Guards against an order that interrupts requests in flight.
 func TestOrderWaitsForDrain(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
 		time.Sleep(350 * time.Millisecond)
-		n, _ := b.sidecar.drainer.counts()
+		n, _ := fx.sidecar.drainer.counts()
 		require.Positive(t, n, "no request is in flight")
-		require.NoError(t, b.issue(a, 1))
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(5 * time.Second)
-		require.Equal(t, 1, b.applies())
-		_, draining := b.sidecar.drainer.counts()
+		require.Equal(t, 1, fx.applyCount())
+		_, draining := fx.sidecar.drainer.counts()
 		require.False(t, draining, "the engine takes no work after the order")
 	})
 }
 
-// Guards against a late write of an earlier planner that the new planner would carry out.
+// Guards against an order of an earlier planner that is executed after a handover.
 func TestHandoverWithdrawsUnbegunOrder(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		first := b.hold(1, time.Minute)
-		b.own(first)
-		b.onCall(isOp("begin drain"), func(*fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		first := fx.grantPool(1, time.Minute)
+		fx.takeOver(first)
+		fx.onFirstCall(isOp("begin drain"), func(*fault.Process) fault.Action {
 			return fault.Action{After: func() { time.Sleep(2 * time.Second) }}
 		})
-		require.NoError(t, b.issue(first, 1))
+		require.NoError(t, fx.issue(first, 1))
 		time.Sleep(time.Second)
-		b.own(b.hold(2, time.Minute))
-		require.Equal(t, order.PhaseFailed, b.record().Phase)
+		fx.takeOver(fx.grantPool(2, time.Minute))
+		require.Equal(t, order.PhaseFailed, fx.record().Phase)
 		time.Sleep(10 * time.Second)
-		require.Zero(t, b.applies())
+		require.Zero(t, fx.applyCount())
 	})
 }
 
-// Guards against an order that begins after a new planner has sealed the engine and adopted it.
+// Guards against an order that is applied after a new planner has sealed the sidecar and adopted
+// the record.
 func TestHandoverWhileExecuting(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		first := b.hold(1, time.Minute)
-		b.own(first)
-		b.onCall(readsBeforeEffect, func(*fault.Process) fault.Action {
-			return fault.Action{After: func() { b.own(b.hold(2, time.Minute)) }}
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		first := fx.grantPool(1, time.Minute)
+		fx.takeOver(first)
+		fx.onFirstCall(isReadBeforeApply, func(*fault.Process) fault.Action {
+			return fault.Action{After: func() { fx.takeOver(fx.grantPool(2, time.Minute)) }}
 		})
-		require.NoError(t, b.issue(first, 1))
+		require.NoError(t, fx.issue(first, 1))
 		time.Sleep(10 * time.Second)
-		require.Zero(t, b.applies())
-		require.Equal(t, order.PhaseFailed, b.record().Phase)
+		require.Zero(t, fx.applyCount())
+		require.Equal(t, order.PhaseFailed, fx.record().Phase)
 	})
 }
 
-// Guards against an order that is executed after its record was changed.
+// Guards against an order that is applied after its record has changed.
 func TestChangedRecordIsNotExecuted(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
-		b.onCall(recordWrite(true, order.PhaseExecuting), func(*fault.Process) fault.Action {
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
+		fx.onFirstCall(recordWrite(true, order.PhaseExecuting), func(*fault.Process) fault.Action {
 			return fault.Action{After: func() {
-				r := b.record()
+				r := fx.record()
 				r.Phase = order.PhaseFailed
-				b.put(order.Key(pool, engineName), r)
+				fx.put(order.Key(pool, engineName), r)
 			}}
 		})
-		require.NoError(t, b.issue(a, 1))
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(10 * time.Second)
-		require.Zero(t, b.applies())
+		require.Zero(t, fx.applyCount())
 	})
 }
 
 // Guards against more calls to the key-value service than the package comment states.
 func TestCallsPerOrder(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
 		calls := func(do func()) (reads, writes uint64) {
-			synctest.Wait() // the journal reads the pool after each change
-			before := b.store.Calls()
+			synctest.Wait() // recordPool reads the pool after each change
+			before := fx.store.Calls()
 			do()
-			after := b.store.Calls()
+			after := fx.store.Calls()
 			return after.Reads - before.Reads, after.Writes - before.Writes
 		}
-		reads, writes := calls(func() { b.own(a) })
+		reads, writes := calls(func() { fx.takeOver(a) })
 		require.Equal(t, []uint64{2, 1}, []uint64{reads, writes}, "handover")
 		reads, writes = calls(func() {
-			require.NoError(t, b.issue(a, 1))
+			require.NoError(t, fx.issue(a, 1))
 			time.Sleep(8 * time.Second)
 		})
 		require.Equal(t, []uint64{5, 4}, []uint64{reads, writes}, "order")
-		records, err := b.planner.Records(t.Context(), pool)
+		records, err := fx.planner.Records(t.Context(), pool)
 		require.NoError(t, err)
 		require.Equal(t, order.PhaseDone, records[engineName].Phase)
 	})
@@ -352,38 +353,38 @@
 
 // Guards against an engine that stays in an unknown state after a crash.
 func TestCrashedEngineIsReconciled(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, 5*time.Minute)
-		b.own(a)
-		require.NoError(t, b.issue(a, 1))
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, 5*time.Minute)
+		fx.takeOver(a)
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(5 * time.Second)
-		done := b.record()
+		done := fx.record()
 		require.Equal(t, order.PhaseDone, done.Phase)
-		_, issued, err := b.planner.Reconcile(t.Context(), a, engineName)
+		_, issued, err := fx.planner.Reconcile(t.Context(), a, engineName)
 		require.NoError(t, err)
 		require.False(t, issued)
-		b.engine.crash()
+		fx.engine.crash()
 		time.Sleep(10 * time.Second)
-		r, issued, err := b.planner.Reconcile(t.Context(), a, engineName)
+		r, issued, err := fx.planner.Reconcile(t.Context(), a, engineName)
 		require.NoError(t, err)
 		require.True(t, issued)
 		require.Equal(t, done.Number+1, r.Number)
 		require.Equal(t, done.Config, r.Config)
 		time.Sleep(5 * time.Second)
-		s, _ := b.engine.current()
+		s, _ := fx.engine.current()
 		require.Equal(t, done.Config, s.Config)
 	})
 }
 
 // Guards against a lost response to Apply that is recorded as a failure, or repeated.
 func TestLostApplyResponseIsResolved(t *testing.T) {
-	onBench(t, func(t *testing.T, b *bench) {
-		a := b.hold(1, time.Minute)
-		b.own(a)
-		b.onCall(isOp("apply"), func(*fault.Process) fault.Action { return fault.Action{Lose: true} })
-		require.NoError(t, b.issue(a, 1))
+	withFixture(t, func(t *testing.T, fx *fixture) {
+		a := fx.grantPool(1, time.Minute)
+		fx.takeOver(a)
+		fx.onFirstCall(isOp("apply"), func(*fault.Process) fault.Action { return fault.Action{Lose: true} })
+		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(10 * time.Second)
-		require.Equal(t, order.PhaseDone, b.record().Phase)
-		require.Equal(t, 1, b.applies())
+		require.Equal(t, order.PhaseDone, fx.record().Phase)
+		require.Equal(t, 1, fx.applyCount())
 	})
 }
--- a/order/machine.go
+++ b/order/machine.go
@@ -6,7 +6,7 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Event is a step of the state machine.
+// Event is an input of the state machine.
 type Event interface {
 	next(Record) (Record, error)
 }
@@ -44,8 +44,8 @@
 	return r, nil
 }
 
-// Adopt puts the record under a new planner's fence number. An order that has not begun to execute
-// is withdrawn. The sidecar ends one that has.
+// Adopt sets the record's fence number to that of a new planner. An order that has not begun to
+// execute is withdrawn; one that has is left to the sidecar.
 type Adopt struct {
 	Fence uint64
 }
@@ -62,7 +62,7 @@
 	return r, nil
 }
 
-// Claim is the first write of a sidecar that starts.
+// Claim is the first write of a sidecar that starts. It increments the incarnation number.
 type Claim struct{}
 
 func (Claim) next(r Record) (Record, error) {
@@ -73,8 +73,8 @@
 	return r, nil
 }
 
-// Resolve ends a sidecar's start: it compares the record with the engine's state, which must not
-// be changing.
+// Resolve completes a sidecar's start: it reconciles the record with the engine's state, which
+// must not be changing.
 type Resolve struct {
 	Incarnation uint64
 	State       external.EngineState
@@ -86,7 +86,7 @@
 	}
 	switch r.Phase {
 	case PhaseExecuting:
-		if holds(e.State, r) {
+		if matchesRecord(e.State, r) {
 			return settle(r, PhaseDone, e.State.StartID, "found done at the sidecar's start"), nil
 		}
 		r = settle(r, PhaseFailed, e.State.StartID, "engine did not finish the order")
@@ -98,7 +98,7 @@
 			r.Number, r.Config, r.StartID = e.State.Number, e.State.Config, e.State.StartID
 			return r, nil
 		}
-		return compare(r, e.State), nil
+		return markDivergence(r, e.State), nil
 	}
 	return r, nil
 }
@@ -116,28 +116,28 @@
 	if !r.Phase.Settled() {
 		return r, ErrWrongPhase
 	}
-	return compare(r, e.State), nil
+	return markDivergence(r, e.State), nil
 }
 
-// BeginDrain marks that the engine takes no new work.
+// BeginDrain records that the sidecar is about to stop new work and drain the engine.
 type BeginDrain struct {
 	Incarnation, Fence, Number uint64
 }
 
 func (e BeginDrain) next(r Record) (Record, error) {
-	return e.advance(r, PhasePlanned, PhaseDraining)
+	return e.advancePhase(r, PhasePlanned, PhaseDraining)
 }
 
-// BeginExecute marks that the order may reach the engine.
+// BeginExecute records that the order may reach the engine from now on.
 type BeginExecute struct {
 	Incarnation, Fence, Number uint64
 }
 
 func (e BeginExecute) next(r Record) (Record, error) {
-	return BeginDrain(e).advance(r, PhaseDraining, PhaseExecuting)
+	return BeginDrain(e).advancePhase(r, PhaseDraining, PhaseExecuting)
 }
 
-func (e BeginDrain) advance(r Record, from, to Phase) (Record, error) {
+func (e BeginDrain) advancePhase(r Record, from, to Phase) (Record, error) {
 	if err := checkIncarnation(r, e.Incarnation); err != nil {
 		return r, err
 	}
@@ -158,7 +158,7 @@
 }
 
 func (e Finish) next(r Record) (Record, error) {
-	if err := checkEnd(r, e.Incarnation, e.Number); err != nil {
+	if err := checkUnsettled(r, e.Incarnation, e.Number); err != nil {
 		return r, err
 	}
 	return settle(r, PhaseDone, e.StartID, ""), nil
@@ -174,7 +174,7 @@
 }
 
 func (e Fail) next(r Record) (Record, error) {
-	if err := checkEnd(r, e.Incarnation, e.Number); err != nil {
+	if err := checkUnsettled(r, e.Incarnation, e.Number); err != nil {
 		return r, err
 	}
 	r = settle(r, PhaseFailed, e.StartID, e.Detail)
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func checkEnd(r Record, incarnation, number uint64) error {
+func checkUnsettled(r Record, incarnation, number uint64) error {
 	if err := checkIncarnation(r, incarnation); err != nil {
 		return err
 	}
@@ -207,16 +207,17 @@
 	return r
 }
 
-// holds reports whether the engine's state is what the record wants.
-func holds(s external.EngineState, r Record) bool {
+// matchesRecord reports whether the engine is in the recorded state and is not changing.
+func matchesRecord(s external.EngineState, r Record) bool {
 	return !s.Changing && s.Number == r.Number && sameConfig(s.Config, r.Config)
 }
 
-// compare marks a settled record whose engine is not in the recorded state. A failed order leaves
-// the engine at an earlier number, so only a restart shows there.
-func compare(r Record, s external.EngineState) Record {
+// markDivergence marks a settled record as unknown if the engine is not in the recorded state, and
+// updates its start ID. After a failed order the engine keeps an earlier order number, so only a
+// restart can be detected.
+func markDivergence(r Record, s external.EngineState) Record {
 	restarted := r.StartID != "" && r.StartID != s.StartID
-	if restarted || (r.Phase == PhaseDone && r.Number > 0 && !holds(s, r)) {
+	if restarted || (r.Phase == PhaseDone && r.Number > 0 && !matchesRecord(s, r)) {
 		r.Unknown = true
 		r.Detail = "engine is not in the recorded state"
 	}
--- a/order/matrix_test.go
+++ b/order/matrix_test.go
@@ -12,8 +12,9 @@
 
 func leaseID(n int) external.LeaseID { return external.LeaseID(n) }
 
-// uncovered names the cells whose fault the protocol does not withstand or cannot meet.
-func uncovered(s step, f string) string {
+// notCoveredReason returns why a fault is not tested at a step: the protocol does not tolerate it,
+// or it cannot occur there. It returns "" if the fault is tested.
+func notCoveredReason(s protocolStep, f string) string {
 	if s.name == "drain" && (f == faultDuplicate || f == faultLost) {
 		return "does not apply: the drainer is called within the process"
 	}
@@ -23,72 +24,73 @@
 	return ""
 }
 
-// moments returns the moments at which a fault meets a step.
-func moments(s step, f string) []moment {
+// faultTimings returns the times, relative to the step's call, at which a fault is injected.
+func faultTimings(s protocolStep, f string) []faultTiming {
 	switch {
 	case f == faultLost, f == faultDuplicate:
-		return []moment{after}
+		return []faultTiming{after}
 	case s.name == "execute" && f == faultPaused:
-		// A pause between the last check and the send is the declared cell "send".
-		return []moment{during, after}
+		// A pause between the last check and the send is a known limitation, declared as cell "send".
+		return []faultTiming{during, after}
 	}
-	return []moment{before, during, after}
+	return []faultTiming{before, during, after}
 }
 
-func cell(s step, faults ...string) faultmatrix.Cell {
+func cell(s protocolStep, faults ...string) faultmatrix.Cell {
 	return faultmatrix.Cell{Protocol: s.protocol, Step: s.name, Faults: faults, Invariant: s.invariant}
 }
 
-// play runs one world per engine kind and returns the violations.
-func play(t *testing.T, s step, at moment, faults []string, kinds ...bool) []string {
+// runCell runs one simulation for each value of checksFence and returns the violations.
+func runCell(t *testing.T, s protocolStep, at faultTiming, faults []string, checksFenceValues ...bool) []string {
 	t.Helper()
-	var bad []string
-	for i, checksFence := range kinds {
-		bad = append(bad, bubble(t, func(t *testing.T) []string {
-			sc := &script{step: s, at: at, faults: faults, executing: map[string]bool{}}
-			w := newWorld(t, uint64(i), checksFence)
-			defer w.stop()
-			w.setHook(sc.hook)
-			bad := w.run()
-			if !sc.fired {
-				bad = append(bad, "the step did not occur")
+	var violations []string
+	for i, checksFence := range checksFenceValues {
+		violations = append(violations, runInBubble(t, func(t *testing.T) []string {
+			inj := &faultInjector{step: s, at: at, faults: faults, executing: map[string]bool{}}
+			sim := newSimulation(t, uint64(i), checksFence)
+			defer sim.stop()
+			sim.setHook(inj.hook)
+			violations := sim.run()
+			if !inj.injected {
+				violations = append(violations, "the step did not occur")
 			}
-			if len(bad) > 0 {
-				bad = append(bad, fmt.Sprintf("%s, engine checks fence: %t\n%s", at, checksFence, dump(w.journal.all(), w.began)))
+			if len(violations) > 0 {
+				violations = append(violations, fmt.Sprintf("%s, engine checks fence: %t\n%s", at, checksFence, formatHistory(sim.history.snapshot(), sim.began)))
 			}
-			return bad
+			return violations
 		})...)
 	}
-	return bad
+	return violations
 }
 
-// Guards against a fault at any protocol step that breaks I1, I2 or I3, or stops the pool for good.
+// Guards against a fault at any protocol step that violates I1, I2 or I3, or after which no more
+// orders are executed.
 func TestFaultMatrix(t *testing.T) {
 	r := faultmatrix.NewRegistry()
 	t.Cleanup(func() { r.Report(t) })
-	send := cell(step{protocol: "order", name: "send", invariant: "I3"}, faultPaused)
+	send := cell(protocolStep{protocol: "order", name: "send", invariant: "I3"}, faultPaused)
 	send.Reason = "a pause between the last check and the send on loopback is not detected; see package order"
-	earlier := cell(step{protocol: "order", name: "drain, requests of the earlier sidecar", invariant: "I2"}, faultTwoSidecars)
-	earlier.Reason = "a drain does not wait for requests that run through a superseded sidecar"
-	r.Declare(send, earlier)
+	drainSuperseded := cell(protocolStep{protocol: "order", name: "drain, requests of the earlier sidecar", invariant: "I2"}, faultTwoSidecars)
+	drainSuperseded.Reason = "a drain does not wait for requests that run through a superseded sidecar"
+	r.Declare(send, drainSuperseded)
 	for _, s := range steps() {
 		for _, f := range allFaults {
 			c := cell(s, f)
-			c.Reason = uncovered(s, f)
+			c.Reason = notCoveredReason(s, f)
 			r.Declare(c)
 			if c.Reason != "" {
 				continue
 			}
 			r.Run(t, c, func(t *testing.T) {
-				for _, at := range moments(s, f) {
-					require.Empty(t, play(t, s, at, c.Faults, false, true))
+				for _, at := range faultTimings(s, f) {
+					require.Empty(t, runCell(t, s, at, c.Faults, false, true))
 				}
 			})
 		}
 	}
 }
 
-// Guards against faults that the protocol withstands alone but not together.
+// Guards against pairs of faults that the protocol tolerates singly but not in combination.
 func TestFaultPairs(t *testing.T) {
 	if testing.Short() {
 		t.Skip("pairs take about a minute of processor time")
@@ -102,14 +104,14 @@
 		for _, first := range allFaults {
 			for _, second := range allFaults {
 				c := cell(s, first, second)
-				c.Reason = uncovered(s, first)
+				c.Reason = notCoveredReason(s, first)
 				r.Declare(c)
 				if c.Reason != "" {
 					continue
 				}
 				r.Run(t, c, func(t *testing.T) {
-					at := moments(s, first)
-					require.Empty(t, play(t, s, at[len(at)-1], c.Faults, false))
+					at := faultTimings(s, first)
+					require.Empty(t, runCell(t, s, at[len(at)-1], c.Faults, false))
 				})
 			}
 		}
--- a/order/planner.go
+++ b/order/planner.go
@@ -25,8 +25,8 @@
 	dial func(pool, engine string) (Sidecar, error)
 	log  logrus.FieldLogger
 
-	mu     sync.Mutex // guards sealed
-	sealed map[string]uint64
+	mu           sync.Mutex        // guards sealedFences
+	sealedFences map[string]uint64 // fence number of the last seal, by record key
 }
 
 // NewPlanner returns a planner. dial returns the sidecar of an engine. log may be nil.
@@ -34,7 +34,7 @@
 	if log == nil {
 		log = discardLog()
 	}
-	return &Planner{kv: kv, dial: dial, log: log, sealed: map[string]uint64{}}
+	return &Planner{kv: kv, dial: dial, log: log, sealedFences: map[string]uint64{}}
 }
 
 func discardLog() logrus.FieldLogger {
@@ -43,11 +43,11 @@
 	return l
 }
 
-// Own seals an engine under the authority's fence number and puts its record under it. An order
-// that has not begun is withdrawn. If the returned record is not settled, the sidecar is still
-// executing it, and Issue refuses until it has ended.
+// Own seals an engine's sidecar under the authority's fence number and adopts the engine's record.
+// An order that has not begun to execute is withdrawn. If the returned record is not settled, the
+// sidecar is still executing the order, and Issue fails with ErrUnsettled until it has ended.
 func (p *Planner) Own(ctx context.Context, a lease.Authority, engine string) (Record, error) {
-	if err := valid(a); err != nil {
+	if err := checkAuthority(a); err != nil {
 		return Record{}, err
 	}
 	sealed, err := p.seal(ctx, a, engine)
@@ -63,9 +63,9 @@
 		return Record{}, fmt.Errorf("engine %q: incarnation %d was sealed, %d is in force: %w", engine, sealed.Incarnation, v.Incarnation, ErrNotSealed)
 	}
 	p.mu.Lock()
-	p.sealed[s.key] = a.Fence
+	p.sealedFences[s.key] = a.Fence
 	p.mu.Unlock()
-	p.log.WithFields(logrus.Fields{"engine": engine, "fence": a.Fence, "order": v.Number, "phase": v.Phase}).Info("engine owned")
+	p.log.WithFields(logrus.Fields{"engine": engine, "fence": a.Fence, "order": v.Number, "phase": v.Phase}).Info("engine taken over")
 	return v.Record, nil
 }
 
@@ -86,18 +86,18 @@
 	return r, nil
 }
 
-// adoptTries bounds the retries when the sidecar advances the record at the same time.
-const adoptTries = 5
+// maxAdoptAttempts bounds the retries when the sidecar advances the record at the same time.
+const maxAdoptAttempts = 5
 
-// adopt writes the record even if its order is settled: a write by an earlier planner that is
-// still under way then meets a changed version.
+// adopt writes the record even if its order is settled, so that a write of an earlier planner that
+// is still in flight fails because the version has changed.
 func (p *Planner) adopt(ctx context.Context, a lease.Authority, s store) (versioned, error) {
-	for range adoptTries {
+	for range maxAdoptAttempts {
 		v, err := s.read(ctx)
 		if err != nil {
 			return v, err
 		}
-		n, err := s.write(ctx, v, Adopt{Fence: a.Fence}, func() error { return valid(a) })
+		n, err := s.write(ctx, v, Adopt{Fence: a.Fence}, func() error { return checkAuthority(a) })
 		if !errors.Is(err, ErrConflict) {
 			return n, err
 		}
@@ -105,10 +105,10 @@
 	return versioned{}, ErrConflict
 }
 
-// Issue records a new order for an engine and notifies its sidecar. The order stands even if the
-// notice is lost, because the sidecar also reads its record from time to time.
+// Issue records a new order for an engine and notifies its sidecar. If the notice is lost, the
+// sidecar finds the order at its next periodic read of the record.
 func (p *Planner) Issue(ctx context.Context, a lease.Authority, engine string, config external.EngineConfig) (Record, error) {
-	if err := p.checkOwned(a, engine); err != nil {
+	if err := p.checkSealed(a, engine); err != nil {
 		return Record{}, err
 	}
 	s := store{kv: p.kv, key: Key(a.Pool, engine)}
@@ -119,10 +119,10 @@
 	return p.issue(ctx, a, engine, v, config)
 }
 
-// Reconcile issues the recorded configuration again if the engine's state is not the recorded one,
-// and reports whether it did. It repeats the notice of an order that has not begun.
+// Reconcile issues the recorded configuration again if the engine is not in the recorded state,
+// and reports whether it did. It also repeats the notice of an order that is still planned.
 func (p *Planner) Reconcile(ctx context.Context, a lease.Authority, engine string) (Record, bool, error) {
-	if err := p.checkOwned(a, engine); err != nil {
+	if err := p.checkSealed(a, engine); err != nil {
 		return Record{}, false, err
 	}
 	s := store{kv: p.kv, key: Key(a.Pool, engine)}
@@ -149,7 +149,7 @@
 }
 
 // Records returns the records of a pool by engine name, in one call to the key-value service. A
-// planner that looks after many engines calls Reconcile only for those that are marked unknown or
+// planner of many engines needs to call Reconcile only for those whose record is marked unknown or
 // still planned.
 func (p *Planner) Records(ctx context.Context, pool string) (map[string]Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, cas.DefaultCallTimeout)
@@ -163,8 +163,8 @@
 	for _, e := range entries {
 		v, err := decode(e)
 		if err != nil {
-			// One malformed record must not stop the planning of the other engines.
-			p.log.WithError(err).Error("order record ignored")
+			// A malformed record must not prevent planning for the other engines.
+			p.log.WithError(err).Error("malformed order record ignored")
 			continue
 		}
 		records[strings.TrimPrefix(e.Key, prefix)] = v.Record
@@ -174,7 +174,7 @@
 
 func (p *Planner) issue(ctx context.Context, a lease.Authority, engine string, v versioned, config external.EngineConfig) (Record, error) {
 	s := store{kv: p.kv, key: Key(a.Pool, engine)}
-	n, err := s.write(ctx, v, Issue{Fence: a.Fence, Config: config}, func() error { return valid(a) })
+	n, err := s.write(ctx, v, Issue{Fence: a.Fence, Config: config}, func() error { return checkAuthority(a) })
 	if err != nil {
 		return Record{}, err
 	}
@@ -188,7 +188,7 @@
 }
 
 func (p *Planner) notify(ctx context.Context, a lease.Authority, engine string, r Record) error {
-	if err := valid(a); err != nil {
+	if err := checkAuthority(a); err != nil {
 		return err
 	}
 	sidecar, err := p.dial(a.Pool, engine)
@@ -200,19 +200,19 @@
 	return sidecar.NotifyOrder(ctx, Notice{Pool: a.Pool, Engine: engine, Fence: r.Fence, Number: r.Number})
 }
 
-func (p *Planner) checkOwned(a lease.Authority, engine string) error {
-	if err := valid(a); err != nil {
+func (p *Planner) checkSealed(a lease.Authority, engine string) error {
+	if err := checkAuthority(a); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.sealed[Key(a.Pool, engine)] != a.Fence {
+	if p.sealedFences[Key(a.Pool, engine)] != a.Fence {
 		return fmt.Errorf("engine %q, fence %d: %w", engine, a.Fence, ErrNotSealed)
 	}
 	return nil
 }
 
-func valid(a lease.Authority) error {
+func checkAuthority(a lease.Authority) error {
 	if !a.Valid() {
 		return fmt.Errorf("pool %q, fence %d: %w", a.Pool, a.Fence, ErrNoAuthority)
 	}
--- a/order/property_test.go
+++ b/order/property_test.go
@@ -15,16 +15,16 @@
 	"github.com/quetzallug/quetzallug/standin/fault"
 )
 
-// blow is one fault of a random script.
-type blow struct {
+// timedFault is one fault of a random sequence.
+type timedFault struct {
 	wait   time.Duration
 	fault  string
 	target int
 }
 
-func blows() *rapid.Generator[[]blow] {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) blow {
-		return blow{
+func timedFaults() *rapid.Generator[[]timedFault] {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) timedFault {
+		return timedFault{
 			wait:   time.Duration(rapid.IntRange(1, 6000).Draw(t, "wait in ms")) * time.Millisecond,
 			fault:  rapid.SampledFrom(allFaults).Draw(t, "fault"),
 			target: rapid.IntRange(0, 9).Draw(t, "target"),
@@ -32,61 +32,62 @@
 	}), 1, 12)
 }
 
-// strikeAny hits any living entry or sidecar. Faults of single calls hit the next write.
-func (w *world) strikeAny(s *script, b blow) {
-	w.mu.Lock()
+// injectIntoLiving injects a fault into one of the living entries and sidecars. A fault that
+// applies to a single call is injected at the next call that has an effect.
+func (sim *simulation) injectIntoLiving(inj *faultInjector, f timedFault) {
+	sim.mu.Lock()
 	var living []*fault.Process
-	for _, p := range w.entries {
+	for _, p := range sim.entries {
 		if !p.Dead() {
 			living = append(living, p)
 		}
 	}
-	for _, sc := range w.sidecars {
+	for _, sc := range sim.sidecars {
 		if !sc.process.Dead() {
 			living = append(living, sc.process)
 		}
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	if len(living) > 0 {
-		s.later(w, b.fault, living[b.target%len(living)])
+		inj.injectOrDefer(sim, f.fault, living[f.target%len(living)])
 	}
 }
 
-// Guards against sequences of faults at arbitrary times that break I1, I2 or I3.
+// Guards against sequences of faults at arbitrary times that violate I1, I2 or I3.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		faults := blows().Draw(rt, "faults")
+		faults := timedFaults().Draw(rt, "faults")
 		checksFence := rapid.Bool().Draw(rt, "engine checks fence")
-		bad := bubble(t, func(t *testing.T) []string {
-			s := &script{fired: true, armed: true, executing: map[string]bool{}}
-			w := newWorld(t, 7, checksFence)
-			defer w.stop()
-			w.setHook(s.hook)
+		violations := runInBubble(t, func(t *testing.T) []string {
+			inj := &faultInjector{injected: true, setupDone: true, executing: map[string]bool{}}
+			sim := newSimulation(t, 7, checksFence)
+			defer sim.stop()
+			sim.setHook(inj.hook)
 			go func() {
 				time.Sleep(5 * time.Second)
-				for _, b := range faults {
-					time.Sleep(b.wait)
-					w.strikeAny(s, b)
+				for _, f := range faults {
+					time.Sleep(f.wait)
+					sim.injectIntoLiving(inj, f)
 				}
 			}()
-			bad := w.run()
-			if len(bad) > 0 {
-				bad = append(bad, dump(w.journal.all(), w.began))
+			violations := sim.run()
+			if len(violations) > 0 {
+				violations = append(violations, formatHistory(sim.history.snapshot(), sim.began))
 			}
-			return bad
+			return violations
 		})
-		if len(bad) > 0 {
-			rt.Fatalf("%s", strings.Join(bad, "\n"))
+		if len(violations) > 0 {
+			rt.Fatalf("%s", strings.Join(violations, "\n"))
 		}
 	})
 }
 
-// machineModel restates the rules of the state machine without reference to its code.
+// machineModel checks the rules of the state machine independently of its implementation.
 type machineModel struct {
 	r order.Record
 }
 
-var allowed = map[order.Phase][]order.Phase{
+var allowedPhases = map[order.Phase][]order.Phase{
 	"":                   {order.PhaseDone},
 	order.PhasePlanned:   {order.PhasePlanned, order.PhaseDraining, order.PhaseFailed, order.PhaseDone},
 	order.PhaseDraining:  {order.PhaseDraining, order.PhasePlanned, order.PhaseExecuting, order.PhaseFailed, order.PhaseDone},
@@ -95,7 +96,7 @@
 	order.PhaseFailed:    {order.PhaseFailed, order.PhasePlanned},
 }
 
-func (m *machineModel) try(t *rapid.T, e order.Event) {
+func (m *machineModel) checkTransition(t *rapid.T, e order.Event) {
 	old := m.r
 	n, err := order.Next(old, e)
 	if err != nil {
@@ -103,7 +104,7 @@
 		return
 	}
 	m.r = n
-	require.Contains(t, allowed[old.Phase], n.Phase, "%T", e)
+	require.Contains(t, allowedPhases[old.Phase], n.Phase, "%T", e)
 	require.GreaterOrEqual(t, n.Fence, old.Fence, "%T lowered the fence", e)
 	require.GreaterOrEqual(t, n.Incarnation, old.Incarnation, "%T lowered the incarnation", e)
 	if n.Number != old.Number && old.Number != 0 {
@@ -137,15 +138,15 @@
 	return 0, false
 }
 
-// Guards against transitions that lose an unfinished order, lower a number, or accept an event of a
-// superseded sidecar or planner.
+// Guards against transitions that overwrite an unfinished order, decrease a fence, order or
+// incarnation number, or accept an event of a superseded sidecar or planner.
 func TestMachineKeepsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machineModel{}
 		near := func(v uint64, name string) uint64 {
 			return uint64(max(0, int(v)+rapid.IntRange(-1, 1).Draw(t, name)))
 		}
-		id := func() order.BeginDrain {
+		drainEvent := func() order.BeginDrain {
 			return order.BeginDrain{
 				Incarnation: near(m.r.Incarnation, "incarnation"), Fence: near(m.r.Fence, "fence"), Number: near(m.r.Number, "number"),
 			}
@@ -158,23 +159,23 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"issue": func(t *rapid.T) {
-				m.try(t, order.Issue{Fence: near(m.r.Fence, "fence"), Config: config(rapid.IntRange(0, 2).Draw(t, "config"))})
+				m.checkTransition(t, order.Issue{Fence: near(m.r.Fence, "fence"), Config: config(rapid.IntRange(0, 2).Draw(t, "config"))})
 			},
-			"adopt":         func(t *rapid.T) { m.try(t, order.Adopt{Fence: near(m.r.Fence, "fence")}) },
-			"claim":         func(t *rapid.T) { m.try(t, order.Claim{}) },
-			"begin drain":   func(t *rapid.T) { m.try(t, id()) },
-			"begin execute": func(t *rapid.T) { m.try(t, order.BeginExecute(id())) },
+			"adopt":         func(t *rapid.T) { m.checkTransition(t, order.Adopt{Fence: near(m.r.Fence, "fence")}) },
+			"claim":         func(t *rapid.T) { m.checkTransition(t, order.Claim{}) },
+			"begin drain":   func(t *rapid.T) { m.checkTransition(t, drainEvent()) },
+			"begin execute": func(t *rapid.T) { m.checkTransition(t, order.BeginExecute(drainEvent())) },
 			"finish": func(t *rapid.T) {
-				m.try(t, order.Finish{Incarnation: near(m.r.Incarnation, "incarnation"), Number: near(m.r.Number, "number")})
+				m.checkTransition(t, order.Finish{Incarnation: near(m.r.Incarnation, "incarnation"), Number: near(m.r.Number, "number")})
 			},
 			"fail": func(t *rapid.T) {
-				m.try(t, order.Fail{Incarnation: near(m.r.Incarnation, "incarnation"), Number: near(m.r.Number, "number")})
+				m.checkTransition(t, order.Fail{Incarnation: near(m.r.Incarnation, "incarnation"), Number: near(m.r.Number, "number")})
 			},
 			"resolve": func(t *rapid.T) {
-				m.try(t, order.Resolve{Incarnation: near(m.r.Incarnation, "incarnation"), State: state()})
+				m.checkTransition(t, order.Resolve{Incarnation: near(m.r.Incarnation, "incarnation"), State: state()})
 			},
 			"observe": func(t *rapid.T) {
-				m.try(t, order.Observe{Incarnation: near(m.r.Incarnation, "incarnation"), State: state()})
+				m.checkTransition(t, order.Observe{Incarnation: near(m.r.Incarnation, "incarnation"), State: state()})
 			},
 		})
 	})
--- a/order/record.go
+++ b/order/record.go
@@ -6,7 +6,7 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Phase is the progress of an order.
+// Phase is the stage that an order has reached.
 type Phase string
 
 // Phases of an order.
@@ -21,10 +21,11 @@
 // Settled reports whether the order has ended.
 func (p Phase) Settled() bool { return p == PhaseDone || p == PhaseFailed }
 
-// Record is the last order of one engine, kept at order/<pool>/<engine>. Number 0 means that no
-// order has been issued; Config is then what the engine reported when it was first claimed.
+// Record describes the last order of one engine. It is stored at order/<pool>/<engine>. Number 0
+// means that no order has been issued; Config is then the configuration that the engine reported
+// when it was first claimed.
 type Record struct {
-	// Fence is the fence number of the planner that owns the order.
+	// Fence is the fence number of the planner that last issued or adopted the order.
 	Fence uint64 `json:"fence"`
 	// IssuedFence is the fence number under which the order was issued. It differs from Fence
 	// after a handover.
@@ -33,7 +34,8 @@
 	Config      external.EngineConfig `json:"wanted"`
 	Phase       Phase                 `json:"phase"`
 	WriteID     string                `json:"write_id"`
-	// Incarnation numbers the sidecars that have claimed the engine; the highest is in force.
+	// Incarnation counts the sidecars that have claimed the engine. Events of any but the latest
+	// sidecar are refused.
 	Incarnation uint64 `json:"incarnation"`
 	// StartID is the engine's start ID when the record was last compared with its state.
 	StartID string `json:"start_id,omitempty"`
@@ -42,7 +44,7 @@
 	Detail  string `json:"detail,omitempty"`
 }
 
-// Key is the key of an engine's order record.
+// Key returns the key of an engine's order record.
 func Key(pool, engine string) string { return "order/" + pool + "/" + engine }
 
 // sameConfig compares configurations without regard to the order of models and adapters.
--- a/order/sidecar.go
+++ b/order/sidecar.go
@@ -23,19 +23,21 @@
 	Fence, Number uint64
 }
 
-// Sidecar is the planner's view of an engine's sidecar. A refusal is one of the executor's errors.
-// Both calls may be delivered more than once.
+// Sidecar is the interface through which a planner calls an engine's sidecar. If the sidecar
+// refuses a call, it returns one of the executor's errors. Both calls may be delivered more than
+// once.
 type Sidecar interface {
 	Seal(ctx context.Context, r SealRequest) (SealResult, error)
 	NotifyOrder(ctx context.Context, n Notice) error
 }
 
-// Drainer takes an engine out of service for a planned change. Calls may be repeated.
+// Drainer takes an engine out of service for a planned change. Its methods may be called
+// repeatedly.
 type Drainer interface {
-	// BeginDrain stops new work.
+	// BeginDrain stops the engine from accepting new work.
 	BeginDrain(ctx context.Context) error
 	// Wait returns when no request that a planned change may not interrupt is in flight.
 	Wait(ctx context.Context) error
-	// EndDrain lets the engine take new work again.
+	// EndDrain lets the engine accept new work again.
 	EndDrain()
 }
--- a/order/store.go
+++ b/order/store.go
@@ -41,7 +41,8 @@
 	return v, nil
 }
 
-// write applies an event to a record that was read before. check runs before each send.
+// write applies an event to a record that was read before and stores the result. check, if not
+// nil, runs before each attempt to store it.
 func (s store) write(ctx context.Context, v versioned, e Event, check func() error) (versioned, error) {
 	n, err := Next(v.Record, e)
 	if err != nil {
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -23,122 +23,123 @@
 const (
 	pool       = "halte.joburg"
 	engineName = "e1"
-	// changesEnd is the time after which the wanted configuration stays as it is.
-	changesEnd = 60 * time.Second
-	lateCrash  = 110 * time.Second
-	worldEnd   = 150 * time.Second
+	// changesEnd is the time after which the desired configuration no longer changes.
+	changesEnd    = 60 * time.Second
+	crashTime     = 110 * time.Second
+	simulationEnd = 150 * time.Second
 )
 
 var errLost = errors.New("response lost")
 
-// world is two entries that compete for a pool, and one engine with its sidecar.
-type world struct {
+// simulation runs two entries that compete for a pool, and one engine with its sidecar.
+type simulation struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
 	store   *kv.Store
 	network *fault.Network
 	engine  *fakeEngine
-	journal *journal
+	history *history
 	began   time.Time
-	// observe sees calls before the hook chooses an action; the script's lock guards it.
-	observe func(call)
+	// observe is called for each call before the hook chooses an action; the mutex of the
+	// faultInjector guards it.
+	observe func(observedCall)
 
 	mu sync.Mutex
-	// hook sees every call of every process.
-	hook     func(*world, *fault.Process, fault.Call) fault.Action
+	// hook is called for every call of every process.
+	hook     func(*simulation, *fault.Process, fault.Call) fault.Action
 	random   *rand.Rand
 	entries  []*fault.Process
 	sidecars []*sidecar
-	// quiet keeps new sidecars without requests.
-	quiet bool
-	// dialOld makes planners reach the oldest living sidecar until this time.
-	dialOld time.Time
-	started int
+	// noRequests disables requests for new sidecars.
+	noRequests bool
+	// dialOldestUntil is the time until which planners reach the oldest living sidecar.
+	dialOldestUntil time.Time
+	started         int
 }
 
 type sidecar struct {
 	process  *fault.Process
 	executor *order.Executor
-	drainer  *slotDrainer
+	drainer  *fakeDrainer
 }
 
-func newWorld(t *testing.T, seed uint64, checksFence bool) *world {
+func newSimulation(t *testing.T, seed uint64, checksFence bool) *simulation {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	j := &journal{}
-	w := &world{
-		ctx: ctx, cancel: cancel, store: kv.NewStore(kv.Limits{}), network: &fault.Network{}, engine: newFakeEngine(j, checksFence),
-		journal: j, began: time.Now(), random: rand.New(rand.NewPCG(seed, 1)),
+	h := &history{}
+	sim := &simulation{
+		ctx: ctx, cancel: cancel, store: kv.NewStore(kv.Limits{}), network: &fault.Network{}, engine: newFakeEngine(h, checksFence),
+		history: h, began: time.Now(), random: rand.New(rand.NewPCG(seed, 1)),
 	}
-	go w.recordPool()
-	return w
+	go sim.recordPool()
+	return sim
 }
 
-// recordPool journals each change of the pool's holder and fence when it happens.
-func (w *world) recordPool() {
+// recordPool adds each change of the pool's holder and fence to the history.
+func (sim *simulation) recordPool() {
 	after := uint64(0)
-	for w.ctx.Err() == nil {
-		events, next, _ := w.store.Watch(w.ctx, lease.KeyPrefix, after)
+	for sim.ctx.Err() == nil {
+		events, next, _ := sim.store.Watch(sim.ctx, lease.KeyPrefix, after)
 		after = next
 		if len(events) == 0 {
 			continue
 		}
-		if s, err := lease.ReadPool(w.ctx, w.store, pool); err == nil {
-			w.journal.add(poolEntry(s))
+		if s, err := lease.ReadPool(sim.ctx, sim.store, pool); err == nil {
+			sim.history.add(poolEvent(s))
 		}
 	}
 }
 
-func (w *world) setHook(hook func(*world, *fault.Process, fault.Call) fault.Action) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.hook = hook
+func (sim *simulation) setHook(hook func(*simulation, *fault.Process, fault.Call) fault.Action) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.hook = hook
 }
 
-func (w *world) rand() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.random.Float64()
+func (sim *simulation) rand() float64 {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.random.Float64()
 }
 
-func (w *world) process(kind string) *fault.Process {
-	w.mu.Lock()
-	w.started++
-	name := fmt.Sprintf("%s-%d", kind, w.started)
-	w.mu.Unlock()
-	p := fault.NewProcess(w.ctx, name, nil)
+func (sim *simulation) newProcess(kind string) *fault.Process {
+	sim.mu.Lock()
+	sim.started++
+	name := fmt.Sprintf("%s-%d", kind, sim.started)
+	sim.mu.Unlock()
+	p := fault.NewProcess(sim.ctx, name, nil)
 	p.Hook = func(c fault.Call) fault.Action {
-		w.mu.Lock()
-		hook := w.hook
-		w.mu.Unlock()
+		sim.mu.Lock()
+		hook := sim.hook
+		sim.mu.Unlock()
 		if hook == nil {
 			return fault.Action{}
 		}
-		return hook(w, p, c)
+		return hook(sim, p, c)
 	}
 	return p
 }
 
-func (w *world) view(p *fault.Process) external.KV {
-	return &fault.KV{Process: p, Network: w.network, Store: w.store}
+func (sim *simulation) kvClient(p *fault.Process) external.KV {
+	return &fault.KV{Process: p, Network: sim.network, Store: sim.store}
 }
 
-// startEntry runs a lease manager and a planner that wants the configuration of the time.
-func (w *world) startEntry() {
-	p := w.process("entry")
-	m, err := lease.NewManager(w.view(p), lease.Config{Holder: p.Name, Pools: []string{pool}, Random: w.rand})
+// startEntry runs a lease manager and a planner that orders the desired configuration.
+func (sim *simulation) startEntry() {
+	p := sim.newProcess("entry")
+	m, err := lease.NewManager(sim.kvClient(p), lease.Config{Holder: p.Name, Pools: []string{pool}, Random: sim.rand})
 	if err != nil {
 		panic(err)
 	}
-	planner := order.NewPlanner(w.view(p), func(string, string) (order.Sidecar, error) { return &remote{w: w, from: p}, nil }, nil)
-	w.mu.Lock()
-	w.entries = append(w.entries, p)
-	w.mu.Unlock()
+	planner := order.NewPlanner(sim.kvClient(p), func(string, string) (order.Sidecar, error) { return &sidecarClient{sim: sim, from: p}, nil }, nil)
+	sim.mu.Lock()
+	sim.entries = append(sim.entries, p)
+	sim.mu.Unlock()
 	go m.Run(p.Context())
-	go w.plan(p, m, planner)
+	go sim.plan(p, m, planner)
 }
 
-func (w *world) plan(p *fault.Process, m *lease.Manager, planner *order.Planner) {
+func (sim *simulation) plan(p *fault.Process, m *lease.Manager, planner *order.Planner) {
 	ctx, owned := p.Context(), uint64(0)
 	for ctx.Err() == nil {
 		if a, ok := m.Authority(pool); ok {
@@ -148,7 +149,7 @@
 				}
 			}
 			if owned == a.Fence {
-				w.planOnce(ctx, a, planner)
+				sim.planOnce(ctx, a, planner)
 			}
 		}
 		select {
@@ -158,89 +159,89 @@
 	}
 }
 
-func (w *world) planOnce(ctx context.Context, a lease.Authority, planner *order.Planner) {
+func (sim *simulation) planOnce(ctx context.Context, a lease.Authority, planner *order.Planner) {
 	if _, issued, err := planner.Reconcile(ctx, a, engineName); issued || err != nil {
 		return
 	}
 	r, err := planner.Read(ctx, pool, engineName)
-	want := w.wanted()
+	want := sim.desiredConfig()
 	if err == nil && (r.Config.Role != want.Role || !slices.Equal(r.Config.Models, want.Models) || r.Phase == order.PhaseFailed) {
-		_, _ = planner.Issue(ctx, a, engineName, want) // the next round tries again
+		_, _ = planner.Issue(ctx, a, engineName, want) // the next iteration retries
 	}
 }
 
-func (w *world) wanted() external.EngineConfig {
+func (sim *simulation) desiredConfig() external.EngineConfig {
 	roles := []external.Role{external.RoleMixed, external.RolePrefill, external.RoleDecode}
-	n := int(min(time.Since(w.began), changesEnd) / (7 * time.Second))
+	n := int(min(time.Since(sim.began), changesEnd) / (7 * time.Second))
 	return external.EngineConfig{Role: roles[n%len(roles)], Models: []external.ModelVersion{{Name: "m", Version: fmt.Sprint(n)}}}
 }
 
-func (w *world) startSidecar() *sidecar {
-	p := w.process("sidecar")
-	s := &sidecar{process: p, drainer: &slotDrainer{}}
+func (sim *simulation) startSidecar() *sidecar {
+	p := sim.newProcess("sidecar")
+	s := &sidecar{process: p, drainer: &fakeDrainer{}}
 	s.executor = order.NewExecutor(order.ExecutorConfig{
-		Pool: pool, Engine: engineName, KV: w.view(p), Backend: &gatedEngine{s: s, w: w}, Weights: &gatedWeights{p},
-		Drainer: &gatedDrainer{s}, Random: w.rand, DrainTimeout: 20 * time.Second, ApplyTimeout: 20 * time.Second,
+		Pool: pool, Engine: engineName, KV: sim.kvClient(p), Backend: &faultyEngine{s: s, sim: sim}, Weights: &faultyWeights{p},
+		Drainer: &faultyDrainer{s}, Random: sim.rand, DrainTimeout: 20 * time.Second, ApplyTimeout: 20 * time.Second,
 	})
-	w.mu.Lock()
-	w.sidecars = append(w.sidecars, s)
-	w.mu.Unlock()
-	if !w.quiet {
-		go s.drainer.traffic(p.Context())
+	sim.mu.Lock()
+	sim.sidecars = append(sim.sidecars, s)
+	sim.mu.Unlock()
+	if !sim.noRequests {
+		go s.drainer.generateRequests(p.Context())
 	}
 	go func() {
 		if errors.Is(s.executor.Run(p.Context()), order.ErrSuperseded) {
-			p.Kill() // the daemon ends
+			p.Kill() // the sidecar process exits
 		}
 	}()
 	return s
 }
 
-// dial returns the sidecar that the pool's entries reach.
-func (w *world) dial() *sidecar {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	living := slices.DeleteFunc(slices.Clone(w.sidecars), func(s *sidecar) bool { return s.process.Dead() })
+// reachableSidecar returns the sidecar that the planners of the pool reach, or nil if none lives.
+func (sim *simulation) reachableSidecar() *sidecar {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	living := slices.DeleteFunc(slices.Clone(sim.sidecars), func(s *sidecar) bool { return s.process.Dead() })
 	if len(living) == 0 {
 		return nil
 	}
-	if time.Now().Before(w.dialOld) {
+	if time.Now().Before(sim.dialOldestUntil) {
 		return living[0]
 	}
 	return living[len(living)-1]
 }
 
-// remote is the path from a planner to the sidecar. It implements order.Sidecar.
-type remote struct {
-	w    *world
+// sidecarClient calls the sidecar on behalf of a planner. It implements order.Sidecar.
+type sidecarClient struct {
+	sim  *simulation
 	from *fault.Process
 }
 
-func (r *remote) Seal(ctx context.Context, q order.SealRequest) (order.SealResult, error) {
-	return r.call(ctx, "seal", func(s *sidecar) (order.SealResult, error) {
+func (c *sidecarClient) Seal(ctx context.Context, q order.SealRequest) (order.SealResult, error) {
+	return c.call(ctx, "seal", func(s *sidecar) (order.SealResult, error) {
 		res, err := s.executor.Seal(ctx, q)
 		if err == nil {
-			r.w.journal.add(journalEntry{kind: "seal", sidecar: s.process.Name, fence: q.Fence, executing: res.Executing})
+			c.sim.history.add(historyEvent{kind: "seal", sidecar: s.process.Name, fence: q.Fence, executing: res.Executing})
 		}
 		return res, err
 	})
 }
 
-func (r *remote) NotifyOrder(ctx context.Context, n order.Notice) error {
-	_, err := r.call(ctx, "notify", func(s *sidecar) (order.SealResult, error) {
+func (c *sidecarClient) NotifyOrder(ctx context.Context, n order.Notice) error {
+	_, err := c.call(ctx, "notify", func(s *sidecar) (order.SealResult, error) {
 		return order.SealResult{}, s.executor.NotifyOrder(ctx, n)
 	})
 	return err
 }
 
-// call ends at its deadline even if the sidecar is paused.
-func (r *remote) call(ctx context.Context, op string, do func(*sidecar) (order.SealResult, error)) (res order.SealResult, err error) {
+// call returns at the deadline of ctx even if the sidecar is paused.
+func (c *sidecarClient) call(ctx context.Context, op string, do func(*sidecar) (order.SealResult, error)) (res order.SealResult, err error) {
 	type answer struct {
 		res order.SealResult
 		err error
 	}
-	err = r.from.Do(fault.Call{Op: op}, errLost, func() error {
-		s := r.w.dial()
+	err = c.from.Do(fault.Call{Op: op}, errLost, func() error {
+		s := c.sim.reachableSidecar()
 		if s == nil {
 			return external.ErrUnavailable
 		}
@@ -264,17 +265,18 @@
 	return res, err
 }
 
-// gatedEngine is a sidecar's view of the engine.
-type gatedEngine struct {
+// faultyEngine is the engine as a sidecar reaches it, subject to the faults of the sidecar's
+// process.
+type faultyEngine struct {
 	external.Engine
-	s *sidecar
-	w *world
+	s   *sidecar
+	sim *simulation
 }
 
-func (g *gatedEngine) State(context.Context) (st external.EngineState, err error) {
-	err = g.s.process.Do(fault.Call{Op: "state"}, errLost, func() error {
+func (f *faultyEngine) State(context.Context) (st external.EngineState, err error) {
+	err = f.s.process.Do(fault.Call{Op: "state"}, errLost, func() error {
 		var down bool
-		if st, down = g.w.engine.current(); down {
+		if st, down = f.sim.engine.current(); down {
 			return external.ErrEngineFailed
 		}
 		return nil
@@ -282,12 +284,12 @@
 	return st, err
 }
 
-func (g *gatedEngine) Apply(ctx context.Context, o external.EngineOrder) error {
-	return g.s.process.Do(fault.Call{Op: "apply"}, external.ErrEngineFailed, func() error {
-		n, draining := g.s.drainer.counts()
+func (f *faultyEngine) Apply(ctx context.Context, o external.EngineOrder) error {
+	return f.s.process.Do(fault.Call{Op: "apply"}, external.ErrEngineFailed, func() error {
+		n, draining := f.s.drainer.counts()
 		done := make(chan error, 1)
 		go func() {
-			done <- g.w.engine.apply(journalEntry{sidecar: g.s.process.Name, inFlight: n, open: !draining}, o)
+			done <- f.sim.engine.apply(historyEvent{sidecar: f.s.process.Name, inFlight: n, acceptingWork: !draining}, o)
 		}()
 		select {
 		case <-ctx.Done():
@@ -298,87 +300,87 @@
 	})
 }
 
-type gatedWeights struct{ p *fault.Process }
+type faultyWeights struct{ p *fault.Process }
 
-func (g *gatedWeights) Acquire(context.Context, string, int64) error {
-	return g.p.Do(fault.Call{Op: "weights"}, errLost, func() error { return nil })
+func (f *faultyWeights) Acquire(context.Context, string, int64) error {
+	return f.p.Do(fault.Call{Op: "weights"}, errLost, func() error { return nil })
 }
 
-type gatedDrainer struct{ s *sidecar }
+type faultyDrainer struct{ s *sidecar }
 
-func (g *gatedDrainer) BeginDrain(ctx context.Context) error {
-	return g.s.process.Do(fault.Call{Op: "begin drain"}, nil, func() error { return g.s.drainer.BeginDrain(ctx) })
+func (f *faultyDrainer) BeginDrain(ctx context.Context) error {
+	return f.s.process.Do(fault.Call{Op: "begin drain"}, nil, func() error { return f.s.drainer.BeginDrain(ctx) })
 }
 
-func (g *gatedDrainer) Wait(ctx context.Context) error {
-	return g.s.process.Do(fault.Call{Op: "drain"}, nil, func() error { return g.s.drainer.Wait(ctx) })
+func (f *faultyDrainer) Wait(ctx context.Context) error {
+	return f.s.process.Do(fault.Call{Op: "drain"}, nil, func() error { return f.s.drainer.Wait(ctx) })
 }
 
-func (g *gatedDrainer) EndDrain() { g.s.drainer.EndDrain() }
+func (f *faultyDrainer) EndDrain() { f.s.drainer.EndDrain() }
 
-// run plays a world to its end and returns the violations. It counts as one if the last wanted
-// configuration was not reached.
-func (w *world) run() []string {
-	w.startSidecar()
+// run runs the simulation to its end and returns the violations. It is a violation, too, if the
+// engine does not have the last desired configuration at the end.
+func (sim *simulation) run() []string {
+	sim.startSidecar()
 	time.Sleep(time.Second)
-	w.startEntry()
+	sim.startEntry()
 	time.Sleep(3 * time.Second)
-	w.startEntry()
-	// After the last change, a crash must lead back to the recorded configuration.
-	time.Sleep(lateCrash - time.Since(w.began))
-	w.engine.crash()
-	time.Sleep(worldEnd - time.Since(w.began))
-	bad := check(w.journal.all())
-	state, _ := w.engine.current()
-	if want := w.wanted(); state.Config.Role != want.Role || !slices.Equal(state.Config.Models, want.Models) {
-		e, _ := w.store.Get(w.ctx, order.Key(pool, engineName))
-		bad = append(bad, fmt.Sprintf("liveness: engine has %v, wanted %v, record %s", state, want, e.Value))
+	sim.startEntry()
+	// A crash after the last change must be followed by a return to the recorded configuration.
+	time.Sleep(crashTime - time.Since(sim.began))
+	sim.engine.crash()
+	time.Sleep(simulationEnd - time.Since(sim.began))
+	violations := findViolations(sim.history.snapshot())
+	state, _ := sim.engine.current()
+	if want := sim.desiredConfig(); state.Config.Role != want.Role || !slices.Equal(state.Config.Models, want.Models) {
+		e, _ := sim.store.Get(sim.ctx, order.Key(pool, engineName))
+		violations = append(violations, fmt.Sprintf("liveness: engine has %v, wanted %v, record %s", state, want, e.Value))
 	}
-	return bad
+	return violations
 }
 
-// stop ends all goroutines of the world.
-func (w *world) stop() {
-	w.cancel()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.entries {
+// stop ends all goroutines of the simulation.
+func (sim *simulation) stop() {
+	sim.cancel()
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, p := range sim.entries {
 		p.Kill()
 	}
-	for _, s := range w.sidecars {
+	for _, s := range sim.sidecars {
 		s.process.Kill()
 	}
 }
 
-func dump(entries []journalEntry, began time.Time) string {
+func formatHistory(events []historyEvent, began time.Time) string {
 	var b strings.Builder
-	for _, e := range entries {
+	for _, e := range events {
 		fmt.Fprintf(&b, "%8.3fs %-8s %-10s fence %d order %d role %s in flight %d executing %d held %t\n",
 			e.at.Sub(began).Seconds(), e.kind, e.sidecar, e.fence, e.number, e.config.Role, e.inFlight, e.executing, e.held)
 	}
 	return b.String()
 }
 
-// Guards against a system that does nothing, in which every invariant holds.
+// Guards against a simulation that executes no orders, in which every invariant would hold.
 func TestWorldWithoutFaults(t *testing.T) {
-	inBubble(t, func(t *testing.T) []string {
-		w := newWorld(t, 1, false)
-		defer w.stop()
-		bad := w.run()
+	requireNoViolations(t, func(t *testing.T) []string {
+		sim := newSimulation(t, 1, false)
+		defer sim.stop()
+		violations := sim.run()
 		applied := 0
-		for _, e := range w.journal.all() {
+		for _, e := range sim.history.snapshot() {
 			if e.kind == "applied" {
 				applied++
 			}
 		}
 		if applied < 8 {
-			bad = append(bad, fmt.Sprintf("%d orders were applied\n%s", applied, dump(w.journal.all(), w.began)))
+			violations = append(violations, fmt.Sprintf("%d orders were applied\n%s", applied, formatHistory(sim.history.snapshot(), sim.began)))
 		}
-		return bad
+		return violations
 	})
 }
 
-func inBubble(t *testing.T, f func(t *testing.T) []string) {
+func requireNoViolations(t *testing.T, f func(t *testing.T) []string) {
 	t.Helper()
-	require.Empty(t, bubble(t, f))
+	require.Empty(t, runInBubble(t, f))
 }
