--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -175,7 +175,7 @@
 	case LeastLoaded:
 		p = newLeastLoaded(w)
 	case Project:
-		p = newProject(w, placement.New(placement.Config{Change: changeTime}), c.weights)
+		p = newProject(w, placement.New(placement.Config{ChangeTime: changeTime}), c.weights)
 	default:
 		b := &hindsight{project: newFreshProject(w, c.weights), splits: h.schedule(c.fleet, &c.load)}
 		w.After(0, func() { b.plan(nil) })
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -29,7 +29,7 @@
 	DefaultMinDwell          = 30 * time.Second
 	DefaultMaxChangingShare  = 0.3
 	DefaultWarmUp            = 30 * time.Second
-	DefaultChange            = 5 * time.Second
+	DefaultChangeTime        = 5 * time.Second
 	DefaultShortPrefill      = 512
 	DefaultMixedPrefillShare = 0.3
 	DefaultMinLossReduction  = 0.15
@@ -62,8 +62,8 @@
 	MaxChangingShare float64
 	// WarmUp is the time after the first round during which no roles change.
 	WarmUp time.Duration
-	// Change is the duration of a role change, without draining.
-	Change time.Duration
+	// ChangeTime is the duration of a role change, without draining.
+	ChangeTime time.Duration
 	// ShortPrefill is the maximum number of prompt tokens that a decode engine prefills itself.
 	ShortPrefill int
 	// MixedPrefillShare is the share of the spare capacity of a mixed engine that counts towards
@@ -83,7 +83,7 @@
 		{&c.HedgeWeight, DefaultHedgeWeight},
 		{&c.MinDwell, DefaultMinDwell},
 		{&c.WarmUp, DefaultWarmUp},
-		{&c.Change, DefaultChange},
+		{&c.ChangeTime, DefaultChangeTime},
 	} {
 		if *d.v <= 0 {
 			*d.v = d.d
@@ -271,7 +271,7 @@
 		cfg := e.Config
 		cfg.Models, cfg.Adapters = slices.Clone(s.Models), slices.Clone(s.Adapters)
 		return []Change{{
-			Engine: e.ID, Config: cfg, Cost: (p.cfg.Change + wait).Seconds(),
+			Engine: e.ID, Config: cfg, Cost: (p.cfg.ChangeTime + wait).Seconds(),
 			Reason: fmt.Sprintf("%s must be loaded, expected wait %s", missing, wait),
 		}}
 	}
--- a/placement/split.go
+++ b/placement/split.go
@@ -82,9 +82,9 @@
 // A prefill engine drains in about a second.
 func (p *Planner) changeCost(from external.Role) float64 {
 	if from == external.RolePrefill {
-		return p.cfg.Change.Seconds() + 1
+		return p.cfg.ChangeTime.Seconds() + 1
 	}
-	return p.cfg.Change.Seconds() + maxDrainSeconds/2
+	return p.cfg.ChangeTime.Seconds() + maxDrainSeconds/2
 }
 
 // moveCost returns the weighted cost of the changes from one split to another, with the margin that
@@ -105,7 +105,7 @@
 
 // roleChanges compares all splits and returns the changes to order now towards the best one.
 func (p *Planner) roleChanges(s *Snapshot, pool *pool, w Weights, budget int) []Change {
-	expected := p.forecast(p.cfg.Change)
+	expected := p.forecast(p.cfg.ChangeTime)
 	tables := p.lossTables(expected, pool.size)
 	currentLoss := tables.expectedLoss(pool.current) * w.Goodput
 	best, bestTotal, bestCost := pool.current, currentLoss, 0.0
