--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -19,15 +19,17 @@
 // plainCodec forwards headers unchanged.
 type plainCodec struct{ Codec }
 
-func (plainCodec) Call(r *http.Request) Call {
-	return Call{ID: r.Header.Get("Id"), Remaining: time.Second}
+func (plainCodec) RequestMetadata(r *http.Request) RequestMetadata {
+	return RequestMetadata{ID: r.Header.Get("Id"), Remaining: time.Second}
 }
 
-func (plainCodec) Header(received http.Header, _ *Send) http.Header { return received }
+func (plainCodec) Header(received http.Header, _ *ForwardedRequest) http.Header { return received }
 
 func (plainCodec) Answer(received http.Header) http.Header { return received }
 
-func (plainCodec) Mark(int, http.Header) Mark { return Mark{Signed: true} }
+func (plainCodec) ResponseMetadata(int, http.Header) ResponseMetadata {
+	return ResponseMetadata{Signed: true}
+}
 
 type noMetrics struct{ Metrics }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -172,7 +172,7 @@
 
 // prompt holds what is needed to choose servers for a request with a prompt.
 type prompt struct {
-	call       *Call
+	call       *RequestMetadata
 	prefixKeys []uint64
 	dataCentre string
 	random     Random
--- a/gateway/decider.go
+++ b/gateway/decider.go
@@ -29,9 +29,9 @@
 
 // Query is a request for which backend servers are to be selected.
 type Query struct {
-	Route   *route.Route
-	Service string
-	Call    *Call
+	Route    *route.Route
+	Service  string
+	Metadata *RequestMetadata
 	// Deadline is the earlier of the caller's and the route's deadline.
 	Deadline time.Time
 	// prefixKeys holds the keys of the prompt's prefixes; set by Prepare.
@@ -42,93 +42,94 @@
 	prefillServer *Server
 }
 
-// Prepare computes the prefix keys. It must be called after Route and Call are set.
+// Prepare computes the prefix keys. It must be called after Route and Metadata are set.
 func (q *Query) Prepare() {
 	if q.Route.Prompt {
-		q.prefixKeys = prefixKeys(q.Call.Parts)
+		q.prefixKeys = prefixKeys(q.Metadata.Parts)
 	}
 }
 
-// Tried excludes a backend server from further choices for this request.
-func (q *Query) Tried(s *Server) { q.tried = append(q.tried, s.state) }
+// Exclude excludes a backend server from further choices for this request.
+func (q *Query) Exclude(s *Server) { q.tried = append(q.tried, s.state) }
 
-// ReadBy sets the backend server that has prefilled the prompt.
-func (q *Query) ReadBy(s *Server) { q.prefillServer = s }
+// SetPrefillServer sets the backend server that has prefilled the prompt.
+func (q *Query) SetPrefillServer(s *Server) { q.prefillServer = s }
 
 // Choice is the result of Decide.
 type Choice struct {
-	// Reader prefills the prompt for Server; nil if Server does both or the prompt is already
+	// PrefillServer prefills the prompt for Server; nil if Server does both or the prompt is already
 	// prefilled.
-	Reader *Server
+	PrefillServer *Server
 	// Server generates the answer; nil if there is none.
 	Server *Server
-	// Unread is the number of prompt tokens to be prefilled.
-	Unread float64
-	// First is the expected time to the first event.
-	First time.Duration
-	// Refuse is true if the request should be refused, with the advice to retry after ComeBack.
-	Refuse   bool
-	ComeBack time.Duration
+	// UncachedTokens is the number of prompt tokens to be prefilled.
+	UncachedTokens float64
+	// TimeToFirst is the expected time to the first event.
+	TimeToFirst time.Duration
+	// Refuse is true if the request should be refused, with the advice to retry after RetryAfter.
+	Refuse     bool
+	RetryAfter time.Duration
 }
 
 // Decide selects the backend servers for a request that was not sent yet or whose prompt is
 // prefilled. It may advise refusing a request that was not sent yet.
 func (d *Decider) Decide(q *Query, now time.Time) Choice {
 	c := d.choose(q, now)
-	out := Choice{Reader: c.prefillServer, Server: c.server, Unread: c.uncachedTokens, First: c.timeToFirst}
+	out := Choice{PrefillServer: c.prefillServer, Server: c.server, UncachedTokens: c.uncachedTokens, TimeToFirst: c.timeToFirst}
 	if q.prefillServer == nil && !d.admit(q, &c, now) {
-		out.Refuse, out.ComeBack = true, d.retryAfter(q.Deadline, now)
+		out.Refuse, out.RetryAfter = true, d.retryAfter(q.Deadline, now)
 	}
 	return out
 }
 
-// Sent records that a request was sent to a backend server that has uncachedTokens to prefill.
-func (d *Decider) Sent(q *Query, s *Server, uncachedTokens float64, now time.Time) {
+// RecordSent records that a request was sent to a backend server that has uncachedTokens to prefill.
+func (d *Decider) RecordSent(q *Query, s *Server, uncachedTokens float64, now time.Time) {
 	s.recordSent(uncachedTokens, now)
 	d.prefixes.record(q.prefixKeys, s.key, now)
 }
 
-// Dropped removes a prompt that will not be prefilled from the pending tokens of a backend server.
-func (d *Decider) Dropped(s *Server, uncachedTokens float64) { s.recordPrefilled(uncachedTokens) }
+// RecordPrefillDropped removes a prompt that will not be prefilled from the pending tokens of a
+// backend server.
+func (d *Decider) RecordPrefillDropped(s *Server, tokens float64) { s.recordPrefilled(tokens) }
 
-// Read records that a prompt was prefilled. tokensAhead is the number of tokens that were queued
-// before it at sentAt.
-func (d *Decider) Read(q *Query, s *Server, uncachedTokens, tokensAhead float64, sentAt, now time.Time) {
+// RecordPrefilled records that a prompt was prefilled. tokensAhead is the number of tokens that were
+// queued before it at sentAt.
+func (d *Decider) RecordPrefilled(q *Query, s *Server, uncachedTokens, tokensAhead float64, sentAt, now time.Time) {
 	s.recordPrefilled(uncachedTokens)
 	d.prefillSpeed(q.Service).observe(s.Role, uncachedTokens, tokensAhead, now.Sub(sentAt))
 }
 
-// Ahead returns the number of prompt tokens that this process has sent to a backend server and that
-// are not prefilled yet.
-func (d *Decider) Ahead(s *Server, now time.Time) float64 { return s.view(now).pendingTokens }
+// PendingTokens returns the number of prompt tokens that this process has sent to a backend server
+// and that are not prefilled yet.
+func (d *Decider) PendingTokens(s *Server, now time.Time) float64 { return s.view(now).pendingTokens }
 
-// Heard records that a backend server sent data. load is the load it reported, or nil.
-func (d *Decider) Heard(s *Server, load *Load, now time.Time) { s.recordActivity(load, now) }
+// RecordActivity records that a backend server sent data. load is the load it reported, or nil.
+func (d *Decider) RecordActivity(s *Server, load *Load, now time.Time) { s.recordActivity(load, now) }
 
-// Ended records the end of a request, whatever its outcome.
-func (d *Decider) Ended(s *Server) { s.recordEnded() }
+// RecordEnded records the end of a request, whatever its outcome.
+func (d *Decider) RecordEnded(s *Server) { s.recordEnded() }
 
-// Moved records the time from sending a request with a prompt prefilled elsewhere to its first
-// event. delay is the value that Delay returned when the request was sent.
-func (d *Decider) Moved(from, to *Server, elapsed, delay time.Duration, now time.Time) {
+// RecordTransfer records the time from sending a request with a prompt prefilled elsewhere to its
+// first event. delay is the value that DecodeDelay returned when the request was sent.
+func (d *Decider) RecordTransfer(from, to *Server, elapsed, delay time.Duration, now time.Time) {
 	from.recordTransfer(elapsed-transferTime-delay, now)
 	to.recordTransfer(elapsed-transferTime-delay, now)
 }
 
-// GivenUp records that a request with a prompt prefilled elsewhere was abandoned before its first
-// event.
-func (d *Decider) GivenUp(from, to *Server, sentAt time.Time, delay time.Duration, now time.Time) {
+// RecordAbandonedTransfer records that a request with a prompt prefilled elsewhere was abandoned
+// before its first event.
+func (d *Decider) RecordAbandonedTransfer(from, to *Server, sentAt time.Time, delay time.Duration, now time.Time) {
 	recordAbandonedTransfer(from, to, now.Sub(sentAt)-transferTime-delay, sentAt, now)
 }
 
-// Delay returns the expected delay of the first event from other requests that generate on the
+// DecodeDelay returns the expected delay of the first event from other requests that generate on the
 // server.
-func (d *Decider) Delay(s *Server, now time.Time) time.Duration {
+func (d *Decider) DecodeDelay(s *Server, now time.Time) time.Duration {
 	return time.Duration(decodeDelay(s, s.view(now)) * float64(time.Second))
 }
 
-// Refused records that a backend server refused a request.
-func (d *Decider) Refused(s *Server, now time.Time) { s.recordRefusal(now) }
+// RecordRefusal records that a backend server refused a request.
+func (d *Decider) RecordRefusal(s *Server, now time.Time) { s.recordRefusal(now) }
 
 // choose selects the backend servers for the next attempt.
 func (d *Decider) choose(q *Query, now time.Time) choice {
@@ -143,7 +144,7 @@
 // not tried if includeUnusable is set.
 func (d *Decider) chooseFrom(q *Query, now time.Time, all []*Server, includeUnusable bool) choice {
 	servers, views := candidates(all, q.tried, now, includeUnusable)
-	if !q.Route.Prompt || len(q.Call.Parts) == 0 {
+	if !q.Route.Prompt || len(q.Metadata.Parts) == 0 {
 		return chooseLeastLoaded(servers, views, d.dataCentre, d.random)
 	}
 	selector := newDecodeSelector(servers, views, d.dataCentre, d.random)
@@ -155,8 +156,8 @@
 		serverKeys[i] = s.key
 	}
 	secondsPerToken, meanUncached := d.prefillSpeed(q.Service).values()
-	cachedTokens := d.prefixes.cachedTokens(q.prefixKeys, q.Call.Parts, serverKeys, now)
-	return choosePrompt(servers, views, cachedTokens, &prompt{call: q.Call, prefixKeys: q.prefixKeys, dataCentre: d.dataCentre, random: d.random}, secondsPerToken, meanUncached, selector)
+	cachedTokens := d.prefixes.cachedTokens(q.prefixKeys, q.Metadata.Parts, serverKeys, now)
+	return choosePrompt(servers, views, cachedTokens, &prompt{call: q.Metadata, prefixKeys: q.prefixKeys, dataCentre: d.dataCentre, random: d.random}, secondsPerToken, meanUncached, selector)
 }
 
 func (d *Decider) prefillSpeed(service string) *prefillSpeed {
@@ -248,7 +249,7 @@
 	if c.timeToFirst > q.Deadline.Sub(now) {
 		return true
 	}
-	if q.Call.OutputTokens >= longOutputTokens && c.utilisation >= longOutputUtilisation {
+	if q.Metadata.OutputTokens >= longOutputTokens && c.utilisation >= longOutputUtilisation {
 		return true
 	}
 	// Refusing a request with few uncached tokens saves almost nothing.
--- a/gateway/feed.go
+++ b/gateway/feed.go
@@ -48,21 +48,21 @@
 	expiryInterval = 250 * time.Millisecond
 )
 
-// Feed keeps the route table and the roster up to date from the store.
-type Feed struct {
+// StoreWatcher keeps the route table and the roster up to date from the store.
+type StoreWatcher struct {
 	source Source
 	tables *route.Holder
 	roster *Roster
 	log    logrus.FieldLogger
 }
 
-// NewFeed returns a Feed.
-func NewFeed(s Source, t *route.Holder, r *Roster, log logrus.FieldLogger) *Feed {
-	return &Feed{source: s, tables: t, roster: r, log: log}
+// NewStoreWatcher returns a StoreWatcher.
+func NewStoreWatcher(s Source, t *route.Holder, r *Roster, log logrus.FieldLogger) *StoreWatcher {
+	return &StoreWatcher{source: s, tables: t, roster: r, log: log}
 }
 
 // Run watches the store until the context ends.
-func (f *Feed) Run(ctx context.Context) {
+func (f *StoreWatcher) Run(ctx context.Context) {
 	var g errgroup.Group
 	g.Go(func() error {
 		f.listAndWatch(ctx)
@@ -79,7 +79,7 @@
 // one watch, because each open watch is a billed call. A failed watch is followed by a new list and
 // is not a store failure: a watch may be cut, or its history compacted, while the store is healthy.
 // Only a failed list counts as a store failure for the roster.
-func (f *Feed) listAndWatch(ctx context.Context) {
+func (f *StoreWatcher) listAndWatch(ctx context.Context) {
 	delay, storeLost := minRetryDelay, false
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -106,7 +106,7 @@
 }
 
 // list loads the current state and returns the revision from which to watch.
-func (f *Feed) list(ctx context.Context) (uint64, error) {
+func (f *StoreWatcher) list(ctx context.Context) (uint64, error) {
 	config, revision, err := f.source.List(ctx, f.source.ConfigKey())
 	if err != nil {
 		return 0, err
@@ -125,7 +125,7 @@
 // allKeys is the prefix of all keys.
 const allKeys = ""
 
-func (f *Feed) watch(ctx context.Context, revision uint64) {
+func (f *StoreWatcher) watch(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		events, next, err := f.source.Watch(ctx, allKeys, revision)
 		switch {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (f *Feed) applyConfig(e external.Event) {
+func (f *StoreWatcher) applyConfig(e external.Event) {
 	if e.Key != f.source.ConfigKey() {
 		return
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (f *Feed) replaceServers(entries []external.Entry) {
+func (f *StoreWatcher) replaceServers(entries []external.Entry) {
 	regs := make([]Registration, 0, len(entries))
 	for _, e := range entries {
 		if reg, ok := f.decodeRegistration(e); ok {
@@ -177,7 +177,7 @@
 	f.log.WithFields(logrus.Fields{"registered": len(regs), "entries": len(entries)}).Info("backend servers listed")
 }
 
-func (f *Feed) decodeRegistration(e external.Entry) (Registration, bool) {
+func (f *StoreWatcher) decodeRegistration(e external.Entry) (Registration, bool) {
 	reg, err := f.source.Registration(e.Key, e.Value)
 	if err != nil {
 		f.log.WithError(err).WithField("key", e.Key).Warn("registration names no backend server")
@@ -186,7 +186,7 @@
 }
 
 // applyEvents applies the events of one watch response.
-func (f *Feed) applyEvents(events []external.Event) {
+func (f *StoreWatcher) applyEvents(events []external.Event) {
 	var changes []Change
 	var revisions []uint64
 	for _, e := range events {
@@ -212,7 +212,7 @@
 // together, and each gateway instance would log a line for each of them.
 const maxChangeLines = 20
 
-func (f *Feed) logChanges(changes []Change, revisions []uint64, applied []bool) {
+func (f *StoreWatcher) logChanges(changes []Change, revisions []uint64, applied []bool) {
 	registered, gone, lines := 0, 0, 0
 	for i, c := range changes {
 		reg := c.Registration
@@ -242,7 +242,7 @@
 	}
 }
 
-func (f *Feed) dropLapsed(ctx context.Context) {
+func (f *StoreWatcher) dropLapsed(ctx context.Context) {
 	for pause.For(ctx, expiryInterval) {
 		for _, id := range f.roster.DropLapsed(time.Now()) {
 			f.log.WithField("server", id).Info("lapsed registration did not return")
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -69,7 +69,7 @@
 	deadline   time.Time
 	route      *route.Route
 	service    string
-	call       Call
+	call       RequestMetadata
 	prefixKeys []uint64
 	body       []byte
 
@@ -121,7 +121,7 @@
 		q.replyError(http.StatusNotFound, outcomeInvalid, "no_route")
 		return
 	}
-	q.call = g.codec.Call(r)
+	q.call = g.codec.RequestMetadata(r)
 	q.service = q.route.Service(q.call.ID)
 	q.deadline = q.started.Add(q.route.Timeout)
 	if q.call.Remaining > 0 && q.call.Remaining < q.route.Timeout {
@@ -242,7 +242,7 @@
 }
 
 func (q *request) query() *Query {
-	out := &Query{Route: q.route, Service: q.service, Call: &q.call, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
+	out := &Query{Route: q.route, Service: q.service, Metadata: &q.call, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
 	if q.prefilled != "" {
 		out.prefillServer = q.prefillServer
 	}
@@ -266,7 +266,7 @@
 
 // attempt sends the request to the chosen backend servers.
 func (q *request) attempt(c *choice, now time.Time) attemptResult {
-	s := &Send{Server: c.server, Priority: q.route.Priority, After: q.resumeAfter()}
+	s := &ForwardedRequest{Server: c.server, Priority: q.route.Priority, After: q.resumeAfter()}
 	if c.prefillServer != nil {
 		q.prefills++
 		source, res, ok := q.prefill(c)
@@ -312,12 +312,12 @@
 	}
 	total := float64(q.call.PromptTokens)
 	if c.reason == reasonReadBefore {
-		q.g.metrics.Prompt(q.service, PromptTokens{Moved: total})
+		q.g.metrics.Prompt(q.service, PromptTokens{Transferred: total})
 		return
 	}
-	p := PromptTokens{Kept: max(0, total-c.uncachedTokens), Read: min(total, c.uncachedTokens)}
+	p := PromptTokens{Cached: max(0, total-c.uncachedTokens), Prefilled: min(total, c.uncachedTokens)}
 	if c.prefillServer != nil {
-		p.Moved = total
+		p.Transferred = total
 	}
 	q.g.metrics.Prompt(q.service, p)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,14 +17,14 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// Part is one section of a prompt. Parts with equal IDs have equal text.
-type Part struct {
+// PromptPart is one section of a prompt. Parts with equal IDs have equal text.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Call holds the metadata that a caller sends with its request.
-type Call struct {
+// RequestMetadata holds the metadata that a caller sends with its request.
+type RequestMetadata struct {
 	// ID identifies one attempt of one caller.
 	ID string
 	// Remaining is the time that the caller is still willing to wait; zero if it did not say.
@@ -32,13 +32,13 @@
 	PromptTokens int
 	OutputTokens int
 	// Parts lists the sections of the prompt in order. The last one is specific to this request.
-	Parts []Part
+	Parts []PromptPart
 	// After is the ID of the last event that the caller received, if it resumes a stream.
 	After string
 }
 
-// Send holds what the gateway adds to a request that it forwards to a backend server.
-type Send struct {
+// ForwardedRequest holds what the gateway adds to a request that it forwards to a backend server.
+type ForwardedRequest struct {
 	Server    *Server
 	Remaining time.Duration
 	Priority  int
@@ -56,29 +56,29 @@
 	Running, Waiting, Slots int
 }
 
-// Mark is the metadata of a response.
-type Mark struct {
+// ResponseMetadata is the metadata of a response.
+type ResponseMetadata struct {
 	// ID is the ID of the request that the response answers; empty if the response has none.
 	ID string
 	// Signed is true if the response was made by a backend server that processed the request.
 	Signed bool
 	// NotRun is true if the backend server guarantees that it did not run the request.
 	NotRun bool
-	// Elsewhere is true if the address now belongs to another backend server.
-	Elsewhere bool
-	Load      *Load
+	// AddressReused is true if the address now belongs to another backend server.
+	AddressReused bool
+	Load          *Load
 }
 
 // Codec translates requests and responses to and from the wire format of an installation.
 type Codec interface {
-	// Call decodes the metadata of a caller's request.
-	Call(r *http.Request) Call
+	// RequestMetadata decodes the metadata of a caller's request.
+	RequestMetadata(r *http.Request) RequestMetadata
 	// Header returns the header to send to a backend server.
-	Header(received http.Header, s *Send) http.Header
+	Header(received http.Header, s *ForwardedRequest) http.Header
 	// Answer returns the header to send to the caller.
 	Answer(received http.Header) http.Header
-	// Mark decodes the metadata of a response.
-	Mark(status int, h http.Header) Mark
+	// ResponseMetadata decodes the metadata of a response.
+	ResponseMetadata(status int, h http.Header) ResponseMetadata
 	// Handle decodes the handle of a prefilled prompt from a response body.
 	Handle(body []byte) (string, error)
 	// Release returns the method and target of the request that releases a handle.
@@ -122,8 +122,8 @@
 	Request(service, kind, outcome string, elapsed time.Duration)
 	Refusal(service, reason string)
 	FirstEvent(service, kind string, d time.Duration)
-	// Pause records the time between two consecutive events of a stream.
-	Pause(service string, d time.Duration)
+	// EventGap records the time between two consecutive events of a stream.
+	EventGap(service string, d time.Duration)
 	Attempt(service, outcome string)
 	Prompt(service string, p PromptTokens)
 	RoleOrder(service, role, outcome string)
@@ -132,9 +132,9 @@
 // PromptTokens counts the tokens of a prompt by origin, as expected when the backend servers were
 // selected.
 type PromptTokens struct {
-	// Kept tokens were cached on the backend server that prefilled the prompt, Read tokens were
-	// processed by it, and Moved tokens were transferred to another one that generated the answer.
-	Kept, Read, Moved float64
+	// Cached tokens were in the cache of the backend server that prefilled the prompt, Prefilled tokens
+	// were processed by it, and Transferred tokens went to another one that generated the answer.
+	Cached, Prefilled, Transferred float64
 }
 
 // New returns a Gateway.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -31,12 +31,12 @@
 	return out
 }
 
-func newPrompt(parts ...Part) *prompt {
+func newPrompt(parts ...PromptPart) *prompt {
 	tokens := 0
 	for _, p := range parts {
 		tokens += p.Tokens
 	}
-	return &prompt{call: &Call{PromptTokens: tokens, Parts: parts}, prefixKeys: prefixKeys(parts), dataCentre: "z", random: rand.Float64}
+	return &prompt{call: &RequestMetadata{PromptTokens: tokens, Parts: parts}, prefixKeys: prefixKeys(parts), dataCentre: "z", random: rand.Float64}
 }
 
 // choose chooses servers for a prompt of which nothing is known to be cached.
@@ -74,7 +74,7 @@
 // Guards against requests that queue for a busy affinity server while another engine is idle.
 func TestBusyHomesYield(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("b", external.RolePrefill), newServer("d", external.RoleDecode)}
-	p := newPrompt(Part{1, 2500}, Part{2, 3500}, Part{3, 3000})
+	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
 	require.NotNil(t, c.prefillServer)
 	busy := c.prefillServer
@@ -89,7 +89,7 @@
 func TestShortPromptsStayOnOneEngine(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)}
 	servers[1].recordSent(0, start)
-	c := choose(servers, newPrompt(Part{1, 80}, Part{2, 140}))
+	c := choose(servers, newPrompt(PromptPart{1, 80}, PromptPart{2, 140}))
 	require.Nil(t, c.prefillServer)
 	require.Equal(t, "e", c.server.ID)
 }
@@ -97,7 +97,7 @@
 // Guards against requests sent to engines that cannot generate.
 func TestNoDecodeEngineIsNoServer(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill)}
-	require.Nil(t, choose(servers, newPrompt(Part{1, 5000}, Part{2, 10})).server)
+	require.Nil(t, choose(servers, newPrompt(PromptPart{1, 5000}, PromptPart{2, 10})).server)
 }
 
 // Guards against requests without prompt parts being sent to prefill engines.
@@ -141,7 +141,7 @@
 // Guards against prefixes that count as cached although an earlier part is not.
 func TestCachedCountsOnlyLeadingParts(t *testing.T) {
 	p := newPrefixTable()
-	parts := []Part{{1, 100}, {2, 200}, {3, 300}}
+	parts := []PromptPart{{1, 100}, {2, 200}, {3, 300}}
 	keys := prefixKeys(parts)
 	p.record(keys[:2], 7, start)
 	p.record(keys[1:2], 8, start)
@@ -286,7 +286,7 @@
 // Guards against a new lease holder that gives orders while the previous one may still be giving
 // orders: its lease may have been revoked without its knowledge.
 func TestNewHolderWaits(t *testing.T) {
-	r := &Roles{guard: 6 * time.Second}
+	r := &RolePlanner{guard: 6 * time.Second}
 	authority := func(fence uint64) lease.Authority {
 		return lease.NewAuthority(RolesPool, "n", fence, start.Add(time.Hour))
 	}
@@ -317,7 +317,7 @@
 // links at a fiftieth of their speed, half of the long prompts timed out.
 func TestSlowLinksAreAvoided(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)}
-	p := newPrompt(Part{1, 2500}, Part{2, 3500}, Part{3, 3000})
+	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
 	require.Equal(t, "a", c.prefillServer.ID)
 	slow, other := c.server, servers[1]
@@ -367,7 +367,7 @@
 func TestRefusalsAreFairToSize(t *testing.T) {
 	r := &route.Route{Prompt: true, Target: 150 * time.Millisecond}
 	query := func(events int) *Query {
-		return &Query{Route: r, Call: &Call{OutputTokens: events}, Deadline: start.Add(2 * time.Second)}
+		return &Query{Route: r, Metadata: &RequestMetadata{OutputTokens: events}, Deadline: start.Add(2 * time.Second)}
 	}
 	queued := choice{uncachedTokens: 4000, timeToFirst: 160 * time.Millisecond}
 	require.True(t, tooLate(query(2), &queued, 0, start))
--- a/gateway/offer.go
+++ b/gateway/offer.go
@@ -15,7 +15,7 @@
 type attempt struct {
 	q              *request
 	server         *Server
-	send           *Send
+	send           *ForwardedRequest
 	uncachedTokens float64
 	tokensAhead    float64
 	sentAt         time.Time
@@ -71,7 +71,7 @@
 	}
 	defer resp.Close(a.q.g.pool)
 	switch {
-	case mark.NotRun || mark.Elsewhere:
+	case mark.NotRun || mark.AddressReused:
 		return a.handleRefusal(resp, mark)
 	case resp.StatusCode/100 == 2:
 		if !mark.Signed || resp.Header.Get("Content-Encoding") != "" {
@@ -89,7 +89,7 @@
 }
 
 // roundTrip sends the request and waits for the response header.
-func (a *attempt) roundTrip() (*upstream.Response, Mark, attemptResult) {
+func (a *attempt) roundTrip() (*upstream.Response, ResponseMetadata, attemptResult) {
 	q := a.q
 	a.send.Remaining = time.Until(q.deadline)
 	codec := q.g.codec
@@ -100,33 +100,33 @@
 	now := time.Now()
 	switch {
 	case err == nil:
-		m := codec.Mark(resp.StatusCode, resp.Header)
+		m := codec.ResponseMetadata(resp.StatusCode, resp.Header)
 		a.server.recordActivity(m.Load, now)
 		return resp, m, resultFinished
 	case q.r.Context().Err() != nil:
 		q.finish(outcomeGone, "")
-		return nil, Mark{}, resultFinished
+		return nil, ResponseMetadata{}, resultFinished
 	case errors.Is(err, upstream.ErrNotSent):
 		a.server.recordUnreachable(now)
 		q.cause = "unreachable"
 		if q.ctx.Err() != nil {
-			return nil, Mark{}, resultNotRun
+			return nil, ResponseMetadata{}, resultNotRun
 		}
-		return nil, Mark{}, resultNotSent
+		return nil, ResponseMetadata{}, resultNotSent
 	case q.ctx.Err() != nil:
 		a.server.recordResult(0.5, now)
 		q.cause = "deadline"
-		return nil, Mark{}, resultUnknown
+		return nil, ResponseMetadata{}, resultUnknown
 	default:
-		return nil, Mark{}, a.recordBroken(err.Error())
+		return nil, ResponseMetadata{}, a.recordBroken(err.Error())
 	}
 }
 
 // isResponseToRequest reports whether a response belongs to this request. A response without an ID
 // is accepted only if it is a refusal or if the connection was used for nothing else.
 func (q *request) isResponseToRequest(resp *http.Response, fresh bool) bool {
-	m := q.g.codec.Mark(resp.StatusCode, resp.Header)
-	return m.ID == q.call.ID || (m.ID == "" && (fresh || m.NotRun || m.Elsewhere))
+	m := q.g.codec.ResponseMetadata(resp.StatusCode, resp.Header)
+	return m.ID == q.call.ID || (m.ID == "" && (fresh || m.NotRun || m.AddressReused))
 }
 
 func (a *attempt) recordBroken(cause string) attemptResult {
@@ -135,9 +135,9 @@
 	return resultUnknown
 }
 
-func (a *attempt) handleRefusal(resp *upstream.Response, m Mark) attemptResult {
+func (a *attempt) handleRefusal(resp *upstream.Response, m ResponseMetadata) attemptResult {
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDiscardedBody))
-	if m.Elsewhere {
+	if m.AddressReused {
 		a.server.recordUnreachable(time.Now())
 		a.q.cause = "another_server_at_address"
 		return resultNotRun
@@ -172,7 +172,7 @@
 // itself may have caused.
 const serverErrorWeight = 0.5
 
-func (a *attempt) handleErrorStatus(resp *upstream.Response, m Mark) attemptResult {
+func (a *attempt) handleErrorStatus(resp *upstream.Response, m ResponseMetadata) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(resp, maxResponseBody+1))
 	switch {
 	case a.q.r.Context().Err() != nil:
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -25,7 +25,7 @@
 	defer server.recordEnded()
 	defer server.recordPrefilled(c.uncachedTokens)
 	q.g.decider.prefixes.record(q.prefixKeys, server.key, sentAt)
-	send := &Send{Server: server, Remaining: time.Until(q.deadline), Priority: q.route.Priority, Prefill: true}
+	send := &ForwardedRequest{Server: server, Remaining: time.Until(q.deadline), Priority: q.route.Priority, Prefill: true}
 	resp, err := q.g.pool.Do(q.ctx, server.Address, &upstream.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
 		Header: q.g.codec.Header(q.r.Header, send), Body: q.body,
@@ -36,16 +36,16 @@
 	defer resp.Close(q.g.pool)
 	body, err := io.ReadAll(io.LimitReader(resp, maxControlBody))
 	now := time.Now()
-	m := q.g.codec.Mark(resp.StatusCode, resp.Header)
+	m := q.g.codec.ResponseMetadata(resp.StatusCode, resp.Header)
 	server.recordActivity(m.Load, now)
 	if q.r.Context().Err() != nil {
 		q.finish(outcomeGone, "")
 		return "", resultFinished, false
 	}
-	if m.NotRun || m.Elsewhere || err != nil || resp.StatusCode != http.StatusOK {
+	if m.NotRun || m.AddressReused || err != nil || resp.StatusCode != http.StatusOK {
 		q.tried = append(q.tried, server.state)
 		q.cause = "prompt_refused"
-		if m.Elsewhere {
+		if m.AddressReused {
 			server.recordUnreachable(now)
 		} else {
 			server.recordRefusal(now)
--- a/gateway/prefix.go
+++ b/gateway/prefix.go
@@ -18,7 +18,7 @@
 )
 
 // prefixKeys returns, for each part, the key of the prompt up to and including that part.
-func prefixKeys(parts []Part) []uint64 {
+func prefixKeys(parts []PromptPart) []uint64 {
 	keys := make([]uint64, len(parts))
 	h := uint64(0)
 	for i, p := range parts {
@@ -85,7 +85,7 @@
 
 // cachedTokens returns, for each server key, the number of prompt tokens that the server has
 // probably cached.
-func (p *prefixTable) cachedTokens(keys []uint64, parts []Part, serverKeys []uint64, now time.Time) []float64 {
+func (p *prefixTable) cachedTokens(keys []uint64, parts []PromptPart, serverKeys []uint64, now time.Time) []float64 {
 	out := make([]float64, len(serverKeys))
 	oldest := now.Add(-prefixLifetime).UnixNano()
 	tokens := 0
--- a/gateway/roleplan.go
+++ b/gateway/roleplan.go
@@ -133,8 +133,8 @@
 	return to, split.selectEngines(from, change, st, now)
 }
 
-// Ordered records that an engine accepted an order that takes the given time to carry out.
-func (st *RolePlan) Ordered(s *Server, role external.Role, change time.Duration, now time.Time) {
+// RecordOrder records that an engine accepted an order that takes the given time to carry out.
+func (st *RolePlan) RecordOrder(s *Server, role external.Role, change time.Duration, now time.Time) {
 	st.recordChange(role, now)
 	st.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(change + listDelay)}
 	s.pauseUntil(now.Add(change))
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -31,8 +31,8 @@
 
 // Results of orders.
 const (
-	OrderAccepted OrderResult = iota
-	OrderHolds                // the engine already has the role
+	OrderAccepted      OrderResult = iota
+	OrderAlreadyInRole             // the engine already has the role
 	OrderRefused
 )
 
@@ -69,8 +69,8 @@
 	unknownOutcomeTime = 15 * time.Second
 )
 
-// Roles plans the roles of engines and orders role changes while this process holds the lease.
-type Roles struct {
+// RolePlanner plans the roles of engines and orders role changes while this process holds the lease.
+type RolePlanner struct {
 	instance string
 	guard    time.Duration
 	orders   Orders
@@ -86,17 +86,17 @@
 	fence      uint64
 }
 
-// NewRoles returns a Roles. guard is how long a new lease holder waits before it gives orders, so
-// that the last orders of the previous holder have completed.
-func NewRoles(instance string, guard time.Duration, o Orders, a Authority, t *route.Holder, r *Roster, p *upstream.Pool, m Metrics, log logrus.FieldLogger) *Roles {
-	return &Roles{
+// NewRolePlanner returns a RolePlanner. guard is how long a new lease holder waits before it gives
+// orders, so that the last orders of the previous holder have completed.
+func NewRolePlanner(instance string, guard time.Duration, o Orders, a Authority, t *route.Holder, r *Roster, p *upstream.Pool, m Metrics, log logrus.FieldLogger) *RolePlanner {
+	return &RolePlanner{
 		instance: instance, guard: guard, orders: o, leases: a, tables: t, roster: r, pool: p, metrics: m, log: log,
 		plans: make(map[string]*RolePlan),
 	}
 }
 
 // Run plans roles until the context ends.
-func (r *Roles) Run(ctx context.Context) {
+func (r *RolePlanner) Run(ctx context.Context) {
 	for pause.For(ctx, PlanInterval) {
 		a, ok := r.leases.Authority(RolesPool)
 		table := r.tables.Table()
@@ -114,14 +114,14 @@
 
 // mayOrder reports whether the guard time of a new lease has passed. The first lease ever needs
 // none.
-func (r *Roles) mayOrder(a lease.Authority, now time.Time) bool {
+func (r *RolePlanner) mayOrder(a lease.Authority, now time.Time) bool {
 	if a.Fence != r.fence {
 		r.fence, r.acquiredAt = a.Fence, now
 	}
 	return a.Fence == 1 || now.Sub(r.acquiredAt) >= r.guard
 }
 
-func (r *Roles) plan(service string) *RolePlan {
+func (r *RolePlanner) plan(service string) *RolePlan {
 	p := r.plans[service]
 	if p == nil {
 		p = NewRolePlan()
@@ -132,7 +132,7 @@
 
 // planService runs a planning round for one service. It also runs during the guard time, so that
 // the load is known when orders are allowed.
-func (r *Roles) planService(ctx context.Context, a lease.Authority, mayOrder bool, service string, e *route.Engine) {
+func (r *RolePlanner) planService(ctx context.Context, a lease.Authority, mayOrder bool, service string, e *route.Engine) {
 	now := time.Now()
 	st := r.plan(service)
 	previousReason := st.Decision.Reason
@@ -153,7 +153,7 @@
 
 // order reads the engine's state and orders the role change, on condition that the engine has not
 // accepted another order since.
-func (r *Roles) order(ctx context.Context, a lease.Authority, s *Server, role external.Role, st *RolePlan, e *route.Engine) {
+func (r *RolePlanner) order(ctx context.Context, a lease.Authority, s *Server, role external.Role, st *RolePlan, e *route.Engine) {
 	log := r.log.WithFields(logrus.Fields{"server": s.ID, "from": s.Role, "to": role, "fence": a.Fence})
 	st.pendingOrders[s.state] = pendingOrder{until: time.Now().Add(settleTime)}
 	_, body, err := r.call(ctx, s, r.orders.ReportRequest(s))
@@ -188,12 +188,12 @@
 	result := r.orders.OrderResult(status)
 	r.metrics.RoleOrder(s.Service, string(role), result.String())
 	if result == OrderAccepted {
-		st.Ordered(s, role, e.RoleChange, now)
+		st.RecordOrder(s, role, e.RoleChange, now)
 	}
 	log.WithFields(logrus.Fields{"status": status, "accepted": result == OrderAccepted, "sequence": report.Sequence}).Info("role ordered")
 }
 
-func (r *Roles) call(ctx context.Context, s *Server, req *upstream.Request) (int, []byte, error) {
+func (r *RolePlanner) call(ctx context.Context, s *Server, req *upstream.Request) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	resp, err := r.pool.Do(ctx, s.Address, req, func(*http.Response, bool) bool { return true })
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -30,7 +30,7 @@
 func TestChoiceLooksAtEachServerOncePerDataCentre(t *testing.T) {
 	servers := newFleet(300)
 	vs := views(servers)
-	p := newPrompt(Part{1, 2500}, Part{2, 3500}, Part{3, 3000})
+	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	p.dataCentre = "z1"
 	d := newDecodeSelector(servers, vs, p.dataCentre, rand.Float64)
 	c := choosePrompt(servers, vs, make([]float64, len(servers)), p, secondsPerToken, 3000, d)
@@ -74,7 +74,7 @@
 	for _, n := range []int{11, 44, 640, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			servers := newFleet(n)
-			p := newPrompt(Part{1, 2500}, Part{2, 3500}, Part{3, 3000})
+			p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 			p.dataCentre = "z1"
 			b.ResetTimer()
 			for range b.N {
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -35,9 +35,9 @@
 	Usable  int `json:"usable"`
 	// InFlight counts the requests of this process on the service's backend servers.
 	InFlight int `json:"in_flight"`
-	// UnreadTokens counts the prompt tokens that this process has sent and that are not prefilled
+	// PendingTokens counts the prompt tokens that this process has sent and that are not prefilled
 	// yet.
-	UnreadTokens int `json:"unread_tokens"`
+	PendingTokens int `json:"unread_tokens"`
 	// RetryBudgetLeft is the number of retries that the budget currently allows.
 	RetryBudgetLeft float64 `json:"retry_budget_left"`
 }
@@ -53,16 +53,16 @@
 	State string `json:"state"`
 	// Usable is true if the backend server gets new requests.
 	Usable bool `json:"usable"`
-	// InFlight counts the requests of this process, Others those of other gateway instances as last
-	// reported.
-	InFlight int `json:"in_flight"`
-	Others   int `json:"others"`
-	Slots    int `json:"slots"`
-	// UnreadTokens counts the prompt tokens that this process has sent and that are not prefilled
+	// InFlight counts the requests of this process, OtherRequests those of other gateway instances as
+	// last reported.
+	InFlight      int `json:"in_flight"`
+	OtherRequests int `json:"others"`
+	Slots         int `json:"slots"`
+	// PendingTokens counts the prompt tokens that this process has sent and that are not prefilled
 	// yet.
-	UnreadTokens int `json:"unread_tokens"`
-	// FailingShare is the moving average of failed requests, from 0 to 1.
-	FailingShare float64 `json:"failing_share"`
+	PendingTokens int `json:"unread_tokens"`
+	// FailureRate is the moving average of failed requests, from 0 to 1.
+	FailureRate float64 `json:"failing_share"`
 	// LoadAgeMS is the age of the last load report in milliseconds; negative if there was none.
 	LoadAgeMS int64 `json:"load_age_ms"`
 	// Connections counts the connections of this process, in use and idle.
@@ -102,7 +102,7 @@
 			v.Usable++
 		}
 		v.InFlight += s.InFlight
-		v.UnreadTokens += s.UnreadTokens
+		v.PendingTokens += s.PendingTokens
 	}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		s := services[name]
@@ -132,8 +132,8 @@
 		v := s.view(now)
 		st := ServerStatus{
 			Server: s.ID, Service: s.Service, Address: s.Address, DataCentre: s.DataCentre, Role: string(s.Role),
-			State: stateReady, Usable: v.usable && !s.Draining, InFlight: v.inFlight, Others: v.otherRequests, Slots: s.Slots,
-			UnreadTokens: int(v.pendingTokens), FailingShare: v.failureRate, LoadAgeMS: age(s.reportedAt(), now),
+			State: stateReady, Usable: v.usable && !s.Draining, InFlight: v.inFlight, OtherRequests: v.otherRequests, Slots: s.Slots,
+			PendingTokens: int(v.pendingTokens), FailureRate: v.failureRate, LoadAgeMS: age(s.reportedAt(), now),
 		}
 		switch {
 		case s.Draining:
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -73,7 +73,7 @@
 		if len(event) > 0 {
 			a.recordFirstEvent(now)
 			if !lastEventAt.IsZero() {
-				q.g.metrics.Pause(q.service, now.Sub(lastEventAt))
+				q.g.metrics.EventGap(q.service, now.Sub(lastEventAt))
 			}
 			lastEventAt = now
 		}
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -50,7 +50,7 @@
 		fx.Supply(s, log),
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
-			telemetry.New, telemetry.NewGateway, newAdapter, newGateway, newGatewayHealth, newFeed, gateway.NewRoster,
+			telemetry.New, telemetry.NewGateway, newAdapter, newGateway, newGatewayHealth, newStoreWatcher, gateway.NewRoster,
 			func() *route.Holder { return &route.Holder{} }, newUpstream, newLeases, newStatus,
 		),
 		// Hooks stop in reverse order.
@@ -58,7 +58,7 @@
 			func(m *telemetry.Metrics, g *telemetry.Gateway, status statusFunc) error {
 				return g.Watch(m, status, linesLeftOut)
 			},
-			runFeed, ignoreHangup, serveGateway, runRoles, failReadiness,
+			runStoreWatcher, ignoreHangup, serveGateway, runRoles, failReadiness,
 		),
 	)
 }
@@ -102,11 +102,11 @@
 	}, a, t, r, p, m, log)
 }
 
-func newFeed(a Adapter, t *route.Holder, r *gateway.Roster, log logrus.FieldLogger) *gateway.Feed {
-	return gateway.NewFeed(a, t, r, log)
+func newStoreWatcher(a Adapter, t *route.Holder, r *gateway.Roster, log logrus.FieldLogger) *gateway.StoreWatcher {
+	return gateway.NewStoreWatcher(a, t, r, log)
 }
 
-func runFeed(lc fx.Lifecycle, f *gateway.Feed) { background(lc, f.Run) }
+func runStoreWatcher(lc fx.Lifecycle, f *gateway.StoreWatcher) { background(lc, f.Run) }
 
 // leaseMarginShare is the part of a lease's time to live that is kept as its safety margin.
 const leaseMarginShare = 7
@@ -130,7 +130,7 @@
 	}
 	background(lc, leases.Run)
 	// A holder that lost its lease without notice may give orders until the TTL is over.
-	roles := gateway.NewRoles(s.Instance, s.LeaseTTL+s.OrderGuard, a, leases, t, r, p, m, log)
+	roles := gateway.NewRolePlanner(s.Instance, s.LeaseTTL+s.OrderGuard, a, leases, t, r, p, m, log)
 	background(lc, roles.Run)
 }
 
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -77,7 +77,7 @@
 		}
 		for _, v := range s.Services {
 			t.add(append(slices.Clone(row), v.Service, strconv.Itoa(v.Servers), strconv.Itoa(v.Usable), strconv.Itoa(v.InFlight),
-				strconv.Itoa(v.UnreadTokens), strconv.Itoa(int(v.RetryBudgetLeft)))...)
+				strconv.Itoa(v.PendingTokens), strconv.Itoa(int(v.RetryBudgetLeft)))...)
 		}
 	}
 	return a.emit(views, t)
@@ -101,7 +101,7 @@
 	t := &table{header: []string{"SERVER", "SERVICE", "DATA CENTRE", "ADDRESS", "ROLE", "STATE", "USABLE", "IN FLIGHT", "SLOTS", "UNREAD TOKENS", "FAILING", "LOAD AGE", "CONNECTIONS"}}
 	for _, v := range views {
 		t.add(v.Server, v.Service, v.DataCentre, v.Address, v.Role, v.State, fmt.Sprintf("%d of %d", v.UsableBy, v.SeenBy),
-			strconv.Itoa(v.InFlight), strconv.Itoa(v.Slots), strconv.Itoa(v.UnreadTokens), strconv.FormatFloat(v.FailingShare, 'f', 2, 64),
+			strconv.Itoa(v.InFlight), strconv.Itoa(v.Slots), strconv.Itoa(v.PendingTokens), strconv.FormatFloat(v.FailureRate, 'f', 2, 64),
 			ageText(v.LoadAgeMS), strconv.Itoa(v.Connections))
 	}
 	return a.emit(views, t)
@@ -120,11 +120,11 @@
 				merged[s.Server] = v
 			} else {
 				v.InFlight += s.InFlight
-				v.UnreadTokens += s.UnreadTokens
+				v.PendingTokens += s.PendingTokens
 				v.Connections += s.Connections
-				v.FailingShare = max(v.FailingShare, s.FailingShare)
+				v.FailureRate = max(v.FailureRate, s.FailureRate)
 				if s.LoadAgeMS >= 0 && (v.LoadAgeMS < 0 || s.LoadAgeMS < v.LoadAgeMS) {
-					v.LoadAgeMS, v.Others = s.LoadAgeMS, s.Others
+					v.LoadAgeMS, v.OtherRequests = s.LoadAgeMS, s.OtherRequests
 				}
 			}
 			v.SeenBy++
--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -29,7 +29,7 @@
 func TestStatusAndWorkersOfGateways(t *testing.T) {
 	first := serveStatus(t, &gateway.Status{
 		Instance: "edge-1", DataCentre: "z1", Ready: true, Config: 7, StoreAgeMS: 900, Orders: true,
-		Services: []gateway.ServiceStatus{{Service: "llm", Servers: 2, Usable: 1, InFlight: 3, UnreadTokens: 900, RetryBudgetLeft: 4.5}},
+		Services: []gateway.ServiceStatus{{Service: "llm", Servers: 2, Usable: 1, InFlight: 3, PendingTokens: 900, RetryBudgetLeft: 4.5}},
 		Servers: []gateway.ServerStatus{
 			{Server: "i-1", Service: "llm", DataCentre: "z1", Role: "prefill", State: "ready", Usable: true, InFlight: 3, Slots: 8, LoadAgeMS: -1, Connections: 2},
 			{Server: "i-2", Service: "llm", DataCentre: "z2", Role: "decode", State: "draining", Slots: 8, LoadAgeMS: 50},
@@ -37,7 +37,7 @@
 	})
 	second := serveStatus(t, &gateway.Status{
 		Instance: "edge-2", DataCentre: "z2", Reason: "no configuration yet", StoreAgeMS: -1,
-		Servers: []gateway.ServerStatus{{Server: "i-1", Service: "llm", DataCentre: "z1", State: "ready", InFlight: 4, Slots: 8, LoadAgeMS: 30, Others: 3, Connections: 1}},
+		Servers: []gateway.ServerStatus{{Server: "i-1", Service: "llm", DataCentre: "z1", State: "ready", InFlight: 4, Slots: 8, LoadAgeMS: 30, OtherRequests: 3, Connections: 1}},
 	})
 	const down = "127.0.0.1:1"
 
--- a/internal/gatewaybench/policy.go
+++ b/internal/gatewaybench/policy.go
@@ -75,14 +75,14 @@
 			continue
 		}
 		p.w.stats.orders++
-		p.plan.Ordered(s, role, time.Duration(p.w.dep.Engines.RoleChange), now)
+		p.plan.RecordOrder(s, role, time.Duration(p.w.dep.Engines.RoleChange), now)
 		e.change(role)
 	}
 }
 
 func (p *decided) place(r *request) {
 	q := &gateway.Query{
-		Route: p.w.routes[r.kind], Service: service, Call: &r.call, Deadline: p.w.sim.Now().Add(r.deadline - p.w.sim.At),
+		Route: p.w.routes[r.kind], Service: service, Metadata: &r.call, Deadline: p.w.sim.Now().Add(r.deadline - p.w.sim.At),
 	}
 	q.Prepare()
 	p.send(r, q, 0)
@@ -99,23 +99,23 @@
 		w.refuse(r, 100*time.Millisecond)
 		return
 	case c.Refuse && sends == 0:
-		w.refuse(r, c.ComeBack)
+		w.refuse(r, c.RetryAfter)
 		return
 	}
 	server := w.byID[c.Server.ID]
-	if c.Reader == nil {
-		p.generate(r, q, c.Server, server, nil, nil, c.Unread, sends)
+	if c.PrefillServer == nil {
+		p.generate(r, q, c.Server, server, nil, nil, c.UncachedTokens, sends)
 		return
 	}
-	reader := w.byID[c.Reader.ID]
-	t := p.track(r, q, c.Reader, c.Unread)
+	reader := w.byID[c.PrefillServer.ID]
+	t := p.track(r, q, c.PrefillServer, c.UncachedTokens)
 	if reader.dark {
 		return // the caller gives up; the entry hears nothing
 	}
 	if reader.refuses(true) {
 		w.sim.After(refusalDelay, func() {
 			t.refused()
-			q.Tried(c.Reader)
+			q.Exclude(c.PrefillServer)
 			p.send(r, q, sends+1)
 		})
 		return
@@ -125,8 +125,8 @@
 	wk.then = func(bool) {
 		t.read()
 		t.ended(reader.load())
-		q.ReadBy(c.Reader)
-		p.generate(r, q, c.Server, server, c.Reader, reader, 0, sends)
+		q.SetPrefillServer(c.PrefillServer)
+		p.generate(r, q, c.Server, server, c.PrefillServer, reader, 0, sends)
 	}
 	reader.read(wk)
 }
@@ -149,8 +149,8 @@
 
 func (p *decided) track(r *request, q *gateway.Query, s *gateway.Server, unread float64) *track {
 	d, now := p.entries[r.entry], p.w.sim.Now()
-	t := &track{d: d, w: p.w, q: q, s: s, unread: unread, ahead: d.Ahead(s, now), sentAt: now}
-	d.Sent(q, s, unread, now)
+	t := &track{d: d, w: p.w, q: q, s: s, unread: unread, ahead: d.PendingTokens(s, now), sentAt: now}
+	d.RecordSent(q, s, unread, now)
 	r.onEnd = append(r.onEnd, t.drop)
 	return t
 }
@@ -159,7 +159,7 @@
 func (t *track) read() {
 	if !t.isRead {
 		t.isRead = true
-		t.d.Read(t.q, t.s, t.unread, t.ahead, t.sentAt, t.w.sim.Now())
+		t.d.RecordPrefilled(t.q, t.s, t.unread, t.ahead, t.sentAt, t.w.sim.Now())
 	}
 }
 
@@ -167,7 +167,7 @@
 func (t *track) moved() {
 	if t.from != nil {
 		now := t.w.sim.Now()
-		t.d.Moved(t.from, t.s, now.Sub(t.sentAt), t.delay, now)
+		t.d.RecordTransfer(t.from, t.s, now.Sub(t.sentAt), t.delay, now)
 		t.from = nil
 	}
 }
@@ -179,35 +179,35 @@
 	}
 	t.over = true
 	if t.from != nil {
-		t.d.GivenUp(t.from, t.s, t.sentAt, t.delay, t.w.sim.Now())
+		t.d.RecordAbandonedTransfer(t.from, t.s, t.sentAt, t.delay, t.w.sim.Now())
 	}
 	if !t.isRead {
 		t.isRead = true
-		t.d.Dropped(t.s, t.unread)
+		t.d.RecordPrefillDropped(t.s, t.unread)
 	}
-	t.d.Ended(t.s)
+	t.d.RecordEnded(t.s)
 }
 
 func (t *track) ended(load *gateway.Load) {
-	t.d.Heard(t.s, load, t.w.sim.Now())
+	t.d.RecordActivity(t.s, load, t.w.sim.Now())
 	t.drop()
 }
 
 func (t *track) refused() {
 	t.from = nil
-	t.d.Refused(t.s, t.w.sim.Now())
+	t.d.RecordRefusal(t.s, t.w.sim.Now())
 	t.ended(nil)
 }
 
 // generate has an engine answer, after it has fetched the prompt from the reader or read it itself.
 func (p *decided) generate(r *request, q *gateway.Query, s *gateway.Server, e *engine, from *gateway.Server, reader *engine, unread float64, sends int) {
 	w := p.w
-	delay := p.entries[r.entry].Delay(s, w.sim.Now())
+	delay := p.entries[r.entry].DecodeDelay(s, w.sim.Now())
 	t := p.track(r, q, s, unread)
 	if reader != nil {
 		t.from, t.delay = from, delay
 	}
-	q.Tried(s)
+	q.Exclude(s)
 	if e.dark {
 		return
 	}
@@ -223,7 +223,7 @@
 	wk.onEvent = func() {
 		t.read()
 		t.moved()
-		t.d.Heard(s, nil, w.sim.Now())
+		t.d.RecordActivity(s, nil, w.sim.Now())
 		w.event(r)
 	}
 	wk.then = func(bool) {
--- a/internal/gatewaybench/world.go
+++ b/internal/gatewaybench/world.go
@@ -49,7 +49,7 @@
 // request is one request of a caller, with its returns.
 type request struct {
 	kind     int
-	call     gateway.Call
+	call     gateway.RequestMetadata
 	keys     []uint64
 	events   int
 	value    float64
@@ -226,7 +226,7 @@
 
 func (r *request) part(key uint64, tokens int) {
 	r.keys = append(r.keys, key)
-	r.call.Parts = append(r.call.Parts, gateway.Part{ID: key, Tokens: tokens})
+	r.call.Parts = append(r.call.Parts, gateway.PromptPart{ID: key, Tokens: tokens})
 	r.call.PromptTokens += tokens
 }
 
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -82,7 +82,7 @@
 			o.ObserveInt64(servers, int64(v.Servers), label)
 			o.ObserveInt64(usable, int64(v.Usable), label)
 			o.ObserveInt64(inFlight, int64(v.InFlight), label)
-			o.ObserveInt64(unread, int64(v.UnreadTokens), label)
+			o.ObserveInt64(unread, int64(v.PendingTokens), label)
 			o.ObserveInt64(budget, int64(v.RetryBudgetLeft), label)
 		}
 		for _, v := range s.Servers {
@@ -139,8 +139,8 @@
 	g.refusals.Add(context.Background(), 1, g.set("service", service, "reason", reason).add...)
 }
 
-// Pause implements gateway.Metrics.
-func (g *Gateway) Pause(service string, d time.Duration) {
+// EventGap implements gateway.Metrics.
+func (g *Gateway) EventGap(service string, d time.Duration) {
 	g.pause.Record(context.Background(), d.Seconds(), g.set("service", service).record...)
 }
 
@@ -149,7 +149,7 @@
 	for _, part := range [...]struct {
 		source string
 		tokens float64
-	}{{"kept", p.Kept}, {"read", p.Read}, {"moved", p.Moved}} {
+	}{{"kept", p.Cached}, {"read", p.Prefilled}, {"moved", p.Transferred}} {
 		if part.tokens > 0 {
 			g.prompt.Add(context.Background(), part.tokens, g.set("service", service, "source", part.source).add...)
 		}
--- a/test/site/world_test.go
+++ b/test/site/world_test.go
@@ -119,8 +119,8 @@
 	n.gateway = gateway.New(gateway.Config{DataCentre: "z", RetryWindow: 10 * time.Second, RetryShare: 0.2, RetrySlack: 1}, a, n.tables, n.roster, pool, nothing{}, log)
 	leases, err := lease.NewManager(a, lease.Config{Holder: name, Pools: []string{gateway.RolesPool}, TTL: leaseTTL, SafetyMargin: leaseTTL / 7, MaxPools: 1, Random: rand.New(rand.NewPCG(1, uint64(len(w.gateways)))).Float64})
 	require.NoError(w.t, err)
-	roles := gateway.NewRoles(name, leaseTTL+guard, a, leases, n.tables, n.roster, pool, nothing{}, log)
-	for _, run := range []func(context.Context){gateway.NewFeed(a, n.tables, n.roster, log).Run, leases.Run, roles.Run} {
+	roles := gateway.NewRolePlanner(name, leaseTTL+guard, a, leases, n.tables, n.roster, pool, nothing{}, log)
+	for _, run := range []func(context.Context){gateway.NewStoreWatcher(a, n.tables, n.roster, log).Run, leases.Run, roles.Run} {
 		n.done.Go(func() { run(n.host.Ctx) })
 	}
 	n.server = w.serve(n.host, n.address, n.gateway)
@@ -154,7 +154,7 @@
 func (nothing) Request(string, string, string, time.Duration) {}
 func (nothing) Refusal(string, string)                        {}
 func (nothing) FirstEvent(string, string, time.Duration)      {}
-func (nothing) Pause(string, time.Duration)                   {}
+func (nothing) EventGap(string, time.Duration)                {}
 func (nothing) Attempt(string, string)                        {}
 func (nothing) Prompt(string, gateway.PromptTokens)           {}
 func (nothing) RoleOrder(string, string, string)              {}
