--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -40,7 +40,7 @@
 // Guards against forwarding requests whose callers have disconnected. A process without free file
 // descriptors read requests a second after their arrival and forwarded four of them after their
 // callers' deadlines (randomised run mix-turns-in-flood, seed 572537457078).
-func TestRequestsOfCallersThatLeftAreNotSent(t *testing.T) {
+func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	var arrivals atomic.Int64
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -53,7 +53,7 @@
 }
 
 // Guards against gateway instances that send the same prefix to different engines.
-func TestEntriesAgreeOnHomes(t *testing.T) {
+func TestInstancesAgreeOnAffinityServers(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("b", external.RolePrefill), newServer("c", external.RolePrefill), newServer("d", external.RoleDecode)}
 	reversed := []*Server{servers[3], servers[2], servers[1], servers[0]}
 	count := map[string]int{}
@@ -72,7 +72,7 @@
 }
 
 // Guards against requests that queue for a busy affinity server while another engine is idle.
-func TestBusyHomesYield(t *testing.T) {
+func TestBusyAffinityServersAreAvoided(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("b", external.RolePrefill), newServer("d", external.RoleDecode)}
 	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
@@ -348,7 +348,7 @@
 
 // Guards against an unresponsive engine that lowers the rating of every engine it fetches prompts
 // from.
-func TestDarkEnginesDoNotDiscreditReaders(t *testing.T) {
+func TestUnresponsiveEnginesDoNotPenalisePrefillServers(t *testing.T) {
 	prefillServer, unresponsive, slow := newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)
 	unresponsive.recordSent(0, start)
 	slow.recordSent(0, start)
