--- a/placement/split.go
+++ b/placement/split.go
@@ -85,9 +85,9 @@
 // A prefill engine drains in about a second.
 func (p *Planner) changeCost(from external.Role) float64 {
 	if from == external.RolePrefill {
-		return p.cfg.Change.Seconds() + 1
+		return p.cfg.ChangeTime.Seconds() + 1
 	}
-	return p.cfg.Change.Seconds() + assumedDrainSeconds/2
+	return p.cfg.ChangeTime.Seconds() + assumedDrainSeconds/2
 }
 
 // transitionCost returns the weighted cost of the changes from one split to another, in
@@ -108,7 +108,7 @@
 
 // roleChanges compares all splits and returns the changes to order now towards the best one.
 func (p *Planner) roleChanges(s *Snapshot, pool *pool, w Weights, budget int) []Change {
-	expected := p.forecast(p.cfg.Change)
+	expected := p.forecast(p.cfg.ChangeTime)
 	tables := p.fillLossTables(expected, pool.size)
 	currentLoss := tables.expectedLoss(pool.current) * w.Goodput
 	best, bestTotal, bestCost := pool.current, currentLoss, 0.0
