--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -11,31 +11,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a control function of net.Dialer. It gives up a connection whose peer
-// acknowledges nothing for d.
+// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT: the kernel closes
+// the connection if sent data remains unacknowledged for d.
 func UserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var option error
+		var optionErr error
 		err := c.Control(func(fd uintptr) {
-			option = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 		})
-		return errors.Join(err, option)
+		return errors.Join(err, optionErr)
 	}
 }
 
-// silent tells whether an idle connection is open and has nothing to read.
-func silent(c net.Conn) bool {
+// isOpenAndIdle reports whether a connection is open and has no data to read. It returns true if c is
+// not a socket.
+func isOpenAndIdle(c net.Conn) bool {
 	n, err, ok := peek(c)
-	return !ok || n <= 0 && nothingYet(err)
+	return !ok || n <= 0 && wouldBlock(err)
 }
 
-// nothingYet tells whether a read found an open connection without bytes.
-func nothingYet(err error) bool {
+// wouldBlock reports whether a non-blocking read failed because an open connection had no data.
+func wouldBlock(err error) bool {
 	return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EWOULDBLOCK)
 }
 
-// peek looks at the next byte without taking it or waiting for it. It does not wait for another reader of
-// the connection either, as RawConn.Read would. ok is false if the connection is no socket.
+// peek reads the next byte without consuming it and without blocking. Unlike RawConn.Read, it does not
+// wait for a concurrent reader of the connection. ok is false if c is not a socket.
 func peek(c net.Conn) (n int, err error, ok bool) {
 	sc, isSocket := c.(syscall.Conn)
 	if !isSocket {
@@ -56,14 +57,15 @@
 	return n, readErr, true
 }
 
-// Ended tells whether the peer has closed or reset a connection, although what it sent before may be
-// unread.
+// Ended reports whether the peer has reset a connection, or has closed it and all received data has been
+// read. It returns false if c is not a socket.
 func Ended(c net.Conn) bool {
 	n, err, ok := peek(c)
-	return ok && n <= 0 && !nothingYet(err) && !errors.Is(err, unix.EINTR)
+	return ok && n <= 0 && !wouldBlock(err) && !errors.Is(err, unix.EINTR)
 }
 
-// keepAliveTimeout reads the timeout parameter of a Keep-Alive header.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header in seconds, and whether it is
+// present and valid.
 func keepAliveTimeout(value string) (int, bool) {
 	for part := range strings.SplitSeq(value, ",") {
 		name, seconds, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream sends requests to backend servers over kept HTTP/1.1 connections, one request at
-// a time per connection. Unlike the transport of net/http it never sends a request a second time by
-// itself, never changes an encoding, and tells apart what certainly did not reach the backend server
-// from what may have run.
+// Package upstream is an HTTP/1.1 client for backend servers with a pool of persistent connections,
+// each of which carries one request at a time. Unlike the transport of net/http, it never retries a
+// request, never changes the encoding of a body, and its errors distinguish a request that was certainly
+// not sent from one that the backend server may have run.
 package upstream
 
 import (
@@ -18,177 +18,192 @@
 	"time"
 )
 
-// Errors of an exchange.
+// Errors of Pool.Do.
 var (
-	// ErrNotSent means that no byte of the request was sent, so that it did not run.
+	// ErrNotSent means that no byte of the request was sent, so the backend server did not run it.
 	ErrNotSent = errors.New("request not sent")
-	// ErrBroken means that the connection failed or carried something that is no answer. The
-	// request may have run.
-	ErrBroken = errors.New("exchange broken")
-	// ErrForeign means that the answer belongs to another request.
-	ErrForeign = errors.New("answer to another request")
+	// ErrExchangeFailed means that the connection failed, or that no valid response to the request was
+	// received. The backend server may have run the request.
+	ErrExchangeFailed = errors.New("exchange broken")
+	// ErrResponseMismatch means that the received responses belong to other requests.
+	ErrResponseMismatch = errors.New("answer to another request")
 )
 
 const (
-	// dialTimeout bounds a new connection. Data centres of one region answer within a few
-	// milliseconds, and a lost opening packet is sent again after a second.
+	// dialTimeout limits the time to open a connection. A round trip between the data centres of a
+	// region takes a few milliseconds, and a lost SYN packet is retransmitted only after 1 s.
 	dialTimeout = 500 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay unacknowledged before the connection is given
-	// up: a backend server without power or behind a partition sends nothing.
-	unacknowledged = 1500 * time.Millisecond
-	// keepAliveIdle and keepAliveInterval find a silent backend server while its answer is awaited.
+	// tcpUserTimeout is how long sent data may remain unacknowledged before the connection is closed.
+	// It detects a backend server that has lost power or is behind a network partition, which sends
+	// neither an acknowledgement nor a reset.
+	tcpUserTimeout = 1500 * time.Millisecond
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes configure the TCP keep-alive, which detects
+	// an unreachable backend server while the client waits for a response and has no data in flight.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
-	// maxIdlePerAddress bounds the kept connections to one backend server, below the 100 that the
-	// smallest of them accept from all entries together.
+	// maxIdlePerAddress limits the idle connections to one backend server. The smallest backend
+	// servers accept 100 connections in total, from all entries together.
 	maxIdlePerAddress = 24
-	// maxIdle is how long an unused connection is kept if the backend server names no time.
-	maxIdle = 4 * time.Second
-	// idleMargin is subtracted from the idle time that a backend server names, so that it does not
-	// close the connection while a request is on its way.
+	// maxIdleTime is how long an idle connection is kept at most. A Keep-Alive header of the backend
+	// server can only shorten it.
+	maxIdleTime = 4 * time.Second
+	// idleMargin is subtracted from the timeout in a Keep-Alive header, so that the backend server does
+	// not close the connection while a request is in transit.
 	idleMargin = 500 * time.Millisecond
-	// inlineBody is the largest body that is written before the answer is read. Larger bodies are
-	// written at the same time, because a backend server may answer before it has read all.
-	inlineBody = 2 << 10
-	// maxForeign bounds the answers to other requests that are skipped on one connection.
-	maxForeign = 4
-	// maxForeignBytes bounds the body of a skipped answer.
-	maxForeignBytes = 1 << 20
-	// writerGrace is how long a writer may take to say that it has written all.
-	writerGrace = 20 * time.Millisecond
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
+	// maxInlineBody is the maximum size of a body that is written before the response is read. A larger
+	// body is written by a separate goroutine, because a backend server may respond before it has read
+	// the whole body.
+	maxInlineBody = 2 << 10
+	// maxResponsesPerRequest limits the responses that are read for one request, including the
+	// informational responses and the responses to other requests, which are skipped.
+	maxResponsesPerRequest = 4
+	// maxSkippedBytes limits the body size of a skipped response.
+	maxSkippedBytes = 1 << 20
+	// bodyWriteWait is how long Response.Close waits for the goroutine that writes the body to finish.
+	bodyWriteWait   = 20 * time.Millisecond
+	readBufferSize  = 4 << 10
+	writeBufferSize = 4 << 10
 )
 
-// Request is one request to a backend server.
+// Request is an HTTP request to a backend server.
 type Request struct {
 	Method string
-	// Target is the path and query as received.
+	// Target is the path and query. It is sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Response is an answer whose body is still to be read. Close must be called once.
+// Response is a response whose body has not been read. The caller must call Close once.
 type Response struct {
 	*http.Response
 	conn *conn
-	stop func() bool
-	done bool
-	err  error
+	// stopCancel ends the cancellation of the exchange by the context. It returns false if the context
+	// has already ended.
+	stopCancel func() bool
+	// complete is true once the whole body has been read.
+	complete bool
+	err      error
 }
 
-// Pool keeps connections to backend servers. It is safe for concurrent use.
+// Pool is a pool of connections to backend servers. It is safe for concurrent use.
 type Pool struct {
-	dial Dial
+	dial DialFunc
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
-	// opened counts the connections made.
+	// opened is the number of connections opened since the pool was created.
 	opened int64
-	// open counts the connections that are open, by address.
+	// open is the number of open connections by address, both idle and in use.
 	open map[string]int
 }
 
+// conn is a pooled connection.
 type conn struct {
 	net.Conn
-	pool    *Pool
-	closed  atomic.Bool
-	addr    string
-	br      *bufio.Reader
-	bw      *bufio.Writer
-	reused  bool
-	until   time.Time
-	writing chan error
+	pool   *Pool
+	closed atomic.Bool
+	addr   string
+	br     *bufio.Reader
+	bw     *bufio.Writer
+	// reused is true if the connection has carried an earlier request.
+	reused bool
+	// idleUntil is the time after which the idle connection is no longer used.
+	idleUntil time.Time
+	// writeResult receives the result of writing a large request body. It is nil if the request was
+	// written before the response was read.
+	writeResult chan error
 }
 
-// Dial opens a connection.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+// DialFunc opens a connection.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool that opens TCP connections with the timeouts of this package.
 func NewPool() *Pool {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
-		Control: UserTimeout(unacknowledged),
+		Control: UserTimeout(tcpUserTimeout),
 	}
 	return NewPoolWithDial(dialer.DialContext)
 }
 
-// NewPoolWithDial returns an empty pool whose connections are opened by dial.
-func NewPoolWithDial(dial Dial) *Pool {
+// NewPoolWithDial returns an empty pool that opens connections with dial.
+func NewPoolWithDial(dial DialFunc) *Pool {
 	return &Pool{dial: dial, idle: make(map[string][]*conn), open: make(map[string]int)}
 }
 
-// Opened returns the number of connections made so far.
+// Opened returns the number of connections opened since the pool was created.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Connections returns the number of open connections to an address.
+// Connections returns the number of open connections to an address, both idle and in use.
 func (p *Pool) Connections(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open[addr]
 }
 
-// count notes n connections more to an address, or fewer if n is negative.
-func (p *Pool) count(addr string, n int) {
+// addOpen adds delta to the number of open connections to an address. A positive delta also increases
+// the number of opened connections.
+func (p *Pool) addOpen(addr string, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opened += int64(max(0, n))
-	if p.open[addr] += n; p.open[addr] == 0 {
+	p.opened += int64(max(0, delta))
+	if p.open[addr] += delta; p.open[addr] == 0 {
 		delete(p.open, addr)
 	}
 }
 
-// Close closes the connection. It must not be called with Pool.mu held.
+// Close closes the connection. The caller must not hold Pool.mu.
 func (c *conn) Close() error {
 	if c.closed.Swap(true) {
 		return nil
 	}
-	c.pool.count(c.addr, -1)
+	c.pool.addOpen(c.addr, -1)
 	return c.Conn.Close()
 }
 
-// Close closes the kept connections.
+// Close closes the idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
 	p.idle = make(map[string][]*conn)
 	p.mu.Unlock()
-	for _, cs := range idle {
-		for _, c := range cs {
+	for _, conns := range idle {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 	}
 }
 
-// Forget closes the kept connections to an address.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
-	cs := p.idle[addr]
+	conns := p.idle[addr]
 	delete(p.idle, addr)
 	p.mu.Unlock()
-	for _, c := range cs {
+	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
-// Sweep closes the kept connections that have been idle for too long.
+// Sweep closes the idle connections whose idle time has expired.
 func (p *Pool) Sweep(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
-	for addr, cs := range p.idle {
-		kept := cs[:0]
-		for _, c := range cs {
-			if now.After(c.until) {
+	for addr, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if now.After(c.idleUntil) {
 				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
@@ -206,21 +221,22 @@
 	}
 }
 
-// take returns a kept connection that is still usable, the most recently used first.
-func (p *Pool) take(addr string, now time.Time) *conn {
+// takeIdle removes the most recently used idle connection to an address from the pool and returns it,
+// or returns nil if there is none. Connections that are no longer usable are closed and skipped.
+func (p *Pool) takeIdle(addr string, now time.Time) *conn {
 	for {
 		p.mu.Lock()
-		cs := p.idle[addr]
-		if len(cs) == 0 {
+		conns := p.idle[addr]
+		if len(conns) == 0 {
 			p.mu.Unlock()
 			return nil
 		}
-		c := cs[len(cs)-1]
-		p.idle[addr] = cs[:len(cs)-1]
+		c := conns[len(conns)-1]
+		p.idle[addr] = conns[:len(conns)-1]
 		p.mu.Unlock()
-		// Bytes that wait on an idle connection belong to no request, and the end of the stream
-		// means that the backend server has left.
-		if now.Before(c.until) && silent(c.Conn) {
+		// Unread data on an idle connection belongs to no request, and an end of file means that the
+		// backend server has closed the connection.
+		if now.Before(c.idleUntil) && isOpenAndIdle(c.Conn) {
 			c.reused = true
 			return c
 		}
@@ -228,8 +244,10 @@
 	}
 }
 
-func (p *Pool) put(c *conn, keep time.Duration) {
-	c.until = time.Now().Add(keep)
+// putIdle returns a connection to the pool for idleTime. If the pool has maxIdlePerAddress idle
+// connections to the address, the connection is closed instead.
+func (p *Pool) putIdle(c *conn, idleTime time.Duration) {
+	c.idleUntil = time.Now().Add(idleTime)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.addr]) >= maxIdlePerAddress {
@@ -239,93 +257,99 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-func (p *Pool) connect(ctx context.Context, addr string) (*conn, error) {
-	if c := p.take(addr, time.Now()); c != nil {
+// getConn returns an idle connection to an address, or opens a new one.
+func (p *Pool) getConn(ctx context.Context, addr string) (*conn, error) {
+	if c := p.takeIdle(addr, time.Now()); c != nil {
 		return c, nil
 	}
 	nc, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	p.count(addr, 1)
-	return &conn{Conn: nc, pool: p, addr: addr, br: bufio.NewReaderSize(nc, readBuffer), bw: bufio.NewWriterSize(nc, writeBuffer)}, nil
+	p.addOpen(addr, 1)
+	return &conn{Conn: nc, pool: p, addr: addr, br: bufio.NewReaderSize(nc, readBufferSize), bw: bufio.NewWriterSize(nc, writeBufferSize)}, nil
 }
 
-// Belongs tells whether an answer belongs to the request. fresh is true on a connection that carries
-// its first request.
-type Belongs func(resp *http.Response, fresh bool) bool
+// ResponseMatcher reports whether a response belongs to the request. firstRequest is true if the
+// connection has carried no earlier request.
+type ResponseMatcher func(resp *http.Response, firstRequest bool) bool
 
-// Do sends a request once and returns the answer to it. Answers to other requests, which a backend
-// server may send late, are skipped.
-func (p *Pool) Do(ctx context.Context, addr string, r *Request, belongs Belongs) (*Response, error) {
-	c, err := p.connect(ctx, addr)
+// Do sends a request once and returns its response. Responses to other requests, which a backend server
+// may send late, are skipped.
+func (p *Pool) Do(ctx context.Context, addr string, r *Request, matches ResponseMatcher) (*Response, error) {
+	c, err := p.getConn(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	if ctx.Err() != nil {
-		p.put(c, maxIdle)
+		p.putIdle(c, maxIdleTime)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, ctx.Err())
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	resp, err := c.exchange(r, belongs) //nolint:bodyclose // Response.Close ends the exchange
+	stopCancel := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	resp, err := c.exchange(r, matches) //nolint:bodyclose // Response.Close ends the exchange
 	if err != nil {
-		stop()
+		stopCancel()
 		_ = c.Close()
 		if ctx.Err() != nil {
 			err = fmt.Errorf("%w: %w", err, context.Cause(ctx))
 		}
 		return nil, err
 	}
-	out := &Response{Response: resp, conn: c, stop: stop}
+	out := &Response{Response: resp, conn: c, stopCancel: stopCancel}
 	return out, nil
 }
 
-func (c *conn) exchange(r *Request, belongs Belongs) (*http.Response, error) {
+// exchange sends a request and reads responses until one matches it.
+func (c *conn) exchange(r *Request, matches ResponseMatcher) (*http.Response, error) {
 	if err := c.send(r); err != nil {
 		return nil, err
 	}
 	req := &http.Request{Method: r.Method}
-	for range maxForeign {
+	for range maxResponsesPerRequest {
 		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+			return nil, fmt.Errorf("%w: %w", ErrExchangeFailed, err)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if belongs(resp, !c.reused) {
+		if matches(resp, !c.reused) {
 			return resp, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBytes))
-		if err != nil || n == maxForeignBytes || resp.Close {
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
+		if err != nil || n == maxSkippedBytes || resp.Close {
 			break
 		}
 	}
-	return nil, fmt.Errorf("%w: %w", ErrBroken, ErrForeign)
+	return nil, fmt.Errorf("%w: %w", ErrExchangeFailed, ErrResponseMismatch)
 }
 
+// send writes a request. A body larger than maxInlineBody is written in the background, and its result
+// is sent to c.writeResult.
 func (c *conn) send(r *Request) error {
-	c.writing = nil
-	c.head(r)
-	if len(r.Body) <= inlineBody {
+	c.writeResult = nil
+	c.writeHeader(r)
+	if len(r.Body) <= maxInlineBody {
 		if _, err := c.bw.Write(r.Body); err != nil {
-			return fmt.Errorf("%w: %w", ErrBroken, err)
+			return fmt.Errorf("%w: %w", ErrExchangeFailed, err)
 		}
 		if err := c.bw.Flush(); err != nil {
-			return fmt.Errorf("%w: %w", ErrBroken, err)
+			return fmt.Errorf("%w: %w", ErrExchangeFailed, err)
 		}
 		return nil
 	}
-	done := make(chan error, 1)
-	c.writing = done
+	result := make(chan error, 1)
+	c.writeResult = result
 	go func() {
 		_, err := c.bw.Write(r.Body)
-		done <- errors.Join(err, c.bw.Flush())
+		result <- errors.Join(err, c.bw.Flush())
 	}()
 	return nil
 }
 
-func (c *conn) head(r *Request) {
+// writeHeader writes the request line and header to the buffer. Errors are ignored because a failed
+// bufio.Writer returns its error again from later writes and from Flush.
+func (c *conn) writeHeader(r *Request) {
 	w := c.bw
 	_, _ = w.WriteString(r.Method)
 	_ = w.WriteByte(' ')
@@ -342,58 +366,61 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// Read reads the body. An answer without a length ends with its connection.
+// Read reads the body. A body without a Content-Length or chunked encoding ends when the backend server
+// closes the connection.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.Body.Read(b)
 	if err != nil {
-		r.done = err == io.EOF
+		r.complete = err == io.EOF
 		r.err = err
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the whole answer was read, nothing follows
-// it and the whole request was written.
+// Close ends the exchange. It returns the connection to the pool only if the whole response was read,
+// no data follows it and the whole request was written; otherwise it closes the connection.
 func (r *Response) Close(p *Pool) {
 	c := r.conn
 	if c == nil {
 		return
 	}
 	r.conn = nil
-	cancelled := !r.stop()
-	if cancelled || !r.done || r.Response.Close || c.br.Buffered() > 0 || !c.written() {
+	cancelled := !r.stopCancel()
+	if cancelled || !r.complete || r.Response.Close || c.br.Buffered() > 0 || !c.requestWritten() {
 		_ = c.Close()
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	if keep := keepTime(r.Header); keep > 0 {
-		p.put(c, keep)
+	if idleTime := idleTimeout(r.Header); idleTime > 0 {
+		p.putIdle(c, idleTime)
 		return
 	}
 	_ = c.Close()
 }
 
-// written tells whether the whole request was written. After an answer to all of it, the writer needs a
-// moment to say so.
-func (c *conn) written() bool {
-	if c.writing == nil {
+// requestWritten reports whether the whole request was written. The response may be complete shortly
+// before the goroutine that writes the body reports its result, so requestWritten waits for that result
+// for up to bodyWriteWait.
+func (c *conn) requestWritten() bool {
+	if c.writeResult == nil {
 		return true
 	}
-	t := time.NewTimer(writerGrace)
+	t := time.NewTimer(bodyWriteWait)
 	defer t.Stop()
 	select {
-	case err := <-c.writing:
+	case err := <-c.writeResult:
 		return err == nil
 	case <-t.C:
 		return false
 	}
 }
 
-// keepTime is how long a connection may stay idle. The header names whole seconds.
-func keepTime(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may remain idle after a response with header h. It is not
+// positive if the connection must not be reused.
+func idleTimeout(h http.Header) time.Duration {
 	seconds, ok := keepAliveTimeout(h.Get("Keep-Alive"))
 	if !ok {
-		return maxIdle
+		return maxIdleTime
 	}
-	return min(maxIdle, time.Duration(seconds)*time.Second-idleMargin)
+	return min(maxIdleTime, time.Duration(seconds)*time.Second-idleMargin)
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,8 +15,9 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// serve answers each connection with a script until the test ends.
-func serve(t *testing.T, script func(c *net.TCPConn, br *bufio.Reader)) string {
+// startServer starts a server that runs handleConn for each connection until the test ends. It returns
+// the server's address.
+func startServer(t *testing.T, handleConn func(c *net.TCPConn, br *bufio.Reader)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -29,14 +30,15 @@
 			}
 			go func() {
 				defer c.Close()
-				script(c.(*net.TCPConn), bufio.NewReader(c))
+				handleConn(c.(*net.TCPConn), bufio.NewReader(c))
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// readRequest reads one request with its body and returns its ID.
+// readRequest reads a request with its body and returns the Id header. It returns false if there is no
+// valid request.
 func readRequest(br *bufio.Reader) (string, bool) {
 	r, err := http.ReadRequest(br)
 	if err != nil {
@@ -46,11 +48,14 @@
 	return r.Header.Get("Id"), true
 }
 
-func answer(id, text string) string {
+// response returns the bytes of a response with an Id header.
+func response(id, text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
 }
 
-func ask(p *upstream.Pool, addr, id, body string) (string, error) {
+// post sends a POST request with an Id header and returns the body of the response. Only responses with
+// the same Id header match.
+func post(p *upstream.Pool, addr, id, body string) (string, error) {
 	resp, err := p.Do(context.Background(), addr, &upstream.Request{
 		Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte(body),
 	}, func(r *http.Response, _ bool) bool { return r.Header.Get("Id") == id })
@@ -62,36 +67,37 @@
 	return string(b), err
 }
 
-// Guards against a new connection for each request.
+// Successive requests must reuse one connection, with small and large bodies.
 func TestConnectionsAreKept(t *testing.T) {
-	addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+	addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 		for id, ok := readRequest(br); ok; id, ok = readRequest(br) {
-			_, _ = io.WriteString(c, answer(id, "text"))
+			_, _ = io.WriteString(c, response(id, "text"))
 		}
 	})
 	p := upstream.NewPool()
 	defer p.Close()
 	for i := range 5 {
-		text, err := ask(p, addr, fmt.Sprint(i), strings.Repeat("b", 5000*i))
+		text, err := post(p, addr, fmt.Sprint(i), strings.Repeat("b", 5000*i))
 		require.NoError(t, err)
 		require.Equal(t, "text", text)
 	}
 	require.EqualValues(t, 1, p.Opened())
 }
 
-// Guards against bytes after an answer that are taken for the answer to the next request.
+// A connection with data after the response must be closed. If it were reused, that data would be read
+// as the response to the next request.
 func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
 	sent := make(chan struct{}, 8)
-	addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+	addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 		for id, ok := readRequest(br); ok; id, ok = readRequest(br) {
-			_, _ = io.WriteString(c, answer(id, "own")+answer(id, "extra"))
+			_, _ = io.WriteString(c, response(id, "own")+response(id, "extra"))
 			sent <- struct{}{}
 		}
 	})
 	p := upstream.NewPool()
 	defer p.Close()
 	for range 3 {
-		text, err := ask(p, addr, "same", "")
+		text, err := post(p, addr, "same", "")
 		require.NoError(t, err)
 		require.Equal(t, "own", text)
 		<-sent
@@ -99,55 +105,57 @@
 	require.EqualValues(t, 3, p.Opened())
 }
 
-// Guards against an answer that came late and is taken for the answer to the next request.
+// A late response to an earlier request and informational responses must be skipped, not returned as
+// the response to the current request.
 func TestLateAnswersAreSkipped(t *testing.T) {
-	addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+	addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 		for id, ok := readRequest(br); ok; id, ok = readRequest(br) {
-			_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"+answer("earlier", "foreign")+answer(id, "own "+id))
+			_, _ = io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"+response("earlier", "foreign")+response(id, "own "+id))
 		}
 	})
 	p := upstream.NewPool()
 	defer p.Close()
 	for i := range 3 {
-		text, err := ask(p, addr, fmt.Sprint(i), "")
+		text, err := post(p, addr, fmt.Sprint(i), "")
 		require.NoError(t, err)
 		require.Equal(t, "own "+fmt.Sprint(i), text)
 	}
 }
 
-// Guards against an answer that broke off and looks complete, and against a repeat by the connection
-// pool itself.
+// An incomplete or invalid response must return an error other than ErrNotSent, because the request was
+// sent. The pool must not retry the request.
 func TestBrokenAnswers(t *testing.T) {
 	for name, script := range map[string]func(c *net.TCPConn, id string){
 		"nothing":         func(*net.TCPConn, string) {},
 		"garbage":         func(c *net.TCPConn, _ string) { _, _ = io.WriteString(c, "\x00garbage\r\n\r\n") },
-		"truncated":       func(c *net.TCPConn, id string) { _, _ = io.WriteString(c, answer(id, "text")[:47]) },
+		"truncated":       func(c *net.TCPConn, id string) { _, _ = io.WriteString(c, response(id, "text")[:47]) },
 		"unframed, reset": resetAfter("HTTP/1.1 200 OK\r\nId: %s\r\n\r\npart of the"),
 		"chunk cut": func(c *net.TCPConn, id string) {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntext\r\n", id)
 		},
-		"foreign only": func(c *net.TCPConn, _ string) { _, _ = io.WriteString(c, answer("other", "text")) },
+		"foreign only": func(c *net.TCPConn, _ string) { _, _ = io.WriteString(c, response("other", "text")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			arrivals := make(chan string, 8)
-			addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+			received := make(chan string, 8)
+			addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 				id, ok := readRequest(br)
 				if !ok {
 					return
 				}
-				arrivals <- id
+				received <- id
 				script(c, id)
 			})
 			p := upstream.NewPool()
 			defer p.Close()
-			_, err := ask(p, addr, "1", "body")
+			_, err := post(p, addr, "1", "body")
 			require.Error(t, err)
 			require.NotErrorIs(t, err, upstream.ErrNotSent)
-			require.Len(t, arrivals, 1)
+			require.Len(t, received, 1)
 		})
 	}
 }
 
+// resetAfter returns a script that writes a response and resets the connection when it is closed.
 func resetAfter(format string) func(c *net.TCPConn, id string) {
 	return func(c *net.TCPConn, id string) {
 		_, _ = fmt.Fprintf(c, format, id)
@@ -155,85 +163,87 @@
 	}
 }
 
-// Guards against a whole answer without a length that counts as broken.
+// A response without a Content-Length or chunked encoding is complete when the server closes the
+// connection. It must not be reported as an error.
 func TestUnframedAnswerEndsWithItsConnection(t *testing.T) {
-	addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+	addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 		id, _ := readRequest(br)
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nthe whole", id)
 	})
 	p := upstream.NewPool()
 	defer p.Close()
-	text, err := ask(p, addr, "1", "")
+	text, err := post(p, addr, "1", "")
 	require.NoError(t, err)
 	require.Equal(t, "the whole", text)
 }
 
-// Guards against a connection that is reused while its backend server still waits for the rest of an
-// earlier body: the next request would be read as that rest.
+// A connection must not be reused if the server responded before the whole request body was written.
+// The server would read the next request as the rest of that body.
 func TestEarlyAnswersToLongBodies(t *testing.T) {
-	read := make(chan struct{})
-	addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+	readBody := make(chan struct{})
+	addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(br)
 			if err != nil {
 				return
 			}
-			if _, err := io.WriteString(c, answer(r.Header.Get("Id"), "early")); err != nil {
+			if _, err := io.WriteString(c, response(r.Header.Get("Id"), "early")); err != nil {
 				return
 			}
-			<-read
+			<-readBody
 			b, err := io.ReadAll(r.Body)
 			if err != nil {
 				return
 			}
 			if strings.Trim(string(b), "b") != "" {
-				t.Errorf("the body holds other bytes")
+				t.Errorf("the request body contains bytes of another request")
 			}
 		}
 	})
 	p := upstream.NewPool()
 	defer p.Close()
-	// Larger than what sockets buffer, so that it is not written before the answer comes.
+	// The body exceeds the socket buffers, so that it cannot be written completely before the response
+	// arrives.
 	body := strings.Repeat("b", 32<<20)
 	for i := range 3 {
-		text, err := ask(p, addr, fmt.Sprint(i), body)
+		text, err := post(p, addr, fmt.Sprint(i), body)
 		require.NoError(t, err)
 		require.Equal(t, "early", text)
 	}
 	require.EqualValues(t, 3, p.Opened())
-	close(read)
+	close(readBody)
 }
 
-// Guards against a refused connection that counts as a request which may have run.
+// A refused connection must return ErrNotSent, because the server cannot have run the request.
 func TestNoConnectionIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
-	_, err = ask(upstream.NewPool(), addr, "1", "")
+	_, err = post(upstream.NewPool(), addr, "1", "")
 	require.ErrorIs(t, err, upstream.ErrNotSent)
 }
 
-// Guards against a request on a connection that its backend server has closed meanwhile.
+// A request must not be sent on an idle connection that the server has closed in the meantime.
 func TestClosedIdleConnectionsAreNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 8)
-	addr := serve(t, func(c *net.TCPConn, br *bufio.Reader) {
+	addr := startServer(t, func(c *net.TCPConn, br *bufio.Reader) {
 		id, _ := readRequest(br)
-		_, _ = io.WriteString(c, answer(id, "text"))
+		_, _ = io.WriteString(c, response(id, "text"))
 		_ = c.Close()
 		closed <- struct{}{}
 	})
 	p := upstream.NewPool()
 	defer p.Close()
 	for i := range 5 {
-		_, err := ask(p, addr, fmt.Sprint(i), "")
+		_, err := post(p, addr, fmt.Sprint(i), "")
 		require.NoError(t, err)
 		<-closed
 	}
 }
 
-// Guards against a check that waits for another reader of the connection, and against one that takes
-// bytes which wait, or a connection that is only idle, for an end.
+// Ended must not block while another goroutine reads from the connection. It must return false for an
+// idle connection and for one with unread data.
 func TestEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -244,29 +254,29 @@
 	require.NoError(t, err)
 	defer server.Close()
 	require.False(t, upstream.Ended(server))
-	read := make(chan byte)
+	received := make(chan byte)
 	go func() {
 		b := make([]byte, 1)
 		for {
 			if _, err := server.Read(b); err != nil {
-				close(read)
+				close(received)
 				return
 			}
-			read <- b[0]
+			received <- b[0]
 		}
 	}()
 	require.False(t, upstream.Ended(server), "idle")
 	_, err = client.Write([]byte("ab"))
 	require.NoError(t, err)
-	require.Equal(t, byte('a'), <-read)
-	require.False(t, upstream.Ended(server), "a byte waits")
-	require.Equal(t, byte('b'), <-read)
+	require.Equal(t, byte('a'), <-received)
+	require.False(t, upstream.Ended(server), "a byte is unread")
+	require.Equal(t, byte('b'), <-received)
 	require.NoError(t, client.Close())
-	_, open := <-read
+	_, open := <-received
 	require.False(t, open)
 	require.True(t, upstream.Ended(server))
-	here, there := net.Pipe()
-	defer here.Close()
-	require.NoError(t, there.Close())
-	require.False(t, upstream.Ended(here), "unknown counts as open")
+	local, remote := net.Pipe()
+	defer local.Close()
+	require.NoError(t, remote.Close())
+	require.False(t, upstream.Ended(local), "a connection that is not a socket counts as open")
 }
