--- a/external/engine.go
+++ b/external/engine.go
@@ -6,30 +6,33 @@
 	"time"
 )
 
-// PieceTokens is the unit of engine capacity, in tokens.
+// PieceTokens is the number of tokens in a piece, the unit in which engine capacity is reserved.
 const PieceTokens = 1024
 
 // Errors of engines and plain backend servers.
 var (
-	// ErrStaleFence means that the engine refused an order with an old fence number.
+	// ErrStaleFence means that the engine refused an order because its fence number is lower than one
+	// that the engine has already seen.
 	ErrStaleFence = errors.New("stale fence number")
-	// ErrEngineRefused means that the engine refused a request before running it.
+	// ErrEngineRefused means that the engine or backend server did not run the request, because it
+	// refused it or because the request was not sent.
 	ErrEngineRefused = errors.New("engine refused the request")
-	// ErrEngineFailed means that the engine failed; the request may have run in part.
+	// ErrEngineFailed means that the engine or backend server failed. It may have run the request, in
+	// part or as a whole.
 	ErrEngineFailed = errors.New("engine failed")
 )
 
-// Role is the part of the work that an engine takes.
+// Role is the phase of inference that an engine performs.
 type Role string
 
-// Roles of engines.
+// Roles of engines. A mixed engine performs both prefill and decode.
 const (
 	RolePrefill Role = "prefill"
 	RoleDecode  Role = "decode"
 	RoleMixed   Role = "mixed"
 )
 
-// GenerateRequest asks an engine to generate tokens.
+// GenerateRequest is a request to an engine to generate tokens.
 type GenerateRequest struct {
 	RequestID    string `json:"request_id"`
 	Model        string `json:"model"`
@@ -38,16 +41,19 @@
 	PromptTokens int    `json:"prompt_tokens"`
 	MaxTokens    int    `json:"max_tokens"`
 	Seed         uint64 `json:"seed"`
-	// Priority orders waiting requests: lower numbers are served first.
+	// Priority determines the order of queued requests: a lower number is served first.
 	Priority int `json:"priority"`
-	// Offset is the number of answer tokens that the caller already has.
+	// Offset is the number of tokens of the answer that the caller has already received. The answer
+	// continues after them.
 	Offset int `json:"offset"`
-	// KVHandle names imported KV cache, so that prefill can be skipped.
+	// KVHandle is the handle of a KV cache that was imported for the prompt, with which the engine
+	// skips the prefill.
 	KVHandle string `json:"kv_handle,omitempty"`
 }
 
-// TokenChunk is a part of an engine's answer.
+// TokenChunk is a part of the answer to a GenerateRequest.
 type TokenChunk struct {
+	// Offset is the number of tokens of the answer before this chunk.
 	Offset int    `json:"offset"`
 	Tokens int    `json:"tokens"`
 	Text   string `json:"text"`
@@ -55,47 +61,49 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// TokenStream yields the answer of one generation.
+// TokenStream reads the answer to a GenerateRequest.
 type TokenStream interface {
-	// Next returns io.EOF after the chunk that carries a finish reason.
+	// Next returns the next chunk. It returns io.EOF after the chunk with a finish reason.
 	Next() (TokenChunk, error)
+	// Close releases the stream. If the answer has not finished, Close also cancels the request.
 	Close() error
 }
 
-// ModelVersion names a model or adapter at one version.
+// ModelVersion is the name and version of a model or adapter.
 type ModelVersion struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 }
 
-// EngineConfig is what an order sets on an engine.
+// EngineConfig is the part of an engine's configuration that an order sets.
 type EngineConfig struct {
 	Role     Role           `json:"role"`
 	Models   []ModelVersion `json:"models"`
 	Adapters []ModelVersion `json:"adapters,omitempty"`
 }
 
-// EngineOrder changes an engine's configuration.
+// EngineOrder is an order to an engine to change its configuration. An engine may refuse an order
+// whose fence number is lower than the highest one it has seen.
 type EngineOrder struct {
 	Fence  uint64       `json:"fence"`
 	Number uint64       `json:"number"`
 	Config EngineConfig `json:"config"`
 }
 
-// EngineState is what an engine reports about its configuration.
+// EngineState is an engine's report on its configuration.
 type EngineState struct {
 	Config EngineConfig `json:"config"`
-	// Number is the last order that the engine finished, Fence the highest fence number seen.
-	// Both are 0 after a crash, because engines keep nothing.
+	// Number is the number of the last order that the engine finished, and Fence is the highest fence
+	// number that it has seen. Both are 0 after a crash, because engines have no persistent state.
 	Number uint64 `json:"number"`
 	Fence  uint64 `json:"fence"`
-	// Changing is true while an order executes.
+	// Changing is true while the engine executes an order.
 	Changing bool `json:"changing"`
-	// StartID changes with each start of the engine.
+	// StartID identifies a start of the engine. It is different after each restart.
 	StartID string `json:"start_id"`
 }
 
-// EngineLoad is an engine's own load report. It lags.
+// EngineLoad is an engine's report on its load. It may be out of date.
 type EngineLoad struct {
 	Running       int   `json:"running"`
 	Queued        int   `json:"queued"`
@@ -105,49 +113,57 @@
 	TotalPieces   int   `json:"total_pieces"`
 }
 
-// CacheEvent reports that an engine stored or evicted a prompt prefix. Events arrive late and
-// with gaps, so they inform a score only.
+// CacheEvent reports that an engine has added a prompt prefix to its cache, or has evicted it. Events
+// may be delayed or lost, so they are used only to score engines for routing.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	Prefix   uint64 `json:"prefix"`
-	Evicted  bool   `json:"evicted"`
+	// Prefix is the hash of the prefix, as computed by enginewire.AppendPrefixHashes.
+	Prefix  uint64 `json:"prefix"`
+	Evicted bool   `json:"evicted"`
 }
 
-// Engine is one model engine.
+// Engine is a client of a model engine.
 type Engine interface {
+	// Generate starts a generation. The caller must close the stream.
 	Generate(ctx context.Context, r *GenerateRequest) (TokenStream, error)
+	// Cancel cancels a generation.
 	Cancel(ctx context.Context, requestID string) error
 	State(ctx context.Context) (EngineState, error)
-	// Apply executes an order and returns when the engine has finished it.
+	// Apply sends an order and returns when the engine has finished executing it.
 	Apply(ctx context.Context, o EngineOrder) error
 	Load(ctx context.Context) (EngineLoad, error)
+	// CacheEvents returns the events with sequence numbers greater than after.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
+	// ExportKV returns the KV cache of a request in a form that ImportKV of another engine accepts.
 	ExportKV(ctx context.Context, requestID string) ([]byte, error)
+	// ImportKV imports a KV cache and returns a handle for GenerateRequest.KVHandle.
 	ImportKV(ctx context.Context, data []byte) (handle string, err error)
 }
 
-// PlainRequest is an HTTP call to a plain backend server.
+// PlainRequest is an HTTP request to a plain backend server.
 type PlainRequest struct {
-	RequestID      string
-	Method         string
+	RequestID string
+	Method    string
+	// Path is the path and query.
 	Path           string
 	ContentType    string
 	IdempotencyKey string
 	Body           []byte
-	Timeout        time.Duration
+	// Timeout limits the duration of the request. If it is 0, only the context limits it.
+	Timeout time.Duration
 }
 
-// PlainResponse is the whole answer of a plain backend server.
+// PlainResponse is the response of a plain backend server, with its whole body.
 type PlainResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Backend is one plain backend server.
+// Backend is a client of a plain backend server.
 type Backend interface {
-	// Do sends the request at most once. ErrEngineRefused means that it was certainly not sent.
+	// Do sends the request at most once. ErrEngineRefused means that the request was certainly not sent.
 	Do(ctx context.Context, r *PlainRequest) (*PlainResponse, error)
-	// Load reports the number of running requests and the limit.
+	// Load returns the number of running requests and the limit.
 	Load(ctx context.Context) (EngineLoad, error)
 }
--- a/external/enginewire/enginewire.go
+++ b/external/enginewire/enginewire.go
@@ -1,4 +1,5 @@
-// Package enginewire defines the HTTP messages between the engine adapter and an engine.
+// Package enginewire defines the HTTP messages between the engine adapter and an engine, and the prefix
+// hashes in cache events.
 package enginewire
 
 import (
@@ -8,46 +9,46 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Paths of the calls. Generate answers with server-sent events, one "data: {json}" line per
-// Event; the other calls answer with JSON. A refused or failed call answers with a status other
-// than 200 and a code.
+// Paths of the calls. The response to PathGenerate consists of server-sent events, each with one
+// "data: {json}" line that contains an Event; the responses to the other calls are JSON. A refused or
+// failed call returns a status other than 200 and an error code.
 const (
 	PathGenerate = "/generate"    // POST external.GenerateRequest
 	PathCancel   = "/cancel"      // POST Cancel
-	PathState    = "/state"       // GET, answers external.EngineState
+	PathState    = "/state"       // GET, returns external.EngineState
 	PathApply    = "/apply"       // POST external.EngineOrder
-	PathLoad     = "/load"        // GET, answers external.EngineLoad
-	PathEvents   = "/cacheevents" // GET ?after=sequence, answers []external.CacheEvent
-	PathExport   = "/kv/export"   // POST Cancel, answers Blob
-	PathImport   = "/kv/import"   // POST Blob, answers Handle
+	PathLoad     = "/load"        // GET, returns external.EngineLoad
+	PathEvents   = "/cacheevents" // GET ?after=sequence, returns []external.CacheEvent
+	PathExport   = "/kv/export"   // POST Cancel, returns Blob
+	PathImport   = "/kv/import"   // POST Blob, returns Handle
 )
 
-// DataPrefix starts each line that carries an event.
+// DataPrefix is the start of each line that contains an event.
 const DataPrefix = "data: "
 
-// Cancel names a request.
+// Cancel identifies the request that is to be cancelled or whose KV cache is to be exported.
 type Cancel struct {
 	RequestID string `json:"request_id"`
 }
 
-// Blob is exported KV cache.
+// Blob is an exported KV cache.
 type Blob struct {
 	Data []byte `json:"data"`
 }
 
-// Handle names imported KV cache.
+// Handle identifies an imported KV cache.
 type Handle struct {
 	Handle string `json:"handle"`
 }
 
-// Codes of errors.
+// Error codes.
 const (
 	CodeRefused    = "refused"
 	CodeFailed     = "failed"
 	CodeStaleFence = "stale_fence"
 )
 
-// Code returns the status and code of an error.
+// Code returns the HTTP status and error code for an error.
 func Code(err error) (status int, code string) {
 	switch {
 	case errors.Is(err, external.ErrStaleFence):
@@ -59,8 +60,8 @@
 	}
 }
 
-// Error returns the error of a code. An unknown code is a failure, after which the request may
-// have run.
+// Error returns the error for an error code. For an unknown code it returns external.ErrEngineFailed,
+// because the engine may have run the request.
 func Error(code string) error {
 	switch code {
 	case CodeRefused:
--- a/external/enginewire/event.go
+++ b/external/enginewire/event.go
@@ -9,14 +9,14 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Event is one event of a generation: a chunk, or the code of the error that ends the stream.
+// Event is an event of a generation: a chunk, or the code of the error that ends the stream.
 type Event struct {
 	external.TokenChunk
 	Error string `json:"error,omitempty"`
 }
 
 // AppendEvent appends the "data: {json}" line of a chunk and the blank line that ends the event.
-// It allocates only for a text or finish reason that needs escapes.
+// Apart from growing b, it allocates only if the text or finish reason must be escaped.
 func AppendEvent(b []byte, c *external.TokenChunk) []byte {
 	b = append(b, DataPrefix...)
 	b = append(b, `{"offset":`...)
@@ -32,10 +32,11 @@
 	return append(b, "}\n\n"...)
 }
 
+// appendString appends a JSON string.
 func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
-		if !plain(s[i]) {
-			quoted, _ := json.Marshal(s) // cannot fail for a string
+		if !isUnescaped(s[i]) {
+			quoted, _ := json.Marshal(s) // marshalling a string cannot fail
 			return append(b, quoted...)
 		}
 	}
@@ -44,26 +45,30 @@
 	return append(b, '"')
 }
 
-// plain reports whether a byte of a JSON string stands for itself.
-func plain(c byte) bool { return c >= ' ' && c < utf8.RuneSelf && c != '"' && c != '\\' }
+// isUnescaped reports whether a byte represents itself in a JSON string. Non-ASCII bytes are excluded,
+// because they may be invalid UTF-8.
+func isUnescaped(c byte) bool { return c >= ' ' && c < utf8.RuneSelf && c != '"' && c != '\\' }
 
-// DecodeEvent decodes the JSON of one event. Events in the form that AppendEvent writes cost one
-// allocation, the text; encoding/json, which decodes all others, needs seven.
+// DecodeEvent decodes the JSON of an event. An event in the form that AppendEvent writes is decoded with
+// one allocation, for the text. Other events are decoded by encoding/json with seven allocations.
 func DecodeEvent(data []byte) (Event, error) {
 	var c external.TokenChunk
-	if decodePlain(data, &c) {
+	if decodeFast(data, &c) {
 		return Event{TokenChunk: c}, nil
 	}
-	return decodeAny(data)
+	return decodeJSON(data)
 }
 
-// decodeAny is apart because its event escapes to the heap.
-func decodeAny(data []byte) (ev Event, err error) {
+// decodeJSON decodes an event with encoding/json. It is a separate function because ev escapes to the
+// heap, which would cost DecodeEvent an allocation for every event.
+func decodeJSON(data []byte) (ev Event, err error) {
 	err = json.Unmarshal(data, &ev)
 	return ev, err
 }
 
-func decodePlain(data []byte, c *external.TokenChunk) (ok bool) {
+// decodeFast decodes an event in the form that AppendEvent writes without escapes. It returns false if
+// the event has another form; c may then be partly set.
+func decodeFast(data []byte, c *external.TokenChunk) (ok bool) {
 	if c.Offset, data, ok = cutInt(data, `{"offset":`); !ok {
 		return false
 	}
@@ -81,9 +86,11 @@
 	return string(data) == "}"
 }
 
-// maxDigits keeps a number below the overflow of an int64.
+// maxDigits is the maximum number of decimal digits that cannot overflow an int64.
 const maxDigits = 18
 
+// cutInt decodes the field name and a non-negative integer at the start of data and returns the rest.
+// name includes the JSON syntax up to the value.
 func cutInt(data []byte, name string) (n int, rest []byte, ok bool) {
 	if len(data) < len(name) || string(data[:len(name)]) != name {
 		return 0, data, false
@@ -93,10 +100,14 @@
 	for ; i < len(data) && data[i] >= '0' && data[i] <= '9'; i++ {
 		n = n*10 + int(data[i]-'0')
 	}
-	// JSON allows no leading zero.
+	// JSON does not allow leading zeros.
 	return n, data[i:], i > 0 && i <= maxDigits && (i == 1 || data[0] != '0')
 }
 
+// cutString decodes the field name and a string without escapes at the start of data and returns the
+// rest. name includes the JSON syntax up to and including the opening quote. ok is false if data does
+// not start with name, and if the string contains escapes or has no end; only in the second case is name
+// removed from rest.
 func cutString(data []byte, name string) (s, rest []byte, ok bool) {
 	if len(data) < len(name) || string(data[:len(name)]) != name {
 		return nil, data, false
@@ -107,7 +118,7 @@
 		return nil, data, false
 	}
 	for _, c := range data[:end] {
-		if !plain(c) {
+		if !isUnescaped(c) {
 			return nil, data, false
 		}
 	}
--- a/external/enginewire/event_test.go
+++ b/external/enginewire/event_test.go
@@ -14,7 +14,8 @@
 	_ "github.com/quetzallug/quetzallug/internal/rapidseed"
 )
 
-// Guards against an encoder that writes other JSON than encoding/json reads.
+// encoding/json and DecodeEvent must decode an event of AppendEvent to the original chunk, also if its text
+// needs escapes.
 func TestAppendEventRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := external.TokenChunk{
@@ -22,7 +23,7 @@
 			Text: rapid.String().Draw(t, "text"), FinishReason: rapid.SampledFrom([]string{"", "stop", "a\"b"}).Draw(t, "reason"),
 		}
 		line := enginewire.AppendEvent(nil, &c)
-		require.Equal(t, 2, bytes.Count(line, []byte("\n")), "a line break inside the event would split it")
+		require.Equal(t, 2, bytes.Count(line, []byte("\n")), "a line break in the JSON would split the event")
 		data := strings.TrimSuffix(strings.TrimPrefix(string(line), enginewire.DataPrefix), "\n\n")
 		var want enginewire.Event
 		require.NoError(t, json.Unmarshal([]byte(data), &want))
@@ -33,7 +34,8 @@
 	})
 }
 
-// Guards against a fast decoder that accepts or reads events differently from encoding/json.
+// DecodeEvent must accept the same events as encoding/json and decode them to the same values, although
+// it does not use encoding/json for most events.
 func FuzzDecodeEvent(f *testing.F) {
 	for _, s := range []string{
 		`{"offset":0,"tokens":1,"text":" t6f4"}`, `{"offset":4,"tokens":1,"text":"","finish_reason":"length"}`,
--- a/external/enginewire/prefix.go
+++ b/external/enginewire/prefix.go
@@ -2,10 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// BlockTokens is the length of a prefix cache block.
+// BlockTokens is the number of tokens in a block of the prefix cache. The hashes here count each word
+// of the prompt as a token.
 const BlockTokens = 256
 
-// NewAnswerDigest returns a hash that has taken a model, NUL, an adapter and NUL.
+// NewAnswerDigest returns an xxhash64 digest to which the model, NUL, the adapter and NUL have been
+// written.
 func NewAnswerDigest(model, adapter string) *xxhash.Digest {
 	d := xxhash.New()
 	_, _ = d.WriteString(model)
@@ -15,9 +17,10 @@
 	return d
 }
 
-// AppendPrefixHashes appends a hash for each leading run of whole blocks of BlockTokens words of
-// the prompt, the shortest first and at most limit: xxhash64 of model, NUL, adapter, NUL and the
-// prompt's bytes up to the end of the block's last word. Cache events name prefixes by them.
+// AppendPrefixHashes appends the hashes of the prefixes of a prompt that consist of whole blocks of
+// BlockTokens words, the shortest prefix first, up to limit hashes. A hash is the xxhash64 of the model,
+// NUL, the adapter, NUL and the bytes of the prompt up to the end of the prefix's last word. Cache
+// events identify prefixes by these hashes.
 func AppendPrefixHashes(dst []uint64, model, adapter, prompt string, limit int) []uint64 {
 	d := NewAnswerDigest(model, adapter)
 	words, start := 0, 0
@@ -37,8 +40,8 @@
 	return dst
 }
 
-// CountWords returns the number of whitespace-separated words of a prompt, which is an engine's
-// token count if the request gives none.
+// CountWords returns the number of words in a prompt, separated by white space. Engines use it as the
+// number of prompt tokens if the request does not specify that number.
 func CountWords(prompt string) int {
 	n, inWord := 0, false
 	for i := range len(prompt) {
@@ -51,4 +54,5 @@
 	return n
 }
 
+// isSpace reports whether a byte is ASCII white space.
 func isSpace(b byte) bool { return b == ' ' || b >= '\t' && b <= '\r' }
--- a/external/external.go
+++ b/external/external.go
@@ -1,6 +1,6 @@
-// Package external defines the interfaces to the systems that a deployment provides:
-// the key-value service, the instance list, the weight store, model engines and
-// plain backend servers. Adapters implement them and register with package kernel.
+// Package external defines the interfaces to the systems that a deployment provides: the key-value
+// service, the instance list, the weight store, model engines and plain backend servers. Adapters
+// implement the interfaces and register themselves with package kernel.
 package external
 
 import (
@@ -9,64 +9,68 @@
 	"time"
 )
 
-// Errors of the key-value service. Adapters convert transport errors to these.
+// Errors of the key-value service. Adapters convert transport errors to these errors.
 var (
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("key not found")
-	// ErrConflict means that the key's version did not match and nothing was written.
+	// ErrConflict means that the key's version did not match the expected one. Nothing was written.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnavailable means that the call had no effect because the service could not be reached.
+	// ErrUnavailable means that the service could not be reached. The call had no effect.
 	ErrUnavailable = errors.New("key-value service unavailable")
 	// ErrOutcomeUnknown means that a write was sent and may have taken effect.
 	ErrOutcomeUnknown = errors.New("write outcome unknown")
-	// ErrCompacted means that the history after the given revision is no longer available.
+	// ErrCompacted means that events after the requested revision have been discarded, so a watch cannot
+	// continue from it.
 	ErrCompacted = errors.New("history compacted")
-	// ErrLeaseExpired means that the lease no longer exists.
+	// ErrLeaseExpired means that the lease has expired or was revoked.
 	ErrLeaseExpired = errors.New("lease expired")
 )
 
 // LeaseID identifies a lease of the key-value service. Zero means no lease.
 type LeaseID uint64
 
-// Entry is a key with its value.
+// Entry is a key with its value and versions.
 type Entry struct {
 	Key string
-	// Version counts the writes to the key since its creation, from 1.
+	// Version is the number of writes to the key since it was created, so it is 1 after the first one.
 	Version uint64
-	// Revision is the store revision of the last write.
+	// Revision is the revision of the store after the last write to the key.
 	Revision uint64
 	Value    []byte
 }
 
-// Event is a change of a key. Deleted events carry no value.
+// Event is a change to a key. If Deleted is true, the entry has no value.
 type Event struct {
 	Entry
 	Deleted bool
 }
 
-// KV is the platform's key-value service.
+// KV is a client of the platform's key-value service.
 type KV interface {
-	// Get returns ErrNotFound for an absent key.
+	// Get returns the entry of a key, or ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
-	// List returns the entries under a prefix in key order, and the store revision.
+	// List returns the entries whose keys start with prefix, in key order, and the store revision.
 	List(ctx context.Context, prefix string) ([]Entry, uint64, error)
-	// CompareAndSwap writes value if the key's version equals expected, where 0 means absent.
-	// A lease other than 0 binds the key's lifetime to that lease.
+	// CompareAndSwap writes value if the key's version equals expected, and returns the new version.
+	// An expected version of 0 means that the key must not exist. If lease is not 0, the key is deleted
+	// when the lease ends.
 	CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, lease LeaseID) (uint64, error)
-	// Delete removes the key if its version equals expected.
+	// Delete deletes the key if its version equals expected.
 	Delete(ctx context.Context, key string, expected uint64) error
-	// Watch blocks until a key under prefix changes after the given store revision, or the
-	// service's own wait limit ends. It returns the events and the revision to continue from.
+	// Watch blocks until a key that starts with prefix changes after the given store revision, or
+	// until the service's own time limit for watches. It returns the events, and the revision to pass
+	// to the next call.
 	Watch(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error)
 	// GrantLease creates a lease.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease for its full time to live. It returns ErrLeaseExpired if it is gone.
+	// KeepAlive renews a lease for its full time to live. It returns ErrLeaseExpired if the lease no
+	// longer exists.
 	KeepAlive(ctx context.Context, id LeaseID) error
-	// RevokeLease ends a lease and removes its keys.
+	// RevokeLease ends a lease and deletes its keys.
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
 
-// InstanceState is the state of an instance in the platform's list.
+// InstanceState is the state of an instance in the instance list.
 type InstanceState string
 
 // States of instances.
@@ -75,15 +79,15 @@
 	InstanceLeaving InstanceState = "leaving"
 )
 
-// Role names of instances in the list.
+// Roles of instances.
 const (
 	RoleEntry   = "entry"
 	RoleSidecar = "sidecar"
 )
 
-// Instance is one process of the system in the platform's instance list.
+// Instance is an entry or sidecar process in the platform's instance list.
 type Instance struct {
-	// ID is the name of the slot, stable across restarts.
+	// ID identifies the slot that the process occupies. A process that replaces it has the same ID.
 	ID         string        `json:"id"`
 	Role       string        `json:"role"`
 	Service    string        `json:"service,omitempty"`
@@ -92,21 +96,22 @@
 	State      InstanceState `json:"state"`
 }
 
-// InstanceSnapshot is the instance list at one version.
+// InstanceSnapshot is the content of the instance list at one version.
 type InstanceSnapshot struct {
 	Version   uint64     `json:"version"`
 	Instances []Instance `json:"instances"`
 }
 
-// InstanceList is the platform's lagging list of live and leaving instances.
+// InstanceList is a client of the platform's list of live and leaving instances. The platform updates
+// the list with a delay.
 type InstanceList interface {
-	// Instances returns the list if its version is above after, and an empty snapshot with
-	// version after if there is no news.
+	// Instances returns the list if it has changed since version after; otherwise it returns an empty
+	// snapshot with version after.
 	Instances(ctx context.Context, after uint64) (InstanceSnapshot, error)
 }
 
-// WeightStore is the platform's rate-limited store of model weights.
+// WeightStore is a client of the platform's store of model weights, which limits the download rate.
 type WeightStore interface {
-	// Acquire waits until the store lets an engine load the given number of bytes.
+	// Acquire waits until the store permits an engine to load the given number of bytes of a model.
 	Acquire(ctx context.Context, model string, bytes int64) error
 }
--- a/external/instancewire/instancewire.go
+++ b/external/instancewire/instancewire.go
@@ -5,33 +5,34 @@
 
 // Paths of the calls.
 const (
-	PathList     = "/instances"          // GET ?after=version&epoch=epoch, answers List
+	PathList     = "/instances"          // GET ?after=version&epoch=epoch, returns List
 	PathRegister = "/instances/register" // POST Registration
 	PathLeave    = "/instances/leave"    // POST Leave
 	PathRemove   = "/instances/remove"   // POST Leave
 )
 
-// List is the whole list, or what has changed since a version. The service answers with changes
-// only if the request names its epoch and a version that it can still compare with.
+// List is the whole instance list, or the changes since a version. The service returns changes only if
+// the request contains the service's current epoch and a version from which the changes are still known.
 type List struct {
-	// Epoch differs between starts of the service; versions are comparable within one epoch.
+	// Epoch identifies a start of the service. Versions can be compared only within an epoch.
 	Epoch   string `json:"epoch"`
 	Version uint64 `json:"version"`
-	// Since is the version that the changes follow, 0 for the whole list.
+	// Since is the version since which Instances and Removed list the changes, or 0 if Instances is the
+	// whole list.
 	Since     uint64              `json:"since,omitempty"`
 	Instances []external.Instance `json:"instances,omitempty"`
-	// Removed holds the IDs of the instances that are gone.
+	// Removed contains the IDs of the instances that were removed since version Since.
 	Removed []string `json:"removed,omitempty"`
 }
 
-// Registration adds an instance. It expires after TTLMS milliseconds unless it is repeated; 0
-// means that it does not expire.
+// Registration adds or replaces an instance. The instance is removed after TTLMS milliseconds unless it
+// is registered again. If TTLMS is 0, the registration does not expire.
 type Registration struct {
 	Instance external.Instance `json:"instance"`
 	TTLMS    int64             `json:"ttl_ms,omitempty"`
 }
 
-// Leave names an instance that leaves.
+// Leave identifies the instance that is to be marked as leaving or removed.
 type Leave struct {
 	ID string `json:"id"`
 }
--- a/external/kvbudget/kvbudget.go
+++ b/external/kvbudget/kvbudget.go
@@ -1,5 +1,4 @@
-// Package kvbudget keeps a process's calls to the key-value service within a budget and counts
-// them.
+// Package kvbudget limits the rate of a process's calls to the key-value service, and counts them.
 package kvbudget
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Operations, as counted.
+// Names of operations, with which calls are counted.
 const (
 	OpGet       = "get"
 	OpList      = "list"
@@ -23,91 +22,93 @@
 	OpRevoke    = "revoke_lease"
 )
 
-// KV limits and counts calls. A call above the budget waits for its turn. Keep-alives are
-// counted but never wait, because a late one would lose a lease.
+// KV is a key-value service whose calls are rate-limited and counted. A call that exceeds the rate waits.
+// Keep-alives are counted but not limited, because a delayed keep-alive could let a lease expire.
 type KV struct {
-	next    external.KV
-	limiter *rate.Limiter
-	count   func(operation string)
+	kv        external.KV
+	limiter   *rate.Limiter
+	countCall func(operation string)
 }
 
 var _ external.KV = (*KV)(nil)
 
-// burstSeconds is how long a process may save up calls.
+// burstSeconds is the size of the limiter's burst: unused calls accumulate for this many seconds.
 const burstSeconds = 2
 
-// New wraps a key-value service with a budget in calls per second.
-func New(next external.KV, perSecond float64, count func(operation string)) *KV {
-	return &KV{next: next, limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds))), count: count}
+// New returns a KV that limits the rate of calls to kv to perSecond, and calls countCall for each call
+// that is sent.
+func New(kv external.KV, perSecond float64, countCall func(operation string)) *KV {
+	return &KV{kv: kv, limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds))), countCall: countCall}
 }
 
-// admit waits for the budget. A call that is given up here was not sent.
-func (k *KV) admit(ctx context.Context, operation string) error {
+// waitAndCount waits until the rate limit permits a call, and counts the call. It returns
+// external.ErrUnavailable if the context ends first, because the call has then not been sent.
+func (k *KV) waitAndCount(ctx context.Context, operation string) error {
 	if err := k.limiter.Wait(ctx); err != nil {
 		return external.ErrUnavailable
 	}
-	k.count(operation)
+	k.countCall(operation)
 	return nil
 }
 
 // Get implements external.KV.
 func (k *KV) Get(ctx context.Context, key string) (external.Entry, error) {
-	if err := k.admit(ctx, OpGet); err != nil {
+	if err := k.waitAndCount(ctx, OpGet); err != nil {
 		return external.Entry{}, err
 	}
-	return k.next.Get(ctx, key)
+	return k.kv.Get(ctx, key)
 }
 
 // List implements external.KV.
 func (k *KV) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
-	if err := k.admit(ctx, OpList); err != nil {
+	if err := k.waitAndCount(ctx, OpList); err != nil {
 		return nil, 0, err
 	}
-	return k.next.List(ctx, prefix)
+	return k.kv.List(ctx, prefix)
 }
 
 // CompareAndSwap implements external.KV.
 func (k *KV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
-	if err := k.admit(ctx, OpSwap); err != nil {
+	if err := k.waitAndCount(ctx, OpSwap); err != nil {
 		return 0, err
 	}
-	return k.next.CompareAndSwap(ctx, key, expected, value, lease)
+	return k.kv.CompareAndSwap(ctx, key, expected, value, lease)
 }
 
 // Delete implements external.KV.
 func (k *KV) Delete(ctx context.Context, key string, expected uint64) error {
-	if err := k.admit(ctx, OpDelete); err != nil {
+	if err := k.waitAndCount(ctx, OpDelete); err != nil {
 		return err
 	}
-	return k.next.Delete(ctx, key, expected)
+	return k.kv.Delete(ctx, key, expected)
 }
 
 // Watch implements external.KV.
 func (k *KV) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
-	if err := k.admit(ctx, OpWatch); err != nil {
+	if err := k.waitAndCount(ctx, OpWatch); err != nil {
 		return nil, after, err
 	}
-	return k.next.Watch(ctx, prefix, after)
+	return k.kv.Watch(ctx, prefix, after)
 }
 
 // GrantLease implements external.KV.
 func (k *KV) GrantLease(ctx context.Context, ttl time.Duration) (external.LeaseID, error) {
-	if err := k.admit(ctx, OpGrant); err != nil {
+	if err := k.waitAndCount(ctx, OpGrant); err != nil {
 		return 0, err
 	}
-	return k.next.GrantLease(ctx, ttl)
+	return k.kv.GrantLease(ctx, ttl)
 }
 
 // KeepAlive implements external.KV.
 func (k *KV) KeepAlive(ctx context.Context, id external.LeaseID) error {
-	k.count(OpKeepAlive)
-	return k.next.KeepAlive(ctx, id)
+	k.countCall(OpKeepAlive)
+	return k.kv.KeepAlive(ctx, id)
 }
 
 // RevokeLease implements external.KV.
 func (k *KV) RevokeLease(ctx context.Context, id external.LeaseID) error {
-	if err := k.admit(ctx, OpRevoke); err != nil {
+	if err := k.waitAndCount(ctx, OpRevoke); err != nil {
 		return err
 	}
-	return k.next.RevokeLease(ctx, id)
+	return k.kv.RevokeLease(ctx, id)
 }
--- a/external/kvwire/kvwire.go
+++ b/external/kvwire/kvwire.go
@@ -1,5 +1,5 @@
-// Package kvwire defines the JSON messages between the HTTP adapter of the key-value service
-// and the stand-in.
+// Package kvwire defines the JSON messages between the HTTP adapter of the key-value service and the
+// stand-in for that service.
 package kvwire
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Paths of the calls. All are POST with a Request body and answer with a Response.
+// Paths of the calls. Each call is a POST request with a Request as its body, and returns a Response.
 const (
 	PathGet       = "/kv/get"
 	PathList      = "/kv/list"
@@ -20,7 +20,7 @@
 	PathRevoke    = "/lease/revoke"
 )
 
-// Request is the body of each call; a call reads only the fields that it needs.
+// Request is the request body of every call. Each call reads only the fields that it needs.
 type Request struct {
 	Key      string           `json:"key,omitempty"`
 	Expected uint64           `json:"expected,omitempty"`
@@ -30,7 +30,7 @@
 	TTLMS    int64            `json:"ttl_ms,omitempty"`
 }
 
-// Response is the body of each answer.
+// Response is the response body of every call. Error is a wire code, empty for a successful call.
 type Response struct {
 	Error    string           `json:"error,omitempty"`
 	Entries  []external.Entry `json:"entries,omitempty"`
@@ -40,6 +40,7 @@
 	Lease    external.LeaseID `json:"lease,omitempty"`
 }
 
+// codes maps wire codes to errors and back.
 var codes = []struct {
 	code string
 	err  error
@@ -51,7 +52,8 @@
 	{"unavailable", external.ErrUnavailable},
 }
 
-// Code returns the wire code of an error, empty for nil.
+// Code returns the wire code of an error, or an empty string for nil. An unknown error has the code of
+// external.ErrUnavailable.
 func Code(err error) string {
 	if err == nil {
 		return ""
@@ -64,7 +66,8 @@
 	return "unavailable"
 }
 
-// Error returns the error of a wire code, nil for an empty code.
+// Error returns the error of a wire code, or nil for an empty code. For an unknown code it returns
+// external.ErrUnavailable.
 func Error(code string) error {
 	if code == "" {
 		return nil
--- a/external/weightwire/weightwire.go
+++ b/external/weightwire/weightwire.go
@@ -1,10 +1,11 @@
 // Package weightwire defines the HTTP messages of the platform's weight store.
 package weightwire
 
-// PathAcquire takes a POST Request and answers when the bytes have been granted.
+// PathAcquire is the path of the call that acquires bytes. It is a POST request with a Request as its
+// body. The service responds when it has granted the bytes.
 const PathAcquire = "/weights/acquire"
 
-// Request asks for the bytes of a model.
+// Request is a request to load a number of bytes of a model.
 type Request struct {
 	Model string `json:"model"`
 	Bytes int64  `json:"bytes"`
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,5 +1,5 @@
 // Package kernel is the registry of plug-in modules. A module registers itself in an init
-// function under a dotted ID, such as "platform.kv.http"; the daemon loads modules by the IDs
+// function under a dotted ID such as "platform.kv.http". A process loads the modules whose IDs are
 // in its settings.
 package kernel
 
@@ -12,38 +12,39 @@
 	"sync"
 )
 
-// ErrUnknownModule means that no module is registered under an ID.
+// ErrUnknownModule means that no module with the requested ID is registered.
 var ErrUnknownModule = errors.New("unknown module")
 
 // ModuleInfo describes a module.
 type ModuleInfo struct {
-	// ID is dotted; its last part is the name and the rest is the namespace.
+	// ID is a dotted name. The part after the last dot is the module's name, the part before it is
+	// the namespace.
 	ID string
-	// New returns a new, unprovisioned value.
+	// New returns a new module that has not been provisioned.
 	New func() Module
 }
 
-// Module is a plug-in.
+// Module is implemented by every plug-in. It may also implement Provisioner, Validator and Cleaner.
 type Module interface {
 	Module() ModuleInfo
 }
 
-// Provisioner prepares a module from its settings.
+// Provisioner is a module that is configured from settings when it is loaded.
 type Provisioner interface {
 	Provision(ctx context.Context, s Settings) error
 }
 
-// Validator checks a provisioned module.
+// Validator is a module that checks its configuration after it has been provisioned.
 type Validator interface {
 	Validate() error
 }
 
-// Cleaner releases what Provision acquired.
+// Cleaner is a module that holds resources. Cleanup releases what Provision acquired.
 type Cleaner interface {
 	Cleanup() error
 }
 
-// Settings are the values a module reads when it is provisioned, by name.
+// Settings maps the names of a module's settings to their values.
 type Settings map[string]string
 
 var (
@@ -51,8 +52,8 @@
 	modules = map[string]ModuleInfo{}
 )
 
-// Register adds a module to the registry. It panics on an empty or duplicate ID, which is a
-// programming error found at start.
+// Register adds a module to the registry. It panics if the ID or constructor is missing or the ID is
+// already registered. Both are programming errors, which are detected when the process starts.
 func Register(m Module) {
 	info := m.Module()
 	mu.Lock()
@@ -66,7 +67,7 @@
 	modules[info.ID] = info
 }
 
-// IDs returns the registered IDs in a namespace, sorted.
+// IDs returns the sorted IDs of the modules registered in a namespace and its sub-namespaces.
 func IDs(namespace string) []string {
 	mu.RLock()
 	defer mu.RUnlock()
@@ -80,8 +81,8 @@
 	return ids
 }
 
-// Load creates, provisions and validates the module with the given ID. A module that fails is
-// cleaned up before Load returns.
+// Load creates, provisions and validates the module with the given ID and returns it as a T. If
+// provisioning or validation fails, the module is cleaned up before Load returns.
 func Load[T any](ctx context.Context, id string, s Settings) (T, error) {
 	var zero T
 	mu.RLock()
@@ -93,15 +94,16 @@
 	m := info.New()
 	v, ok := m.(T)
 	if !ok {
-		return zero, fmt.Errorf("module %q has type %T, which does not provide the requested interface", id, m)
+		return zero, fmt.Errorf("module %q has type %T, which does not implement the requested interface", id, m)
 	}
-	if err := prepare(ctx, m, s); err != nil {
+	if err := provisionAndValidate(ctx, m, s); err != nil {
 		return zero, fmt.Errorf("module %q: %w", id, errors.Join(err, Cleanup(m)))
 	}
 	return v, nil
 }
 
-func prepare(ctx context.Context, m Module, s Settings) error {
+// provisionAndValidate calls Provision and Validate if the module implements them.
+func provisionAndValidate(ctx context.Context, m Module, s Settings) error {
 	if p, ok := m.(Provisioner); ok {
 		if err := p.Provision(ctx, s); err != nil {
 			return fmt.Errorf("provision: %w", err)
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// Cleanup releases a module if it has anything to release.
+// Cleanup releases the resources of a module. It does nothing if m is not a Cleaner.
 func Cleanup(m any) error {
 	if c, ok := m.(Cleaner); ok {
 		return c.Cleanup()
