--- a/modules/backendhttp/backendhttp.go
+++ b/modules/backendhttp/backendhttp.go
@@ -1,4 +1,4 @@
-// Package backendhttp is the HTTP adapter of a plain backend server, registered as backend.http.
+// Package backendhttp is the HTTP adapter for plain backend servers. Its module ID is backend.http.
 package backendhttp
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// ID is the module's ID.
+// ID is the ID of the module.
 const ID = "backend.http"
 
 const (
@@ -26,7 +26,7 @@
 
 func init() { kernel.Register(&Client{}) }
 
-// Client calls a plain backend server.
+// Client sends requests to a plain backend server.
 type Client struct {
 	httpjson.Client
 	loadPath string
@@ -39,13 +39,15 @@
 	return kernel.ModuleInfo{ID: ID, New: func() kernel.Module { return &Client{} }}
 }
 
-// Provision reads the settings "address", an http URL, and "load_path".
+// Provision implements kernel.Provisioner. It reads the settings "address", an http or https URL, and
+// "load_path", the path of the load report.
 func (c *Client) Provision(ctx context.Context, s kernel.Settings) error {
 	c.loadPath = cmp.Or(s["load_path"], defaultLoadPath)
 	return c.Client.Provision(ctx, s)
 }
 
-// Do implements external.Backend. Any status is an answer. A redirect is passed on, not followed.
+// Do implements external.Backend. A response with any status is a success. Redirects are returned, not
+// followed.
 func (c *Client) Do(ctx context.Context, r *external.PlainRequest) (*external.PlainResponse, error) {
 	if r.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -54,19 +56,19 @@
 	}
 	req, err := c.NewRequest(ctx, r.Method, r.Path, r.Body)
 	if err != nil {
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
 	setHeader(req, "Content-Type", r.ContentType)
 	setHeader(req, "Idempotency-Key", r.IdempotencyKey)
 	setHeader(req, "X-Request-Id", r.RequestID)
 	resp, err := c.Client.Do(req)
 	if err != nil {
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
 	if len(body) > maxResponseBytes {
 		return nil, fmt.Errorf("%w: response is larger than %d bytes", external.ErrEngineFailed, maxResponseBytes)
@@ -82,18 +84,21 @@
 	defer cancel()
 	var l external.EngineLoad
 	if err := c.Call(ctx, http.MethodGet, c.loadPath, nil, &l); err != nil {
-		return l, convert(err)
+		return l, convertError(err)
 	}
 	return l, nil
 }
 
+// setHeader sets a header unless the value is empty.
 func setHeader(r *http.Request, name, value string) {
 	if value != "" {
 		r.Header.Set(name, value)
 	}
 }
 
-func convert(err error) error {
+// convertError converts an error of httpjson to an error of package external. It returns
+// external.ErrEngineRefused only if the request was certainly not sent.
+func convertError(err error) error {
 	if errors.Is(err, httpjson.ErrNotSent) {
 		return fmt.Errorf("%w: %w", external.ErrEngineRefused, err)
 	}
--- a/modules/backendhttp/backendhttp_test.go
+++ b/modules/backendhttp/backendhttp_test.go
@@ -20,7 +20,8 @@
 	"github.com/quetzallug/quetzallug/standin/backend"
 )
 
-func load(t *testing.T, address string) external.Backend {
+// newClient loads the module with the address of a server.
+func newClient(t *testing.T, address string) external.Backend {
 	t.Helper()
 	c, err := kernel.Load[external.Backend](t.Context(), backendhttp.ID, kernel.Settings{"address": address})
 	require.NoError(t, err)
@@ -28,9 +29,10 @@
 	return c
 }
 
-// closeReused answers the first request of each connection and closes or resets the connection
-// upon the second one, which net/http then likes to resend. It counts the requests.
-func closeReused(t *testing.T, reset bool) (address string, requests *atomic.Int64) {
+// startClosingServer starts a server that responds to the first request on each connection, and closes or
+// resets the connection when it has read the second one. In this case net/http resends a request that
+// it considers replayable. requests counts the requests that the server has read.
+func startClosingServer(t *testing.T, reset bool) (address string, requests *atomic.Int64) {
 	t.Helper()
 	ln, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -44,9 +46,9 @@
 			}
 			go func() {
 				defer conn.Close()
-				in := bufio.NewReader(conn)
+				br := bufio.NewReader(conn)
 				for i := range 2 {
-					r, err := http.ReadRequest(in)
+					r, err := http.ReadRequest(br)
 					if err != nil {
 						return
 					}
@@ -64,9 +66,9 @@
 	return "http://" + ln.Addr().String(), requests
 }
 
-// Guards against net/http resending a request on a broken reused connection, which it does for
-// GET and for any method with an Idempotency-Key header, and against "not run" for a request
-// that was sent. Both would run an action twice.
+// A request must not be sent again when a reused connection breaks, and must not be reported as refused
+// if it was sent. In both cases, an action could run twice. By default, net/http resends GET requests and
+// requests of any method with an Idempotency-Key header.
 func TestReusedConnectionIsNotRetried(t *testing.T) {
 	for _, r := range []external.PlainRequest{
 		{Method: http.MethodGet, Path: "/board"},
@@ -76,8 +78,8 @@
 		{Method: http.MethodDelete, Path: "/pump", IdempotencyKey: "k"},
 	} {
 		for _, reset := range []bool{false, true} {
-			address, requests := closeReused(t, reset)
-			c := load(t, address)
+			address, requests := startClosingServer(t, reset)
+			c := newClient(t, address)
 			_, err := c.Do(t.Context(), &r)
 			require.NoError(t, err)
 			_, err = c.Do(t.Context(), &r)
@@ -88,13 +90,13 @@
 	}
 }
 
-// Guards against headers, bodies or answers that are lost, and against an action whose response
-// was lost being reported as not run.
+// The adapter must transfer all headers, bodies and responses. It must report an action whose response
+// was lost as failed, not as refused.
 func TestActionsAgainstTheStandIn(t *testing.T) {
 	s := backend.New(backend.Config{ServiceTime: -1})
 	srv := httptest.NewServer(s.Handler())
 	defer srv.Close()
-	c := load(t, srv.URL)
+	c := newClient(t, srv.URL)
 	r := &external.PlainRequest{
 		RequestID: "r1", Method: http.MethodPost, Path: "/pumps/3?on=1", IdempotencyKey: "k1", Body: []byte("{}"),
 	}
@@ -109,7 +111,7 @@
 	s.SetFaults(backend.Faults{LoseResponse: 1})
 	_, err = c.Do(t.Context(), r)
 	require.ErrorIs(t, err, external.ErrEngineFailed)
-	require.Equal(t, 2, s.Executions("k1"), "the action ran twice and the journal shows it")
+	require.Equal(t, 2, s.Executions("k1"), "the stand-in must have run the action twice")
 	s.SetFaults(backend.Faults{FailBeforeRun: 1})
 	_, err = c.Do(t.Context(), r)
 	require.ErrorIs(t, err, external.ErrEngineFailed)
@@ -125,24 +127,24 @@
 	require.NoError(t, err)
 	require.Equal(t, backend.DefaultLimit, l.TotalPieces)
 
-	// A new client has no open connection, so its dial fails.
+	// A new client has no idle connection, so it must open one, which fails.
 	srv.Close()
-	_, err = load(t, srv.URL).Do(t.Context(), r)
+	_, err = newClient(t, srv.URL).Do(t.Context(), r)
 	require.ErrorIs(t, err, external.ErrEngineRefused)
 	require.NotErrorIs(t, err, external.ErrEngineFailed)
 }
 
-// Guards against a caller's path that reaches another host, and against redirects that send the
-// request a second time.
+// A path supplied by a caller must not direct the request to another host, and a redirect must not cause
+// a second request.
 func TestPathsAndRedirectsStayOnTheServer(t *testing.T) {
-	var other atomic.Int64
-	elsewhere := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { other.Add(1) }))
-	defer elsewhere.Close()
-	srv := httptest.NewServer(http.RedirectHandler(elsewhere.URL, http.StatusFound))
+	var otherRequests atomic.Int64
+	otherServer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { otherRequests.Add(1) }))
+	defer otherServer.Close()
+	srv := httptest.NewServer(http.RedirectHandler(otherServer.URL, http.StatusFound))
 	defer srv.Close()
-	c := load(t, srv.URL)
-	host := elsewhere.Listener.Addr().String()
-	for _, path := range []string{"@" + host, elsewhere.URL, ""} {
+	c := newClient(t, srv.URL)
+	host := otherServer.Listener.Addr().String()
+	for _, path := range []string{"@" + host, otherServer.URL, ""} {
 		_, err := c.Do(t.Context(), &external.PlainRequest{Method: http.MethodGet, Path: path})
 		require.ErrorIs(t, err, external.ErrEngineRefused, path)
 	}
@@ -151,5 +153,5 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusFound, resp.Status)
 	}
-	require.Zero(t, other.Load())
+	require.Zero(t, otherRequests.Load())
 }
--- a/modules/enginehttp/enginehttp.go
+++ b/modules/enginehttp/enginehttp.go
@@ -1,4 +1,4 @@
-// Package enginehttp is the HTTP adapter of a model engine, registered as engine.http.
+// Package enginehttp is the HTTP adapter for model engines. Its module ID is engine.http.
 package enginehttp
 
 import (
@@ -15,15 +15,16 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// ID is the module's ID.
+// ID is the ID of the module.
 const ID = "engine.http"
 
-// callTimeout bounds the short calls. Generate and Apply take as long as the caller's context.
+// callTimeout limits the duration of all calls other than Generate and Apply, which only the caller's
+// context limits.
 const callTimeout = 3 * time.Second
 
 func init() { kernel.Register(&Client{}) }
 
-// Client calls an engine.
+// Client sends requests to a model engine.
 type Client struct{ httpjson.Client }
 
 var _ external.Engine = (*Client)(nil)
@@ -35,55 +36,57 @@
 
 // Cancel implements external.Engine.
 func (c *Client) Cancel(ctx context.Context, requestID string) error {
-	return c.short(ctx, http.MethodPost, enginewire.PathCancel, enginewire.Cancel{RequestID: requestID}, nil)
+	return c.callWithTimeout(ctx, http.MethodPost, enginewire.PathCancel, enginewire.Cancel{RequestID: requestID}, nil)
 }
 
 // State implements external.Engine.
 func (c *Client) State(ctx context.Context) (s external.EngineState, err error) {
-	err = c.short(ctx, http.MethodGet, enginewire.PathState, nil, &s)
+	err = c.callWithTimeout(ctx, http.MethodGet, enginewire.PathState, nil, &s)
 	return s, err
 }
 
 // Apply implements external.Engine.
 func (c *Client) Apply(ctx context.Context, o external.EngineOrder) error {
-	return convert(c.Call(ctx, http.MethodPost, enginewire.PathApply, o, nil))
+	return convertError(c.Call(ctx, http.MethodPost, enginewire.PathApply, o, nil))
 }
 
 // Load implements external.Engine.
 func (c *Client) Load(ctx context.Context) (l external.EngineLoad, err error) {
-	err = c.short(ctx, http.MethodGet, enginewire.PathLoad, nil, &l)
+	err = c.callWithTimeout(ctx, http.MethodGet, enginewire.PathLoad, nil, &l)
 	return l, err
 }
 
 // CacheEvents implements external.Engine.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) (events []external.CacheEvent, err error) {
 	path := enginewire.PathEvents + "?after=" + strconv.FormatUint(after, 10)
-	err = c.short(ctx, http.MethodGet, path, nil, &events)
+	err = c.callWithTimeout(ctx, http.MethodGet, path, nil, &events)
 	return events, err
 }
 
 // ExportKV implements external.Engine.
 func (c *Client) ExportKV(ctx context.Context, requestID string) ([]byte, error) {
 	var b enginewire.Blob
-	err := c.short(ctx, http.MethodPost, enginewire.PathExport, enginewire.Cancel{RequestID: requestID}, &b)
+	err := c.callWithTimeout(ctx, http.MethodPost, enginewire.PathExport, enginewire.Cancel{RequestID: requestID}, &b)
 	return b.Data, err
 }
 
 // ImportKV implements external.Engine.
 func (c *Client) ImportKV(ctx context.Context, data []byte) (string, error) {
 	var h enginewire.Handle
-	err := c.short(ctx, http.MethodPost, enginewire.PathImport, enginewire.Blob{Data: data}, &h)
+	err := c.callWithTimeout(ctx, http.MethodPost, enginewire.PathImport, enginewire.Blob{Data: data}, &h)
 	return h.Handle, err
 }
 
-func (c *Client) short(ctx context.Context, method, path string, in, out any) error {
+// callWithTimeout sends a request with a timeout of callTimeout.
+func (c *Client) callWithTimeout(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return convert(c.Call(ctx, method, path, in, out))
+	return convertError(c.Call(ctx, method, path, in, out))
 }
 
-// convert reports a refusal only if the request was certainly not sent or the engine says so.
-func convert(err error) error {
+// convertError converts an error of httpjson to an error of package external. It returns
+// external.ErrEngineRefused only if the request was certainly not sent or the engine has refused it.
+func convertError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/modules/enginehttp/enginehttp_test.go
+++ b/modules/enginehttp/enginehttp_test.go
@@ -19,11 +19,13 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
+// loaded is a configuration in which model m is loaded.
 var loaded = external.EngineConfig{
 	Role: external.RoleMixed, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
 }
 
-func serve(tb testing.TB, h http.Handler) (external.Engine, *httptest.Server) {
+// newClient starts a server with a handler and returns a client of it.
+func newClient(tb testing.TB, h http.Handler) (external.Engine, *httptest.Server) {
 	tb.Helper()
 	srv := httptest.NewServer(h)
 	tb.Cleanup(srv.Close)
@@ -33,6 +35,7 @@
 	return c, srv
 }
 
+// newEngine returns a stand-in engine that has loaded model m.
 func newEngine(tb testing.TB, cfg engine.Config) *engine.Engine {
 	cfg.Initial = loaded
 	e := engine.New(cfg)
@@ -44,7 +47,9 @@
 	return &external.GenerateRequest{RequestID: id, Model: "m", Prompt: "p " + id, MaxTokens: maxTokens}
 }
 
-func drain(s external.TokenStream) (text string, err error) {
+// readText reads a stream to its end and returns the received text, also if the stream ends with an
+// error.
+func readText(s external.TokenStream) (text string, err error) {
 	defer s.Close()
 	for {
 		c, err := s.Next()
@@ -58,17 +63,17 @@
 	}
 }
 
-// Guards against fields that are lost between the interface and the wire.
+// Each call must transfer all fields of its arguments and results over HTTP.
 func TestEveryCallOverHTTP(t *testing.T) {
 	e := newEngine(t, engine.Config{Instant: true, CheckFence: true, OrderTime: time.Millisecond})
-	c, _ := serve(t, e.Handler())
+	c, _ := newClient(t, e.Handler())
 	ctx := t.Context()
 	r := request("a", 200)
 	want, _, _ := engine.Answer(r)
-	for range 2 { // the second one uses the connection again
+	for range 2 { // the second request reuses the connection
 		s, err := c.Generate(ctx, r)
 		require.NoError(t, err)
-		got, err := drain(s)
+		got, err := readText(s)
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	}
@@ -95,11 +100,11 @@
 	require.Empty(t, events)
 }
 
-// Guards against "not run" for a request that may have run, and against an answer that is cut
-// and taken for whole.
+// A request that may have run must not be reported as refused, and a truncated answer must return an
+// error instead of io.EOF.
 func TestRefusedAndFailedAreDistinct(t *testing.T) {
 	e := newEngine(t, engine.Config{})
-	c, srv := serve(t, e.Handler())
+	c, srv := newClient(t, e.Handler())
 	ctx := t.Context()
 	r := request("a", 1000)
 	r.Model = "not loaded"
@@ -111,12 +116,12 @@
 	_, err = s.Next()
 	require.NoError(t, err)
 	e.Crash()
-	_, err = drain(s)
+	_, err = readText(s)
 	require.ErrorIs(t, err, external.ErrEngineFailed)
 
 	srv.Close()
 	_, err = c.Generate(ctx, request("b", 10))
-	require.ErrorIs(t, err, external.ErrEngineRefused, "a failed dial sends nothing")
+	require.ErrorIs(t, err, external.ErrEngineRefused, "no request is sent if the connection cannot be opened")
 
 	streams := map[string]string{
 		"no finish reason": "data: {\"offset\":0,\"tokens\":1,\"text\":\" a\"}\n\n",
@@ -125,23 +130,24 @@
 		"empty":            "",
 	}
 	for name, body := range streams {
-		c, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
+		c, _ := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
 		s, err := c.Generate(ctx, request("c", 10))
 		require.NoError(t, err, name)
-		_, err = drain(s)
+		_, err = readText(s)
 		require.ErrorIs(t, err, external.ErrEngineFailed, name)
 		require.NotErrorIs(t, err, external.ErrEngineRefused, name)
 	}
-	c, _ = serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	c, _ = newClient(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	_, err = c.Generate(ctx, request("d", 10))
 	require.ErrorIs(t, err, external.ErrEngineFailed)
 	require.NotErrorIs(t, err, external.ErrEngineRefused)
 }
 
-// Guards against generations that go on for callers that have left.
+// When the caller's context ends, the engine must cancel the generation. Otherwise it continues to
+// generate tokens for a caller that has disconnected.
 func TestContextEndCancelsOnTheEngine(t *testing.T) {
 	e := newEngine(t, engine.Config{})
-	c, _ := serve(t, e.Handler())
+	c, _ := newClient(t, e.Handler())
 	ctx, cancel := context.WithCancel(t.Context())
 	s, err := c.Generate(ctx, request("a", 100_000))
 	require.NoError(t, err)
@@ -151,12 +157,12 @@
 		j := e.Journal()
 		return j[len(j)-1].Kind == engine.RequestCancelled
 	}, 10*time.Second, time.Millisecond)
-	_, err = drain(s)
+	_, err = readText(s)
 	require.ErrorIs(t, err, external.ErrEngineFailed)
 }
 
-// Guards against events that are lost, repeated, joined out of order or delayed when several have
-// arrived at once.
+// Events that arrive together must be merged without loss, duplication or reordering. Events that do not
+// directly follow each other must not be merged.
 func TestBufferedEventsAreMerged(t *testing.T) {
 	event := func(offset, tokens int, text string) string {
 		return fmt.Sprintf("data: {\"offset\":%d,\"tokens\":%d,\"text\":%q}\n\n", offset, tokens, text)
@@ -164,7 +170,7 @@
 	long := strings.Repeat("x", 9000)
 	body := ": comment\n\n" + event(0, 1, "a") + event(1, 2, "bc") + ": comment\n\n" + event(7, 1, "gap") +
 		event(8, 1, long) + event(9, 1, "") + "data: {\"offset\":10,\"tokens\":0,\"text\":\"\",\"finish_reason\":\"stop\"}\n\n"
-	c, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
+	c, _ := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }))
 	s, err := c.Generate(t.Context(), request("a", 10))
 	require.NoError(t, err)
 	defer s.Close()
@@ -183,10 +189,11 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Guards against a chunk that is held back until the next event comes.
+// Next must return an event that has arrived without waiting for the next event, of which only a part
+// has arrived.
 func TestMergeDoesNotWait(t *testing.T) {
 	release := make(chan struct{})
-	c, _ := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	c, _ := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "data: {\"offset\":0,\"tokens\":1,\"text\":\"a\"}\n\ndata: {\"off")
 		_ = http.NewResponseController(w).Flush()
 		<-release
@@ -202,9 +209,9 @@
 	require.NoError(t, s.Close())
 }
 
-// BenchmarkStream reports the cost of one token, engine and adapter together.
+// BenchmarkStream measures the cost per token of the stand-in engine and the adapter together.
 func BenchmarkStream(b *testing.B) {
-	c, _ := serve(b, newEngine(b, engine.Config{Instant: true, JournalLimit: 100}).Handler())
+	c, _ := newClient(b, newEngine(b, engine.Config{Instant: true, JournalLimit: 100}).Handler())
 	b.ReportAllocs()
 	for n := 0; n < b.N; {
 		s, err := c.Generate(b.Context(), request("bench", 1000))
--- a/modules/enginehttp/stream.go
+++ b/modules/enginehttp/stream.go
@@ -15,28 +15,30 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// maxLineBytes bounds one event. Engines send a few tokens per event.
-const maxLineBytes = 64 << 10
+// maxEventBytes is the maximum size of a line, and thus of an event. Engines send a few tokens per event.
+const maxEventBytes = 64 << 10
 
 var (
 	dataPrefix = []byte(enginewire.DataPrefix)
 	newline    = []byte{'\n'}
 
-	errLineTooLong = fmt.Errorf("event is longer than %d bytes", maxLineBytes)
+	errEventTooLong = fmt.Errorf("event is longer than %d bytes", maxEventBytes)
 )
 
-// stream reads the server-sent events of one generation.
+// stream implements external.TokenStream. It reads the server-sent events of a generation.
 type stream struct {
 	cancel context.CancelFunc
 	body   io.ReadCloser
 	lines  *bufio.Reader
-	done   bool
+	// done is true once the chunk with the finish reason has been returned.
+	done bool
 
-	// next and nextErr are an event that was read and could not be merged, if hasNext is set.
+	// next and nextErr are the result of reading an event that could not be merged. They are valid if
+	// hasNext is true.
 	hasNext bool
 	next    external.TokenChunk
 	nextErr error
-	// text holds the merged text between its collection and its copy.
+	// text is a reused buffer for the text of merged events.
 	text []byte
 }
 
@@ -50,12 +52,13 @@
 	s, err := c.open(ctx, body)
 	if err != nil {
 		cancel()
-		return nil, convert(err)
+		return nil, convertError(err)
 	}
 	s.cancel = cancel
 	return s, nil
 }
 
+// open sends a generate request and returns the stream of its response. It does not set cancel.
 func (c *Client) open(ctx context.Context, body []byte) (*stream, error) {
 	req, err := c.NewRequest(ctx, http.MethodPost, enginewire.PathGenerate, body)
 	if err != nil {
@@ -73,20 +76,21 @@
 	return &stream{body: resp.Body, lines: bufio.NewReader(resp.Body)}, nil
 }
 
-// Next implements external.TokenStream. Events that have arrived already are returned as one chunk,
-// so that a burst costs one frame on the way to the caller. It never waits for a second event.
+// Next implements external.TokenStream. It merges events that have already been received into one chunk,
+// so that a burst of events is sent to the caller as a single frame. It never waits for a second event.
 func (s *stream) Next() (external.TokenChunk, error) {
-	c, err := s.first()
+	c, err := s.firstEvent()
 	if err != nil {
 		return external.TokenChunk{}, err
 	}
-	s.merge(&c)
+	s.mergeBuffered(&c)
 	s.done = c.FinishReason != ""
 	return c, nil
 }
 
-// first returns the event that was left over, or waits for the next one.
-func (s *stream) first() (external.TokenChunk, error) {
+// firstEvent returns the event that a previous call of mergeBuffered could not merge, or reads the next
+// event.
+func (s *stream) firstEvent() (external.TokenChunk, error) {
 	if s.done {
 		return external.TokenChunk{}, io.EOF
 	}
@@ -94,14 +98,15 @@
 		s.hasNext = false
 		return s.next, s.nextErr
 	}
-	return s.event()
+	return s.readEvent()
 }
 
-// merge appends the buffered events that continue the chunk. One that does not is left over.
-func (s *stream) merge(c *external.TokenChunk) {
+// mergeBuffered appends the buffered events that directly follow the chunk. An event that does not, or an
+// error, is stored in next and nextErr for the next call of firstEvent.
+func (s *stream) mergeBuffered(c *external.TokenChunk) {
 	s.text = s.text[:0]
-	for c.FinishReason == "" && s.eventBuffered() {
-		next, err := s.event()
+	for c.FinishReason == "" && s.hasBufferedEvent() {
+		next, err := s.readEvent()
 		if err != nil || next.Offset != c.Offset+c.Tokens {
 			s.next, s.nextErr, s.hasNext = next, err, true
 			break
@@ -118,8 +123,8 @@
 	}
 }
 
-// eventBuffered reports whether event would return without waiting.
-func (s *stream) eventBuffered() bool {
+// hasBufferedEvent reports whether readEvent would return without reading from the connection.
+func (s *stream) hasBufferedEvent() bool {
 	buffered, _ := s.lines.Peek(s.lines.Buffered())
 	for {
 		line, rest, ok := bytes.Cut(buffered, newline)
@@ -133,34 +138,35 @@
 	}
 }
 
-// event waits for the next event.
-func (s *stream) event() (external.TokenChunk, error) {
+// readEvent reads the next event.
+func (s *stream) readEvent() (external.TokenChunk, error) {
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return external.TokenChunk{}, fmt.Errorf("%w: stream ended without a finish reason: %w", external.ErrEngineFailed, err)
 		}
 		data, ok := bytes.CutPrefix(line, dataPrefix)
 		if !ok {
-			continue // a blank line or a comment
+			continue // an empty line or a comment
 		}
 		ev, err := enginewire.DecodeEvent(data)
 		if err != nil {
 			return external.TokenChunk{}, fmt.Errorf("%w: decode event: %w", external.ErrEngineFailed, err)
 		}
 		if ev.Error != "" {
-			// The request was accepted, so no error that follows is a refusal.
+			// The engine has accepted the request, so this error is never a refusal, whatever its code.
 			return external.TokenChunk{}, fmt.Errorf("%w: engine reports %q", external.ErrEngineFailed, ev.Error)
 		}
 		return ev.TokenChunk, nil
 	}
 }
 
-// line returns the next line without its end. It is valid until the next call.
-func (s *stream) line() ([]byte, error) {
+// readLine reads the next line and returns it without the line break. The result is valid until the next
+// call.
+func (s *stream) readLine() ([]byte, error) {
 	line, err := s.lines.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = s.longLine(line)
+		line, err = s.readLongLine(line)
 	}
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -168,14 +174,15 @@
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// longLine reads the rest of a line that does not fit the buffer.
-func (s *stream) longLine(start []byte) ([]byte, error) {
+// readLongLine reads the rest of a line that exceeds the buffer. start is the part of the line that has
+// been read.
+func (s *stream) readLongLine(start []byte) ([]byte, error) {
 	long := bytes.Clone(start)
 	for {
 		part, err := s.lines.ReadSlice('\n')
 		long = append(long, part...)
-		if len(long) > maxLineBytes {
-			return nil, errLineTooLong
+		if len(long) > maxEventBytes {
+			return nil, errEventTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return long, err
@@ -183,12 +190,13 @@
 	}
 }
 
-// Close implements external.TokenStream. It closes the connection of an unfinished stream, which
-// makes the engine cancel the request.
+// Close implements external.TokenStream. If the answer has not finished, Close closes the connection,
+// which causes the engine to cancel the request.
 func (s *stream) Close() error {
 	if s.done {
-		// Reading to the end lets the connection be reused; the engine has nothing more to send.
-		_, _ = io.Copy(io.Discard, io.LimitReader(s.body, maxLineBytes))
+		// The connection can be reused only if the body is read to its end. The engine sends no more
+		// events, so this does not block for long.
+		_, _ = io.Copy(io.Discard, io.LimitReader(s.body, maxEventBytes))
 	}
 	s.cancel()
 	return s.body.Close()
--- a/modules/instanceshttp/instanceshttp.go
+++ b/modules/instanceshttp/instanceshttp.go
@@ -1,4 +1,4 @@
-// Package instanceshttp is the HTTP adapter of the instance list, registered as
+// Package instanceshttp is the HTTP adapter for the instance list. Its module ID is
 // platform.instances.http.
 package instanceshttp
 
@@ -21,22 +21,24 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// ID is the module's ID.
+// ID is the ID of the module.
 const ID = "platform.instances.http"
 
 const callTimeout = 3 * time.Second
 
 func init() { kernel.Register(&Client{}) }
 
-// Client calls the instance list. It keeps the last list and asks for changes only: at 980 instances
-// the whole list has about 150 KB, which each process would otherwise read at every change.
+// Client sends requests to the instance list. It caches the last list and requests only the changes
+// since then: the whole list of 980 instances has about 150 KB, which each process would otherwise read
+// after every change.
 type Client struct {
 	httpjson.Client
 
-	mu      sync.Mutex
-	epoch   string
-	version uint64
-	known   map[string]external.Instance
+	mu sync.Mutex
+	// epoch, version and instances are the cached list.
+	epoch     string
+	version   uint64
+	instances map[string]external.Instance
 }
 
 var _ external.InstanceList = (*Client)(nil)
@@ -46,57 +48,60 @@
 	return kernel.ModuleInfo{ID: ID, New: func() kernel.Module { return &Client{} }}
 }
 
-// Instances implements external.InstanceList. A service that has started again has another epoch
-// and answers with its whole list, also if its version is not above after.
+// Instances implements external.InstanceList. After a restart, the service has a new epoch and returns
+// the whole list. In this case Instances also returns the list if its version is not greater than after.
 func (c *Client) Instances(ctx context.Context, after uint64) (external.InstanceSnapshot, error) {
-	epoch, version := c.held()
+	epoch, version := c.currentVersion()
 	var l instancewire.List
 	path := instancewire.PathList + "?after=" + strconv.FormatUint(version, 10) + "&epoch=" + url.QueryEscape(epoch)
 	if err := c.call(ctx, http.MethodGet, path, nil, &l); err != nil {
 		return external.InstanceSnapshot{}, err
 	}
-	return c.take(&l, after, epoch)
+	return c.update(&l, after, epoch)
 }
 
-func (c *Client) held() (epoch string, version uint64) {
+// currentVersion returns the epoch and version of the cached list.
+func (c *Client) currentVersion() (epoch string, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.epoch, c.version
 }
 
-// errChanges means that changes came for another list than the one that is held.
-var errChanges = errors.New("instance list: changes do not follow the list that is held")
+// errUnknownBase means that the service returned changes since a version that is not cached.
+var errUnknownBase = errors.New("instance list: the received changes do not apply to the cached list")
 
-// take joins an answer with the list that is held.
-func (c *Client) take(l *instancewire.List, after uint64, asked string) (external.InstanceSnapshot, error) {
+// update applies a response to the cached list. It returns the list, or an empty snapshot if the list has
+// not changed since version after. requestEpoch is the epoch in the request.
+func (c *Client) update(l *instancewire.List, after uint64, requestEpoch string) (external.InstanceSnapshot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case l.Since == 0:
-		c.known = make(map[string]external.Instance, len(l.Instances))
+		c.instances = make(map[string]external.Instance, len(l.Instances))
 	case l.Epoch != c.epoch || l.Since > c.version:
-		c.epoch, c.version, c.known = "", 0, nil
-		return external.InstanceSnapshot{}, errChanges
+		c.epoch, c.version, c.instances = "", 0, nil
+		return external.InstanceSnapshot{}, errUnknownBase
 	case l.Version < c.version:
-		// An older answer than that of a call that ran at the same time.
+		// A concurrent call has already received a later version. Do not go back to an earlier one.
 		l.Instances, l.Removed, l.Version = nil, nil, c.version
 	}
 	for _, in := range l.Instances {
-		c.known[in.ID] = in
+		c.instances[in.ID] = in
 	}
 	for _, id := range l.Removed {
-		delete(c.known, id)
+		delete(c.instances, id)
 	}
-	restarted := asked != "" && l.Epoch != asked
+	restarted := requestEpoch != "" && l.Epoch != requestEpoch
 	c.epoch, c.version = l.Epoch, l.Version
 	if l.Version == after && !restarted {
 		return external.InstanceSnapshot{Version: after}, nil
 	}
-	all := slices.SortedFunc(maps.Values(c.known), func(a, b external.Instance) int { return strings.Compare(a.ID, b.ID) })
+	all := slices.SortedFunc(maps.Values(c.instances), func(a, b external.Instance) int { return strings.Compare(a.ID, b.ID) })
 	return external.InstanceSnapshot{Version: l.Version, Instances: all}, nil
 }
 
-// Register registers an instance for a time to live; repeat it to stay in the list.
+// Register adds or replaces an instance. The service removes the instance after ttl unless it is
+// registered again.
 func (c *Client) Register(ctx context.Context, in external.Instance, ttl time.Duration) error {
 	r := instancewire.Registration{Instance: in, TTLMS: ttl.Milliseconds()}
 	return c.call(ctx, http.MethodPost, instancewire.PathRegister, r, nil)
@@ -107,6 +112,7 @@
 	return c.call(ctx, http.MethodPost, instancewire.PathLeave, instancewire.Leave{ID: id}, nil)
 }
 
+// call sends a request with a timeout of callTimeout.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/modules/instanceshttp/instanceshttp_test.go
+++ b/modules/instanceshttp/instanceshttp_test.go
@@ -21,6 +21,7 @@
 	ID: "w1", Role: external.RoleSidecar, Service: "oracolo", DataCentre: "palermo", Address: "127.0.0.1:1",
 }
 
+// states returns the states of the listed instances by ID.
 func states(t *testing.T, l external.InstanceList) map[string]external.InstanceState {
 	t.Helper()
 	s, err := l.Instances(t.Context(), 0)
@@ -32,8 +33,7 @@
 	return out
 }
 
-// Guards against a list without lag and against instances that stay after they stopped
-// registering.
+// The stand-in must delay changes by its lag, and must remove instances whose registration has expired.
 func TestChangesShowLateAndRegistrationsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := instances.New(2 * time.Second)
@@ -48,14 +48,14 @@
 		time.Sleep(time.Second)
 		require.Equal(t, external.InstanceLeaving, states(t, l)["w1"])
 		time.Sleep(4 * time.Second)
-		require.Len(t, states(t, l), 1, "expired 1 s ago, shown 1 s from now")
+		require.Len(t, states(t, l), 1, "the instance expired 1 s ago, and its removal becomes visible in 1 s")
 		time.Sleep(time.Second)
 		require.Empty(t, states(t, l))
 	})
 }
 
-// Guards against versions that go back or change without news, and against a list that answers
-// while it is switched off.
+// The version must increase with each change and must not change otherwise. Reads must fail while the
+// list is down.
 func TestVersionsOverHTTP(t *testing.T) {
 	l := instances.New(0)
 	srv := httptest.NewServer(l.Handler())
@@ -83,18 +83,18 @@
 	require.Error(t, err)
 }
 
-// Guards against a list that differs from the service's after changes, removals and a restart of
-// the service, and against whole lists on the wire where changes are enough.
+// The client's list must equal the service's list after changes, removals and restarts of the service.
+// The service must send only the changes if the client has an earlier version of the list.
 func TestChangesGiveTheWholeList(t *testing.T) {
 	l := instances.New(0)
 	var handler atomic.Pointer[http.Handler]
 	serve := func(l *instances.List) { h := l.Handler(); handler.Store(&h) }
 	serve(l)
-	var sent atomic.Int64
+	var responseBytes atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		(*handler.Load()).ServeHTTP(rec, r)
-		sent.Store(int64(rec.Body.Len())) // before the client can have the answer
+		responseBytes.Store(int64(rec.Body.Len())) // before the client receives the response
 		_, _ = w.Write(rec.Body.Bytes())
 	}))
 	defer srv.Close()
@@ -113,23 +113,23 @@
 		return got.Version
 	}
 	version := check(l, 0)
-	require.Greater(t, sent.Load(), int64(20_000))
+	require.Greater(t, responseBytes.Load(), int64(20_000))
 	l.Leave("w7")
 	l.Remove("w9")
 	l.Register(external.Instance{ID: "new", Address: "127.0.0.1:2"}, 0)
 	version = check(l, version)
-	require.Less(t, sent.Load(), int64(1000))
+	require.Less(t, responseBytes.Load(), int64(1000))
 	check(l, 0)
-	require.Less(t, sent.Load(), int64(1000), "a request for the whole list is answered from changes")
+	require.Less(t, responseBytes.Load(), int64(1000), "the whole list is returned from the cache and the changes")
 
-	again := instances.New(0)
-	again.Register(worker, 0)
-	serve(again)
-	low := check(again, version)
-	require.Less(t, low, version, "the list of a service that has started again is lower")
+	restarted := instances.New(0)
+	restarted.Register(worker, 0)
+	serve(restarted)
+	low := check(restarted, version)
+	require.Less(t, low, version, "versions start again after a restart of the service")
 
 	same := instances.New(0)
 	same.Register(external.Instance{ID: "other", Address: "127.0.0.1:3"}, 0)
 	serve(same)
-	require.Equal(t, low, check(same, low), "another list with the same version")
+	require.Equal(t, low, check(same, low), "a restarted service has another list with the same version")
 }
--- a/modules/kvhttp/kvhttp.go
+++ b/modules/kvhttp/kvhttp.go
@@ -1,4 +1,4 @@
-// Package kvhttp is the HTTP adapter of the key-value service, registered as platform.kv.http.
+// Package kvhttp is the HTTP adapter for the key-value service. Its module ID is platform.kv.http.
 package kvhttp
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// ID is the module's ID.
+// ID is the ID of the module.
 const ID = "platform.kv.http"
 
 const (
-	// watchTimeout is above the service's own wait limit of 20 s.
+	// watchTimeout exceeds the service's own limit for watches of 20 s.
 	watchTimeout = 30 * time.Second
 	callTimeout  = 3 * time.Second
 )
 
 func init() { kernel.Register(&Client{}) }
 
-// Client calls the key-value service.
+// Client sends requests to the key-value service.
 type Client struct{ httpjson.Client }
 
 var _ external.KV = (*Client)(nil)
@@ -39,7 +39,7 @@
 func (c *Client) Get(ctx context.Context, key string) (external.Entry, error) {
 	resp, err := c.call(ctx, kvwire.PathGet, kvwire.Request{Key: key}, callTimeout)
 	if err != nil {
-		return external.Entry{}, readError(err)
+		return external.Entry{}, convertReadError(err)
 	}
 	if len(resp.Entries) == 0 {
 		return external.Entry{}, external.ErrUnavailable
@@ -50,7 +50,7 @@
 // List implements external.KV.
 func (c *Client) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
 	resp, err := c.call(ctx, kvwire.PathList, kvwire.Request{Key: prefix}, callTimeout)
-	return resp.Entries, resp.Revision, readError(err)
+	return resp.Entries, resp.Revision, convertReadError(err)
 }
 
 // CompareAndSwap implements external.KV.
@@ -70,7 +70,7 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
 	resp, err := c.call(ctx, kvwire.PathWatch, kvwire.Request{Key: prefix, After: after}, watchTimeout)
 	if err != nil {
-		return nil, after, readError(err)
+		return nil, after, convertReadError(err)
 	}
 	return resp.Events, resp.Revision, nil
 }
@@ -93,25 +93,31 @@
 	return err
 }
 
-// readError converts an unknown outcome of a read, which has no effect, to unavailable.
-func readError(err error) error {
+// convertReadError converts external.ErrOutcomeUnknown to external.ErrUnavailable, because a read never
+// has an effect.
+func convertReadError(err error) error {
 	if errors.Is(err, external.ErrOutcomeUnknown) {
 		return external.ErrUnavailable
 	}
 	return err
 }
 
+// call sends a request with a timeout and returns the response. If the response contains an error code,
+// call also returns its error.
 func (c *Client) call(ctx context.Context, path string, r kvwire.Request, timeout time.Duration) (out kvwire.Response, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := c.Call(ctx, http.MethodPost, path, r, &out); err != nil {
-		return kvwire.Response{}, convert(err)
+		return kvwire.Response{}, convertError(err)
 	}
 	return out, kvwire.Error(out.Error)
 }
 
-// convert reports that a call had no effect only if it was not sent or was refused as invalid.
-func convert(err error) error {
+// convertError converts an error of httpjson to an error of package external. It returns
+// external.ErrUnavailable, which means that the call had no effect, only if the request was certainly not
+// sent or was rejected with a status below 500. Any other status may come from a proxy after the service
+// has executed the call.
+func convertError(err error) error {
 	var status *httpjson.StatusError
 	if errors.Is(err, httpjson.ErrNotSent) ||
 		errors.As(err, &status) && status.Status < http.StatusInternalServerError {
--- a/modules/kvhttp/kvhttp_test.go
+++ b/modules/kvhttp/kvhttp_test.go
@@ -14,7 +14,8 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-func load(t *testing.T, h http.Handler) (external.KV, *httptest.Server) {
+// newClient starts a server with a handler and returns a client of it.
+func newClient(t *testing.T, h http.Handler) (external.KV, *httptest.Server) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -24,10 +25,10 @@
 	return c, srv
 }
 
-// Guards against "had no effect" for a write that may have taken effect, and the reverse.
+// A write that may have taken effect must not be reported as one without effect, and vice versa.
 func TestOutcomesOfWrites(t *testing.T) {
 	s := kv.NewStore(kv.Limits{})
-	c, srv := load(t, s.Handler())
+	c, srv := newClient(t, s.Handler())
 	ctx := t.Context()
 	s.Faults().Set(kv.FaultState{LoseAnswers: 1})
 	_, err := c.CompareAndSwap(ctx, "a", 0, []byte("x"), 0)
@@ -54,9 +55,10 @@
 	require.NoError(t, err)
 	require.ErrorIs(t, fresh.Delete(ctx, "a", 1), external.ErrUnavailable)
 
-	// A gateway answers 502 also if the service took the write and then broke off.
-	gateway, _ := load(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
-	require.ErrorIs(t, gateway.Delete(ctx, "a", 1), external.ErrOutcomeUnknown)
-	_, err = gateway.Get(ctx, "a")
-	require.ErrorIs(t, err, external.ErrUnavailable, "a read has no effect")
+	// A proxy also returns status 502 if the service has executed the write and the connection then
+	// failed.
+	proxied, _ := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
+	require.ErrorIs(t, proxied.Delete(ctx, "a", 1), external.ErrOutcomeUnknown)
+	_, err = proxied.Get(ctx, "a")
+	require.ErrorIs(t, err, external.ErrUnavailable, "the outcome of a read is never unknown, because it has no effect")
 }
--- a/modules/weightshttp/weightshttp.go
+++ b/modules/weightshttp/weightshttp.go
@@ -1,5 +1,4 @@
-// Package weightshttp is the HTTP adapter of the weight store, registered as
-// platform.weights.http.
+// Package weightshttp is the HTTP adapter for the weight store. Its module ID is platform.weights.http.
 package weightshttp
 
 import (
@@ -13,12 +12,12 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// ID is the module's ID.
+// ID is the ID of the module.
 const ID = "platform.weights.http"
 
 func init() { kernel.Register(&Client{}) }
 
-// Client calls the weight store.
+// Client sends requests to the weight store.
 type Client struct{ httpjson.Client }
 
 var _ external.WeightStore = (*Client)(nil)
@@ -28,7 +27,7 @@
 	return kernel.ModuleInfo{ID: ID, New: func() kernel.Module { return &Client{} }}
 }
 
-// Acquire implements external.WeightStore. Only the caller's context bounds the wait.
+// Acquire implements external.WeightStore. It has no timeout other than the caller's context.
 func (c *Client) Acquire(ctx context.Context, model string, bytes int64) error {
 	err := c.Call(ctx, http.MethodPost, weightwire.PathAcquire, weightwire.Request{Model: model, Bytes: bytes}, nil)
 	if err != nil {
--- a/modules/weightshttp/weightshttp_test.go
+++ b/modules/weightshttp/weightshttp_test.go
@@ -15,26 +15,27 @@
 	"github.com/quetzallug/quetzallug/standin/weights"
 )
 
-// Guards against a store that is faster than its rate, also for loads at the same time.
+// Concurrent calls must share the rate of the stand-in store.
 func TestRateIsShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := weights.New(1000)
-		begin := time.Now()
+		start := time.Now()
 		done := make(chan error, 2)
 		for range 2 {
 			go func() { done <- s.Acquire(t.Context(), "m", 5000) }()
 		}
 		require.NoError(t, <-done)
-		require.InDelta(t, 10, time.Since(begin).Seconds(), 0.2)
+		require.InDelta(t, 10, time.Since(start).Seconds(), 0.2)
 		require.NoError(t, <-done)
-		require.InDelta(t, 10, time.Since(begin).Seconds(), 0.2)
+		require.InDelta(t, 10, time.Since(start).Seconds(), 0.2)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		require.ErrorIs(t, s.Acquire(ctx, "m", 5000), context.DeadlineExceeded)
 	})
 }
 
-// Guards against a refusal that the adapter takes for a grant.
+// An error response of the store must be returned as an error. An address that is not a URL must be
+// rejected when the module is loaded.
 func TestAcquireOverHTTP(t *testing.T) {
 	s := weights.New(1 << 30)
 	srv := httptest.NewServer(s.Handler())
