--- a/admission/admission.go
+++ b/admission/admission.go
@@ -12,7 +12,7 @@
 // Reason is why a request was refused. The empty reason means that it was admitted.
 type Reason string
 
-// Reasons for a refusal. A refused request did not run.
+// The reasons of decisions. A request that was refused for one of them did not run.
 const (
 	Admitted         Reason = ""
 	Expired          Reason = "expired"           // the deadline has passed
@@ -34,30 +34,32 @@
 	DefaultMaxCallers       = 32_768
 )
 
-// maxRank is the largest rank number, and so the least important rank, with counters of its own.
-// Larger rank numbers are treated as maxRank.
-const maxRank = 8
+// lowestRank is the least important rank with counters of its own. Ranks with larger numbers are
+// treated as lowestRank.
+const lowestRank = 8
 
-// Config holds the settings of a Controller. Zero fields take the defaults.
+// Config holds the settings of a Controller. Zero fields except Callers and Seed take the defaults.
 type Config struct {
 	// Queue is the maximum number of waiting requests.
 	Queue int
-	// A rank has a maximum pressure while there are recent requests of higher ranks. It falls with
-	// their share: it is 1 less YieldStep if half of the requests have the next higher rank, and
-	// never below MinYieldPressure.
+	// Pressure is the largest used fraction of the queue or of a latency target. While higher ranks
+	// have recent requests, a rank is admitted only up to a pressure of 1 - YieldStep x demand, or
+	// of MinYieldPressure if that is more. The demand grows with the share of the higher ranks and
+	// is 1 if half of the recent requests have the next higher rank.
 	YieldStep        float64
 	MinYieldPressure float64
 	// GuaranteedShare is the number of requests of a rank that may run above the rank's maximum
 	// pressure, per admitted request of a higher rank. Starvable requests have no guarantee.
 	GuaranteedShare float64
-	// Slack is the fraction of a latency target or of the time to the deadline that the expected
-	// time may take up before the request is refused as late.
+	// Slack is the fraction of a latency target, or of the time to the deadline, that the expected
+	// time may reach. Above it the request is refused as Late.
 	Slack float64
 	// Callers holds the limits of each caller.
 	Callers CallerLimits
 	// MaxCallers is the maximum number of callers that are tracked one by one. It bounds memory.
 	MaxCallers int
-	// Seed is mixed into the hashes of caller names, so that collisions are hard to construct.
+	// Seed is mixed into the hashes of caller names, so that instances with different seeds
+	// distribute callers to shards differently.
 	Seed uint64
 }
 
@@ -114,7 +116,8 @@
 // Decision is the result of admission for one request.
 type Decision struct {
 	Reason Reason
-	// RetryAfter is how long a refused caller should wait before it tries again.
+	// RetryAfter is how long a refused caller should wait before it tries again. It is zero if a
+	// retry is pointless because the request expired.
 	RetryAfter time.Duration
 	// Priority is the scheduling priority for the engine. Higher values are served first.
 	Priority int
@@ -136,10 +139,11 @@
 
 	mu sync.Mutex
 	// credit is the number of guaranteed admissions that each rank has accumulated.
-	credit [maxRank + 1]float64
-	// recent counts the requests of each rank that passed all checks but the rank's. The counts
-	// decay exponentially, once per decayInterval; lastDecay is when they last did.
-	recent    [maxRank + 1]float64
+	credit [lowestRank + 1]float64
+	// recent counts the requests of each rank that reached the rank check, whether it admitted them
+	// or not. The counts decay exponentially, once per decayInterval; lastDecay is when they last
+	// did.
+	recent    [lowestRank + 1]float64
 	lastDecay time.Time
 }
 
@@ -162,9 +166,9 @@
 }
 
 // Priority returns the scheduling priority of a rank on an engine. Higher values are served first.
-func Priority(rank int) int { return maxRank - clampRank(rank) }
+func Priority(rank int) int { return lowestRank - clampRank(rank) }
 
-func clampRank(rank int) int { return min(max(rank, 1), maxRank) }
+func clampRank(rank int) int { return min(max(rank, 1), lowestRank) }
 
 // Admit decides whether a request may run. If it is admitted, Release must be called with the
 // decision once the request has ended.
@@ -211,8 +215,9 @@
 // SetCallerLimits replaces the limits that apply to each caller.
 func (c *Controller) SetCallerLimits(l CallerLimits) { c.callers.setLimits(l) }
 
-// checkTiming refuses a request that is expected to miss its latency targets or its deadline. The
-// retry delay is the largest expected excess.
+// checkTiming returns the refusal and false if the request is expected to miss its latency targets
+// or its deadline, and otherwise a zero Decision and true. The retry delay is the largest expected
+// excess.
 func (c *Controller) checkTiming(r *Request, e *Expectation, now time.Time) (Decision, bool) {
 	excess := time.Duration(0)
 	if r.FirstToken > 0 {
@@ -248,7 +253,7 @@
 func (c *Controller) admitRank(rank int, starvable bool, pressure float64, now time.Time) (ok, guaranteed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	demand := c.higherRankDemand(rank, now)
+	demand := c.updateDemand(rank, now)
 	switch {
 	case demand == 0 || pressure <= max(1-c.cfg.YieldStep*demand, c.cfg.MinYieldPressure):
 	case !starvable && c.credit[rank] >= 1:
@@ -257,17 +262,17 @@
 	default:
 		return false, false
 	}
-	for lower := rank + 1; lower <= maxRank; lower++ {
+	for lower := rank + 1; lower <= lowestRank; lower++ {
 		c.credit[lower] = min(maxCredit, c.credit[lower]+c.cfg.GuaranteedShare)
 	}
 	return true, guaranteed
 }
 
-// higherRankDemand counts a request of the given rank and returns the weighted share of higher
-// ranks in the recent requests. The weight is 2 per rank of difference, so the result is 1 if half
-// of the requests have the next higher rank. The capacity reserved for higher ranks thus follows
-// their demand.
-func (c *Controller) higherRankDemand(rank int, now time.Time) float64 {
+// updateDemand counts a request of the given rank and returns the demand of the higher ranks: their
+// weighted share of the recent requests. The weight is 2 per rank of difference, so the result is 1
+// if half of the requests have the next higher rank. The capacity reserved for higher ranks thus
+// follows their demand.
+func (c *Controller) updateDemand(rank int, now time.Time) float64 {
 	if c.lastDecay.IsZero() {
 		c.lastDecay = now
 	}
--- a/admission/callers.go
+++ b/admission/callers.go
@@ -39,12 +39,12 @@
 	nextSweep time.Time
 }
 
-// callerEntry holds the token bucket of the rate limit, as it was at refilledAt, and the number of
-// requests in flight.
+// callerEntry holds the token bucket of a caller's rate limit, as it was at refilledAt, and the
+// number of its requests in flight.
 type callerEntry struct {
 	tokens     float64
 	refilledAt time.Time
-	concurrent int
+	inFlight   int
 }
 
 func newCallers(maxCallers int, seed uint64, l CallerLimits) *callers {
@@ -66,8 +66,9 @@
 	return &c.shards[h>>58], h
 }
 
-// acquire counts a request of the caller, or returns the limit that it would exceed and the time to
-// wait. inOverflow is true if the request was counted in the overflow entry.
+// acquire counts a request of the caller and returns Admitted, or returns the reason for its
+// refusal and the time to wait before a retry. inOverflow is true if the request was counted in the
+// overflow entry.
 func (c *callers) acquire(caller string, now time.Time) (reason Reason, wait time.Duration, inOverflow bool) {
 	l := *c.limits.Load()
 	if caller == "" || l == (CallerLimits{}) {
@@ -78,7 +79,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entry(h, c.maxPerShard, l.RequestsPerSecond, burst, now)
-	if l.Concurrent > 0 && e.concurrent >= l.Concurrent {
+	if l.Concurrent > 0 && e.inFlight >= l.Concurrent {
 		return CallerConcurrent, minRetryAfter, false
 	}
 	if l.RequestsPerSecond > 0 {
@@ -88,11 +89,12 @@
 		}
 		e.tokens--
 	}
-	e.concurrent++
+	e.inFlight++
 	return Admitted, 0, e == &s.overflow
 }
 
-// release stops counting a request and returns refund tokens to the caller's bucket.
+// release stops counting a request and adds refund to the tokens in the caller's bucket: 1 if the
+// request did not run, else 0.
 func (c *callers) release(caller string, inOverflow bool, refund float64) {
 	if caller == "" {
 		return
@@ -106,7 +108,7 @@
 	}
 	if e != nil {
 		e.tokens += refund
-		e.concurrent = max(0, e.concurrent-1)
+		e.inFlight = max(0, e.inFlight-1)
 	}
 }
 
@@ -137,7 +139,7 @@
 		if rate > 0 {
 			e.refill(rate, burst, now)
 		}
-		if e.concurrent == 0 && (rate <= 0 || e.tokens >= burst) {
+		if e.inFlight == 0 && (rate <= 0 || e.tokens >= burst) {
 			delete(s.entries, h)
 		}
 	}
