--- a/load/load.go
+++ b/load/load.go
@@ -25,9 +25,9 @@
 	// fullExtrapolationSeconds is the age of a report from which each other router is assumed to
 	// have sent as much as this one.
 	fullExtrapolationSeconds = 2.0
-	// sequenceResetAge is how much newer than the last report a report must be for its lower
-	// sequence number to mean that the worker restarted, and not that the report was delayed.
-	sequenceResetAge = 2 * time.Second
+	// minRestartGap is how much newer than the last report a report must be for its lower sequence
+	// number to mean that the worker restarted, and not that the report was delayed.
+	minRestartGap = 2 * time.Second
 )
 
 // Report is a load report of a worker.
@@ -45,7 +45,8 @@
 	PrefillTokens int
 	// Decode is true if the worker decodes the answer.
 	Decode bool
-	// Pieces is the number of KV cache pieces that the request occupies until it ends.
+	// Pieces is the number of KV cache pieces, of external.PieceTokens tokens each, that the
+	// request occupies until it ends.
 	Pieces int
 }
 
@@ -54,18 +55,19 @@
 type Ticket struct {
 	Work Work
 
-	sentAt       time.Time
-	prefillAhead float64 // queued prefill tokens when it was sent, including its own
-	sequences    int
+	sentAt         time.Time
+	prefillBacklog float64 // queued prefill tokens just after it was sent, its own included
+	sequences      int     // estimated number of sequences being decoded just after it was sent
 }
 
 // correction is a change of a worker's load that its last report doesn't include: a request sent to
-// it or finished by it.
+// it or finished by it. freePieces is the change of the number of free pieces, so it is negative
+// for a request that was sent.
 type correction struct {
-	at        time.Time
-	prefill   float64
-	sequences int
-	pieces    int
+	at         time.Time
+	prefill    float64
+	sequences  int
+	freePieces int
 }
 
 // Tracker holds the load of all workers that this process uses. It is safe for concurrent use.
@@ -74,7 +76,7 @@
 	mu           sync.RWMutex
 	workers      map[string]*Worker
 	initialSpeed Speed
-	routerCount  atomic.Uint64 // a float64, by math.Float64bits
+	routerCount  atomic.Uint64 // see SetRouters; a float64, by math.Float64bits
 }
 
 // NewTracker returns a Tracker. The given speed is assumed of workers until theirs is observed.
@@ -84,10 +86,10 @@
 	return t
 }
 
-// SetRouters sets the number of routers that send to the same workers. Since all of them act on the
-// same reports, each other router is assumed to have sent and finished as many requests since a
-// report as this one. Without this, several routers would each fill all of the capacity that an old
-// report shows as free.
+// SetRouters sets the mean number of routers that send to the same worker, which may be fractional.
+// Values below 1 count as 1. Since all of these routers act on the same reports, each other router
+// is assumed to have sent and finished as many requests since a report as this one. Without this,
+// several routers would each fill all of the capacity that an old report shows as free.
 func (t *Tracker) SetRouters(n float64) { t.routerCount.Store(math.Float64bits(max(1, n))) }
 
 // Worker returns the worker with the given ID. It is added if it isn't tracked yet.
@@ -123,20 +125,20 @@
 
 // Worker tracks the load of one worker. It is safe for concurrent use.
 type Worker struct {
-	routerCount *atomic.Uint64
-	mu          sync.Mutex
-	role        external.Role
-	sequence    uint64
-	reportedAt  time.Time // zero: no report yet
-	report      external.EngineLoad
-	corrections []correction
-	// sequences and pieces are the sums of the corrections. prefill also falls over time, as the
-	// worker processes its queue.
-	sequences int
-	pieces    int
-	prefill   float64 // tokens queued at prefillAt, according to the report and the corrections
-	prefillAt time.Time
-	estimator estimator
+	routerCount    *atomic.Uint64
+	mu             sync.Mutex
+	role           external.Role
+	reportSequence uint64
+	reportedAt     time.Time // zero: no report yet
+	report         external.EngineLoad
+	corrections    []correction
+	// sequences and freePieces are the sums of the corrections. prefill also falls over time, as
+	// the worker processes its queue.
+	sequences  int
+	freePieces int
+	prefill    float64 // tokens queued at prefillAt, according to the report and the corrections
+	prefillAt  time.Time
+	estimator  estimator
 }
 
 // SetRole sets the worker's role. Queued requests count as sequences to decode unless the worker
@@ -147,8 +149,8 @@
 	w.role = r
 }
 
-// Observe replaces the worker's report and drops the corrections that the new report includes. It
-// ignores a report that is older than the current one and returns false.
+// Observe reports whether it used the report. If so, it replaced the worker's report and dropped
+// the corrections that the new one includes. It ignores an outdated or duplicate report.
 func (w *Worker) Observe(r Report, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,7 +158,7 @@
 	if w.outdated(r.Sequence, reportedAt) {
 		return false
 	}
-	w.sequence, w.reportedAt, w.report = r.Sequence, reportedAt, r.Load
+	w.reportSequence, w.reportedAt, w.report = r.Sequence, reportedAt, r.Load
 	kept := w.corrections[:0]
 	for _, c := range w.corrections {
 		if c.at.After(reportedAt.Add(-maxTransit)) {
@@ -164,7 +166,7 @@
 		}
 	}
 	w.corrections = kept
-	w.sequences, w.pieces = 0, 0
+	w.sequences, w.freePieces = 0, 0
 	w.prefill, w.prefillAt = float64(r.Load.PrefillTokens), reportedAt
 	for _, c := range kept {
 		w.applyCorrection(c)
@@ -172,29 +174,31 @@
 	return true
 }
 
-// outdated reports whether a report is older than the current one. After Restarted the current
-// sequence number is zero, and only the times are compared.
+// outdated reports whether a report is not newer than the current one. A sequence number that isn't
+// higher, on a report made at least minRestartGap later, means that the worker restarted. After
+// Restarted the current sequence number is zero, and only the times are compared.
 func (w *Worker) outdated(sequence uint64, reportedAt time.Time) bool {
 	switch {
 	case w.reportedAt.IsZero():
 		return false
-	case w.sequence == 0:
+	case w.reportSequence == 0:
 		return reportedAt.Before(w.reportedAt)
 	default:
-		return sequence <= w.sequence && reportedAt.Sub(w.reportedAt) < sequenceResetAge
+		return sequence <= w.reportSequence && reportedAt.Sub(w.reportedAt) < minRestartGap
 	}
 }
 
-// Sent adds a request that this process sent to the worker.
+// Sent adds a request that this process sent to the worker. It returns the ticket to pass to
+// FirstToken and Finished.
 func (w *Worker) Sent(work Work, now time.Time) Ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := correction{at: now, prefill: float64(work.PrefillTokens), pieces: -work.Pieces}
+	c := correction{at: now, prefill: float64(work.PrefillTokens), freePieces: -work.Pieces}
 	if work.Decode {
 		c.sequences = 1
 	}
 	w.addCorrection(c)
-	return Ticket{Work: work, sentAt: now, prefillAhead: w.prefill, sequences: w.decodingSequences(w.effectiveRouters(now))}
+	return Ticket{Work: work, sentAt: now, prefillBacklog: w.prefill, sequences: w.decodingSequences(w.routerFactor(now))}
 }
 
 // FirstToken updates the estimated prefill speed when the worker delivers the first token of a
@@ -205,35 +209,36 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.estimator.observePrefill(t.prefillAhead, t.sequences, now.Sub(t.sentAt).Seconds())
+	w.estimator.observePrefill(t.prefillBacklog, t.sequences, now.Sub(t.sentAt).Seconds())
 }
 
 // BetweenTokens updates the estimated step time from the mean time between the tokens of an answer.
 func (w *Worker) BetweenTokens(mean time.Duration, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.estimator.observeStep(w.decodingSequences(w.effectiveRouters(now)), mean.Seconds())
+	w.estimator.observeStep(w.decodingSequences(w.routerFactor(now)), mean.Seconds())
 }
 
-// Finished removes a request that ended on the worker, whatever its outcome.
+// Finished removes the sequence and the pieces of a request that ended on the worker, whatever its
+// outcome. Its prefill tokens are not removed; the queue is assumed to have processed them.
 func (w *Worker) Finished(t Ticket, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := correction{at: now, pieces: t.Work.Pieces}
+	c := correction{at: now, freePieces: t.Work.Pieces}
 	if t.Work.Decode {
 		c.sequences = -1
 	}
 	w.addCorrection(c)
 }
 
-// Restarted resets the worker's load to zero: a worker that restarts loses all its requests. The
-// estimated speed is kept.
+// Restarted resets the worker's load to zero, as if that had been reported now: a worker that
+// restarts loses all its requests. The estimated speed is kept.
 func (w *Worker) Restarted(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.report = external.EngineLoad{FreePieces: w.report.TotalPieces, TotalPieces: w.report.TotalPieces}
 	w.corrections = w.corrections[:0]
-	w.sequence, w.sequences, w.pieces, w.prefill = 0, 0, 0, 0
+	w.reportSequence, w.sequences, w.freePieces, w.prefill = 0, 0, 0, 0
 	w.reportedAt, w.prefillAt = now, now
 }
 
@@ -241,7 +246,7 @@
 func (w *Worker) addCorrection(c correction) {
 	if len(w.corrections) >= maxCorrections {
 		a, b := w.corrections[0], w.corrections[1]
-		w.corrections[1] = correction{at: b.at, prefill: a.prefill + b.prefill, sequences: a.sequences + b.sequences, pieces: a.pieces + b.pieces}
+		w.corrections[1] = correction{at: b.at, prefill: a.prefill + b.prefill, sequences: a.sequences + b.sequences, freePieces: a.freePieces + b.freePieces}
 		w.corrections = append(w.corrections[:0], w.corrections[1:]...)
 	}
 	w.corrections = append(w.corrections, c)
@@ -251,9 +256,9 @@
 // applyCorrection adds a correction to the totals and advances the prefill queue to its time.
 func (w *Worker) applyCorrection(c correction) {
 	w.sequences += c.sequences
-	w.pieces += c.pieces
-	effectiveRouters := w.effectiveRouters(c.at)
-	w.prefill = w.queuedPrefill(c.at, w.decodingSequences(effectiveRouters)) + c.prefill*effectiveRouters
+	w.freePieces += c.freePieces
+	routerFactor := w.routerFactor(c.at)
+	w.prefill = w.queuedPrefill(c.at, w.decodingSequences(routerFactor)) + c.prefill*routerFactor
 	w.prefillAt = c.at
 }
 
@@ -267,13 +272,13 @@
 	if elapsed <= 0 {
 		return w.prefill
 	}
-	return max(0, w.prefill-elapsed/w.estimator.speed.prefillTokenSeconds(sequences))
+	return max(0, w.prefill-elapsed/w.estimator.speed.prefillSecondsPerTokenWhileDecoding(sequences))
 }
 
-// effectiveRouters returns the factor by which this router's own corrections are multiplied to
-// account for the other routers. It grows from 1 to the number of routers with the age of the
-// report, because the few requests sent right after a report say little about the other routers.
-func (w *Worker) effectiveRouters(at time.Time) float64 {
+// routerFactor returns the factor by which this router's own corrections are multiplied to account
+// for the other routers. It grows from 1 to the number of routers with the age of the report,
+// because the few requests sent right after a report say little about the other routers.
+func (w *Worker) routerFactor(at time.Time) float64 {
 	n := math.Float64frombits(w.routerCount.Load())
 	if n == 1 {
 		return 1
@@ -281,10 +286,10 @@
 	return 1 + (n-1)*min(1, max(0, float64(at.Sub(w.reportedAt))*(1e-9/fullExtrapolationSeconds)))
 }
 
-// decodingSequences returns the estimated number of sequences that the worker decodes or will decode
-// from its queue.
-func (w *Worker) decodingSequences(effectiveRouters float64) int {
-	n := w.report.Running + int(float64(w.sequences)*effectiveRouters)
+// decodingSequences returns the estimated number of sequences that the worker decodes or, unless it
+// only prefills, will decode from its queue.
+func (w *Worker) decodingSequences(routerFactor float64) int {
+	n := w.report.Running + int(float64(w.sequences)*routerFactor)
 	if w.role != external.RolePrefill {
 		n += w.report.Queued
 	}
@@ -294,12 +299,12 @@
 // Estimate returns the estimated load of the worker at the given time.
 func (w *Worker) Estimate(now time.Time) Estimate {
 	w.mu.Lock()
-	effectiveRouters := w.effectiveRouters(now)
-	sequences := w.decodingSequences(effectiveRouters)
+	routerFactor := w.routerFactor(now)
+	sequences := w.decodingSequences(routerFactor)
 	e := Estimate{
 		PrefillTokens: w.queuedPrefill(now, sequences),
 		Sequences:     sequences,
-		FreePieces:    max(0, w.report.FreePieces+int(float64(w.pieces)*effectiveRouters)),
+		FreePieces:    max(0, w.report.FreePieces+int(float64(w.freePieces)*routerFactor)),
 		TotalPieces:   w.report.TotalPieces,
 		Speed:         w.estimator.speed,
 		Known:         !w.reportedAt.IsZero(),
--- a/load/speed.go
+++ b/load/speed.go
@@ -15,8 +15,8 @@
 	// smoothingFactor is the weight of one observation in the moving averages; 0.05 averages over
 	// about 20 observations.
 	smoothingFactor = 0.05
-	// maxDriftFactor is how far an estimate may move from its initial value in either direction, so
-	// that a few outliers can't make a worker look idle or unusable.
+	// maxDriftFactor is the largest ratio between an estimate and its initial value, in either
+	// direction, so that a few outliers can't make a worker look idle or unusable.
 	maxDriftFactor = 8
 	// minObservedTokens is the minimum number of prefilled tokens for an observation to count. Below
 	// it, fixed costs dominate the time.
@@ -28,7 +28,7 @@
 type Speed struct {
 	// PrefillSecondsPerToken is the time to prefill one prompt token, without decode steps.
 	PrefillSecondsPerToken float64
-	// StepSeconds is the fixed time of a decode step.
+	// StepSeconds is the fixed part of the time of a decode step.
 	StepSeconds float64
 	// StepSecondsPerSequence is the additional time of a decode step per sequence in the batch.
 	StepSecondsPerSequence float64
@@ -57,9 +57,10 @@
 	return s.StepSeconds + s.StepSecondsPerSequence*float64(sequences)
 }
 
-// prefillTokenSeconds returns the time in seconds to prefill one token on an engine that also
-// decodes the given number of sequences: each step processes one chunk besides the sequences.
-func (s Speed) prefillTokenSeconds(sequences int) float64 {
+// prefillSecondsPerTokenWhileDecoding returns the time in seconds to prefill one token on an engine
+// that also decodes the given number of sequences. Each engine step prefills one chunk and decodes
+// one token of each sequence.
+func (s Speed) prefillSecondsPerTokenWhileDecoding(sequences int) float64 {
 	if sequences == 0 {
 		return s.PrefillSecondsPerToken
 	}
@@ -68,6 +69,8 @@
 
 // Estimate is the estimated load of a worker at one point in time.
 type Estimate struct {
+	// PrefillTokens is the number of queued prompt tokens, Sequences the number of sequences that
+	// are decoded or queued for decoding, and FreePieces the number of free KV cache pieces.
 	PrefillTokens float64
 	Sequences     int
 	FreePieces    int
@@ -82,7 +85,7 @@
 // FirstToken returns the expected time in seconds to the first token of another request with the
 // given number of prompt tokens to prefill.
 func (e *Estimate) FirstToken(tokens float64) float64 {
-	return (e.PrefillTokens+tokens)*e.Speed.prefillTokenSeconds(e.Sequences) + e.Speed.StepSeconds
+	return (e.PrefillTokens+tokens)*e.Speed.prefillSecondsPerTokenWhileDecoding(e.Sequences) + e.Speed.StepSeconds
 }
 
 // prefillSpreadSteps is the number of decode steps over which queued prefill is assumed to be
@@ -110,18 +113,20 @@
 
 func newEstimator(initial Speed) estimator { return estimator{initial: initial, speed: initial} }
 
-// observePrefill takes the time in seconds in which an engine with the given number of sequences
-// prefilled tokensAhead tokens. The part that decode steps take is subtracted.
-func (e *estimator) observePrefill(tokensAhead float64, sequences int, elapsed float64) {
-	if tokensAhead < minObservedTokens || elapsed <= 0 {
+// observePrefill updates the prefill speed from the time in seconds in which an engine that decoded
+// the given number of sequences prefilled the given number of tokens. The part that decode steps
+// take is subtracted.
+func (e *estimator) observePrefill(tokens float64, sequences int, elapsed float64) {
+	if tokens < minObservedTokens || elapsed <= 0 {
 		return
 	}
-	perToken := elapsed/tokensAhead - (e.speed.prefillTokenSeconds(sequences) - e.speed.PrefillSecondsPerToken)
+	perToken := elapsed/tokens - (e.speed.prefillSecondsPerTokenWhileDecoding(sequences) - e.speed.PrefillSecondsPerToken)
 	e.speed.PrefillSecondsPerToken = updateAverage(e.speed.PrefillSecondsPerToken, perToken, e.initial.PrefillSecondsPerToken)
 }
 
-// observeStep takes the observed duration of a decode step. It scales the fixed part and the part
-// per sequence by the same factor, because one observation can't distinguish them.
+// observeStep updates the step times from the duration in seconds of a decode step with the given
+// number of sequences. It scales the fixed part and the part per sequence by the same factor,
+// because one observation can't distinguish them.
 func (e *estimator) observeStep(sequences int, seconds float64) {
 	if seconds <= 0 {
 		return
@@ -138,5 +143,5 @@
 	return old + smoothingFactor*(observed-old)
 }
 
-// DefaultSpeed returns the speed assumed of a worker that hasn't been observed.
+// DefaultSpeed returns the Speed with all default values.
 func DefaultSpeed() Speed { return Speed{}.withDefaults() }
