--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,4 +1,5 @@
-// Package retry limits retries to a share of the first attempts and computes the waits between them.
+// Package retry limits retries to a share of the first attempts and computes the waits before them.
+// Budget limits by a token bucket, Window by a sliding window.
 package retry
 
 import (
@@ -25,8 +26,8 @@
 	MinPerSecond float64
 	// Burst is the maximum number of retries that can accumulate.
 	Burst float64
-	// Base is the upper bound of the wait before the first retry. The bound doubles with each
-	// further retry up to Max.
+	// Base is the upper bound of the random part of the wait before the first retry. The bound
+	// doubles with each further retry up to Max.
 	Base time.Duration
 	Max  time.Duration
 }
@@ -60,13 +61,13 @@
 	refilledAt time.Time
 }
 
-// NewBudget returns a budget that initially holds the retries of one second without traffic.
+// NewBudget returns a budget that initially holds MinPerSecond retries, at most Burst.
 func NewBudget(cfg Config) *Budget {
 	cfg = cfg.withDefaults()
 	return &Budget{cfg: cfg, tokens: min(cfg.Burst, cfg.MinPerSecond)}
 }
 
-// Fresh records a first attempt.
+// Fresh records a first attempt, which adds Share retries to the budget.
 func (b *Budget) Fresh(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,12 +97,12 @@
 	}
 }
 
-// Backoff returns the wait before a retry; attempt 1 is the first retry. The wait is retryAfter,
+// Backoff returns the wait before a retry; retry is 1 for the first one. The wait is retryAfter,
 // which the worker that refused the request asked for, plus a uniformly random time up to a bound
 // that doubles with each retry. The random part spreads out requests that failed at the same time.
-func (b *Budget) Backoff(attempt int, retryAfter time.Duration, rnd *rand.Rand) time.Duration {
+func (b *Budget) Backoff(retry int, retryAfter time.Duration, rnd *rand.Rand) time.Duration {
 	bound := b.cfg.Base
-	for i := 1; i < attempt && bound < b.cfg.Max; i++ {
+	for i := 1; i < retry && bound < b.cfg.Max; i++ {
 		bound *= 2
 	}
 	bound = min(bound, b.cfg.Max)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -19,17 +19,17 @@
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := retry.NewBudget(retry.Config{})
-		now, fresh, taken := start, 0, 0
+		now, firstAttempts, taken := start, 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "gap")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "fresh") {
 				b.Fresh(now)
-				fresh++
+				firstAttempts++
 			} else if b.Take(now) {
 				taken++
 			}
 		}
-		bound := 1 + retry.DefaultShare*float64(fresh) + retry.DefaultMinPerSecond*now.Sub(start).Seconds()
+		bound := 1 + retry.DefaultShare*float64(firstAttempts) + retry.DefaultMinPerSecond*now.Sub(start).Seconds()
 		if float64(taken) > bound+1e-6 {
 			t.Fatalf("%d retries, bound %.2f", taken, bound)
 		}
@@ -50,8 +50,8 @@
 	b := retry.NewBudget(retry.Config{})
 	rnd := rand.New(rand.NewPCG(1, 2))
 	seen := map[time.Duration]bool{}
-	for attempt := 1; attempt < 100; attempt++ {
-		d := b.Backoff(attempt, time.Second, rnd)
+	for n := 1; n < 100; n++ {
+		d := b.Backoff(n, time.Second, rnd)
 		assert.GreaterOrEqual(t, d, time.Second)
 		assert.LessOrEqual(t, d, time.Second+retry.DefaultMax)
 		seen[d] = true
--- a/retry/window.go
+++ b/retry/window.go
@@ -12,23 +12,25 @@
 	historyBuckets = 2*windowBuckets + 2
 )
 
-// Window is a retry budget that allows retries as a share of the first attempts in a sliding window.
-// Each process counts only its own first attempts and retries. All processes together then stay
-// within the share too, without communication. Window is safe for concurrent use.
+// Window is a retry budget that allows retries as a share of the first attempts in a sliding
+// window. It is safe for concurrent use.
 //
-// A window at any position holds at most share x first attempts + slack retries. The first attempts
-// are those of this window, of the previous window or of the window that begins half a window
-// earlier, whichever are most. Partial buckets count in full for retries and not at all for first
-// attempts, so that the bound also holds for windows that don't start at a bucket boundary.
+// In each window, wherever it begins, at most share x N + slack retries are allowed. N is the
+// largest number of first attempts in one of three windows: this one, the previous one, and the one
+// that begins half a window earlier. Each process counts only its own first attempts and retries,
+// without communication; the bounds of all processes, slack included, add up.
+//
+// Partial buckets count in full for retries and not at all for first attempts, so that the bound
+// also holds for windows that don't start at a bucket boundary.
 type Window struct {
 	share        float64
 	slack        float64
 	bucketLength time.Duration
 
-	mu      sync.Mutex
-	fresh   [historyBuckets]int
-	retries [historyBuckets]int
-	current int64
+	mu            sync.Mutex
+	firstAttempts [historyBuckets]int
+	retries       [historyBuckets]int
+	current       int64
 }
 
 // NewWindow returns a budget for windows of the given length. It allows share retries per first
@@ -41,7 +43,7 @@
 func (w *Window) Fresh(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fresh[w.advance(now)]++
+	w.firstAttempts[w.advance(now)]++
 }
 
 // Take reports whether a retry is allowed. If so, the retry is counted.
@@ -56,7 +58,8 @@
 	return true
 }
 
-// Left returns the number of retries that the budget allows now.
+// Left returns the number of retries that the budget allows now, which may be fractional. Take
+// needs at least 1.
 func (w *Window) Left(now time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,28 +67,29 @@
 	return w.remaining()
 }
 
-// remaining returns the smallest allowance of all windows that contain the current time. Future
-// first attempts are not counted on.
+// remaining returns the smallest number of further retries that any window containing the current
+// time allows. First attempts that may still come are not counted.
 func (w *Window) remaining() float64 {
-	var freshSums [historyBuckets + 1]int // freshSums[n] counts the first attempts in the n newest buckets
+	var firstAttemptSums [historyBuckets + 1]int // firstAttemptSums[n] counts the first attempts in the n newest buckets
 	for age := range historyBuckets {
-		freshSums[age+1] = freshSums[age] + w.fresh[w.index(age)]
+		firstAttemptSums[age+1] = firstAttemptSums[age] + w.firstAttempts[w.index(age)]
 	}
-	// countBetween returns the first attempts in the buckets of age from up to, but not including, to.
-	countBetween := func(from, to int) int {
-		from, to = max(from, 0), min(to, historyBuckets)
-		return max(0, freshSums[to]-freshSums[min(from, to)])
+	// countBetween returns the number of first attempts in the buckets with minAge <= age < endAge.
+	countBetween := func(minAge, endAge int) int {
+		minAge, endAge = max(minAge, 0), min(endAge, historyBuckets)
+		return max(0, firstAttemptSums[endAge]-firstAttemptSums[min(minAge, endAge)])
 	}
+	// oldest is the age in buckets of the window's oldest bucket.
 	least, retries := w.slack, 0
-	for start := range windowBuckets + 1 {
-		retries += w.retries[w.index(start)]
-		requests := max(
-			countBetween(0, start),
-			countBetween(start+1, start+windowBuckets),
-			countBetween(start-windowBuckets/2+1, start+windowBuckets/2),
+	for oldest := range windowBuckets + 1 {
+		retries += w.retries[w.index(oldest)]
+		maxFirstAttempts := max(
+			countBetween(0, oldest),
+			countBetween(oldest+1, oldest+windowBuckets),
+			countBetween(oldest-windowBuckets/2+1, oldest+windowBuckets/2),
 		)
-		allowance := w.share*float64(requests) + w.slack - float64(retries)
-		if start == 0 || allowance < least {
+		allowance := w.share*float64(maxFirstAttempts) + w.slack - float64(retries)
+		if oldest == 0 || allowance < least {
 			least = allowance
 		}
 	}
@@ -104,7 +108,7 @@
 	for n := 0; w.current < current && n <= historyBuckets; n++ {
 		w.current++
 		i := w.index(0)
-		w.fresh[i], w.retries[i] = 0, 0
+		w.firstAttempts[i], w.retries[i] = 0, 0
 	}
 	w.current = max(w.current, current)
 	return w.index(0)
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,9 +10,9 @@
 	_ "github.com/quetzallug/quetzallug/internal/rapidseed" // fixes the seed
 )
 
-// Guards against a window, at any position, with more retries than its share. As defined at Window,
-// the share is of the first attempts in that window, in the previous one or in the one that begins
-// half a window earlier.
+// Guards against a window, at any position, with more retries than its share and the slack. As
+// defined at Window, the share is of the first attempts in that window, in the previous one or in
+// the one that begins half a window earlier.
 func TestWindowHoldsTheShareInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
@@ -20,12 +20,12 @@
 		slack := rapid.Float64Range(0, 5).Draw(t, "slack")
 		w := NewWindow(length, share, slack)
 		now := time.Unix(1000, 0)
-		var fresh, retries []time.Time
+		var firstAttempts, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "fresh") {
 				w.Fresh(now)
-				fresh = append(fresh, now)
+				firstAttempts = append(firstAttempts, now)
 			} else if w.Take(now) {
 				retries = append(retries, now)
 			}
@@ -39,9 +39,9 @@
 			return n
 		}
 		for _, start := range retries {
-			requests := max(count(fresh, start), count(fresh, start.Add(-length)), count(fresh, start.Add(-length/2)))
-			if got := count(retries, start); float64(got) > share*float64(requests)+slack {
-				t.Fatalf("%d retries in the window from %s with %d first attempts", got, start, requests)
+			maxFirstAttempts := max(count(firstAttempts, start), count(firstAttempts, start.Add(-length)), count(firstAttempts, start.Add(-length/2)))
+			if got := count(retries, start); float64(got) > share*float64(maxFirstAttempts)+slack {
+				t.Fatalf("%d retries in the window from %s with %d first attempts", got, start, maxFirstAttempts)
 			}
 		}
 	})
