--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -84,8 +84,8 @@
 // Len returns the number of workers in the snapshot.
 func (f *Fleet) Len() int { return len(f.workers) }
 
-// minPerRole is the minimum number of workers of each role in a subset, if the fleet has as many, so
-// that requests find both prefill and decode engines.
+// minPerRole is the minimum number of workers of each role in a subset, if the fleet has as many,
+// so that requests find workers to prefill and workers to decode.
 const minPerRole = 6
 
 // subset returns the workers that this router uses for a model. If more than limit workers serve the
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// BlockTokens is the number of tokens in a prefix block.
+	// BlockTokens is the assumed number of tokens in a prefix block, which is BlockTokens x
+	// bytesPerToken bytes of the prompt.
 	BlockTokens = 256
 	// bytesPerToken is the assumed mean size of a token, since the router has no tokenizer.
 	bytesPerToken = 4
@@ -18,8 +19,9 @@
 	MaxBlocks = 16
 )
 
-// BlockHashes appends the hashes of the prompt's complete leading blocks to dst, up to MaxBlocks.
-// Each hash covers the block and all blocks before it, so that equal hashes mean equal prefixes.
+// BlockHashes appends the hashes of the prompt's complete leading blocks to dst and returns it. It
+// stops when dst holds MaxBlocks hashes. Each hash covers the block and all blocks before it, so
+// that equal hashes mean equal prefixes, barring collisions.
 func BlockHashes(dst []uint64, prompt string) []uint64 {
 	const size = BlockTokens * bytesPerToken
 	h := uint64(0)
@@ -33,10 +35,10 @@
 
 const (
 	// prefixSlots is the number of slots in the prefix table, which takes about 1 MB. Prefixes with
-	// the same slot replace each other, which only causes missed cache hits.
+	// the same slot replace each other, which only means that some cached prefixes are not found.
 	prefixSlots = 1 << 14
-	// prefixWays is the number of workers recorded per prefix.
-	prefixWays = 3
+	// maxPrefixHolders is the maximum number of workers recorded per prefix.
+	maxPrefixHolders = 3
 	// prefixTTL is how long a prefix is assumed to stay cached after the last event about it.
 	prefixTTL = 5 * time.Minute
 	// sentConfidence is the assumed probability that a worker has cached a prefix that this router
@@ -50,9 +52,9 @@
 	gapConfidenceFactor = 0.5
 )
 
-// prefixWay records that a worker, given by its hash, has probably cached a prefix. gaps is the
+// prefixHolder records that a worker, given by its hash, has probably cached a prefix. gaps is the
 // number of gaps in the worker's events at that time.
-type prefixWay struct {
+type prefixHolder struct {
 	worker     uint64
 	recordedAt time.Time
 	confidence float32
@@ -61,8 +63,8 @@
 
 // prefixSlot holds the workers that have probably cached one prefix.
 type prefixSlot struct {
-	prefix uint64
-	ways   [prefixWays]prefixWay
+	prefix  uint64
+	holders [maxPrefixHolders]prefixHolder
 }
 
 // prefixTable records which workers have probably cached which prefixes. Cache events arrive late and
@@ -84,20 +86,20 @@
 	return &prefixTable{slots: make([]prefixSlot, prefixSlots), streams: make(map[uint64]*eventStream)}
 }
 
-// record stores that a worker has cached a prefix. It replaces the worker's own way in the slot or
-// else the oldest. The caller holds mu.
+// record stores that a worker has cached a prefix. It replaces the worker's own entry in the slot,
+// or else the oldest entry. The caller holds mu.
 func (t *prefixTable) record(prefix, worker uint64, confidence float32, now time.Time) {
 	s := &t.slots[mix64(prefix)%prefixSlots]
 	if s.prefix != prefix {
 		*s = prefixSlot{prefix: prefix}
 	}
 	target := 0
-	for i := range s.ways {
-		if s.ways[i].worker == worker {
+	for i := range s.holders {
+		if s.holders[i].worker == worker {
 			target = i
 			break
 		}
-		if s.ways[i].recordedAt.Before(s.ways[target].recordedAt) {
+		if s.holders[i].recordedAt.Before(s.holders[target].recordedAt) {
 			target = i
 		}
 	}
@@ -105,7 +107,7 @@
 	if st := t.streams[worker]; st != nil {
 		gaps = st.gaps
 	}
-	s.ways[target] = prefixWay{worker: worker, recordedAt: now, confidence: confidence, gaps: gaps}
+	s.holders[target] = prefixHolder{worker: worker, recordedAt: now, confidence: confidence, gaps: gaps}
 }
 
 // evict removes a worker from the workers that have cached a prefix. The caller holds mu.
@@ -114,15 +116,15 @@
 	if s.prefix != prefix {
 		return
 	}
-	for i := range s.ways {
-		if s.ways[i].worker == worker {
-			s.ways[i] = prefixWay{}
+	for i := range s.holders {
+		if s.holders[i].worker == worker {
+			s.holders[i] = prefixHolder{}
 		}
 	}
 }
 
-// observe applies cache events of a worker in the order in which they were received. A jump of the
-// sequence number, in either direction, counts as a gap.
+// observe applies cache events of a worker in the order in which they were received. A skipped or
+// lower sequence number counts as a gap. An event with the same number as the last one is ignored.
 func (t *prefixTable) observe(worker uint64, events []external.CacheEvent, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,9 +149,9 @@
 	}
 }
 
-// estimateCached raises cachedTokens[i] to the expected number of prompt tokens that candidate i has
+// estimateCached raises cachedTokens[i] to the expected number of prompt tokens that worker i has
 // cached. The expectation falls with the age of an entry and with each later gap in the events.
-func (t *prefixTable) estimateCached(blocks []uint64, candidates []*Worker, cachedTokens []float64, now time.Time) {
+func (t *prefixTable) estimateCached(blocks []uint64, workers []*Worker, cachedTokens []float64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	matched := 0
@@ -159,19 +161,19 @@
 			continue
 		}
 		matched++
-		for _, way := range s.ways {
-			age := now.Sub(way.recordedAt)
-			if way.worker == 0 || age > prefixTTL {
+		for _, holder := range s.holders {
+			age := now.Sub(holder.recordedAt)
+			if holder.worker == 0 || age > prefixTTL {
 				continue
 			}
-			expected := float64(n*BlockTokens) * float64(way.confidence) * (1 - float64(age)/float64(prefixTTL))
-			if st := t.streams[way.worker]; st != nil {
-				for range min(st.gaps-way.gaps, 4) {
+			expected := float64(n*BlockTokens) * float64(holder.confidence) * (1 - float64(age)/float64(prefixTTL))
+			if st := t.streams[holder.worker]; st != nil {
+				for range min(st.gaps-holder.gaps, 4) {
 					expected *= gapConfidenceFactor
 				}
 			}
-			for i, c := range candidates {
-				if c.idHash == way.worker {
+			for i, w := range workers {
+				if w.idHash == holder.worker {
 					cachedTokens[i] = max(cachedTokens[i], expected)
 				}
 			}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,7 +1,8 @@
-// Package routing chooses the engines of a request: the one that prefills the prompt and the one
-// that decodes the answer. A router considers a stable subset of the workers that serve the model,
-// estimates the cost of each pair, and prefers workers that have cached a prefix of the prompt. The
-// package does no I/O and takes the current time as an argument.
+// Package routing chooses the workers of a request: the one that prefills the prompt and the one
+// that decodes the answer, which may be the same. Each worker runs one engine, so an engine in the
+// reasons of decisions means its worker. A router considers a stable subset of the workers that
+// serve the model, estimates the cost of each pair, and prefers workers that have cached a prefix
+// of the prompt. The package does no I/O and takes the current time as an argument.
 package routing
 
 import (
@@ -31,7 +32,7 @@
 	// Subset is the maximum number of workers that the router uses per model. If more serve the
 	// model, it uses a stable subset of this size.
 	Subset int
-	// MaxShortPrefill is the maximum number of prompt tokens that a decode engine prefills itself.
+	// MaxShortPrefill is the maximum number of prompt tokens that a decode worker prefills itself.
 	MaxShortPrefill int
 	// MaxReportAge is the age of a worker's load report beyond which the worker should be probed.
 	MaxReportAge time.Duration
@@ -41,11 +42,13 @@
 	// RemoteLatency to one between data centres. Bandwidths are in bytes per second.
 	Bandwidth, RemoteBandwidth float64
 	Latency, RemoteLatency     time.Duration
-	// HomeLoadBound is the maximum prefill queue of a prefix's home worker, relative to the mean
-	// queue. If the queue is longer, another worker becomes the home of the prefix.
+	// The home worker of a prefix is the one that rendezvous hashing of its first block selects.
+	// HomeLoadBound is the maximum prefill queue of a home worker, as a multiple of the mean queue
+	// with this prompt. If its queue is longer, the worker with the next highest hash score becomes
+	// the home of the prefix.
 	HomeLoadBound float64
-	// Interference is the weight in the cost of the delay that a prefill causes to each sequence
-	// decoded on the same engine.
+	// Interference is the weight, in the cost of a choice, of the delay that a prefill causes to
+	// each sequence decoded on the same worker.
 	Interference float64
 	// Seed selects the router's subsets. It should differ between routers and stay the same for one
 	// router.
@@ -107,13 +110,14 @@
 // maxProbes is the maximum number of workers to probe per decision.
 const maxProbes = 2
 
-// Decision is the result of routing one request. It refers to no part of the fleet but the workers
-// that it names, so that it can be logged as one line.
+// Decision is the result of routing one request. It can be logged as one line: it refers only to
+// the chosen workers and those to probe, not to the fleet.
 type Decision struct {
-	// Prefill and Decode are the chosen workers, which are the same if one engine does both parts.
+	// Prefill and Decode are the chosen workers, which are the same if one worker does both parts.
 	// Both are nil if no worker can take the request.
 	Prefill, Decode *Worker
-	// Considered is the number of candidate workers.
+	// Considered is the number of workers in the router's subset, without those that the request
+	// excludes.
 	Considered int
 	Reason     string
 	// PrefillTokens is the expected number of prompt tokens to prefill after cache hits.
@@ -126,7 +130,7 @@
 	Probe [maxProbes]*Worker
 }
 
-// Single reports whether one engine both prefills and decodes.
+// Single reports whether one worker both prefills and decodes.
 func (d *Decision) Single() bool { return d.Prefill != nil && d.Prefill == d.Decode }
 
 // Router chooses the workers of requests. It is safe for concurrent use.
@@ -155,8 +159,8 @@
 	r.prefix.observe(w.idHash, events, now)
 }
 
-// Sent records that the request was sent to the workers of the decision, whose prefill worker will
-// therefore cache its prefix.
+// Sent records that the prefill worker of the decision has probably cached the prefix of the
+// request, since the request was sent there.
 func (r *Router) Sent(q *Request, d *Decision, now time.Time) {
 	if d.Prefill == nil {
 		return
@@ -168,7 +172,7 @@
 	}
 }
 
-// Candidates returns the workers that the router uses for a model.
+// Candidates returns the subset of the workers that the router uses for a model.
 func (r *Router) Candidates(model string, f *Fleet) []*Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,19 +188,21 @@
 	return s
 }
 
-// Choose returns the decision with the lowest expected cost for the request.
+// Choose returns the decision with the lowest expected cost for the request, or one without workers
+// if none can take it. The cost is in seconds: the expected times plus the penalties of
+// latenessWeight, fullWorkerPenaltySeconds and Config.Interference.
 func (r *Router) Choose(q *Request, f *Fleet, now time.Time) Decision {
-	candidates := r.Candidates(q.Model, f)
+	subset := r.Candidates(q.Model, f)
 	s := r.scratchPool.Get().(*scratch)
 	defer r.scratchPool.Put(s)
-	s.prepare(r, q, candidates, now)
+	s.prepare(r, q, subset, now)
 	d := Decision{Considered: len(s.candidates), Reason: ReasonNoWorker}
-	s.findBestDecodes(q)
-	best := math.Inf(1)
+	s.findCheapestDecoders(q)
+	bestCost := math.Inf(1)
 	for i := range s.candidates {
-		s.evaluatePrefill(r, q, i, &best)
+		s.evaluatePrefill(r, q, i, &bestCost)
 	}
-	if !math.IsInf(best, 1) {
+	if !math.IsInf(bestCost, 1) {
 		s.fillDecision(q, &d)
 	}
 	d.Probe = s.selectProbes(r.cfg.MaxReportAge)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -105,14 +105,14 @@
 		ejected := rapid.IntRange(0, n-1).Draw(t, "gone")
 		ws[ejected].Ejected = true
 		after := subsetIDs(ws)
-		moved := 0
+		dropped := 0
 		for id := range before {
 			if !after[id] {
-				moved++
+				dropped++
 			}
 		}
 		// The ejected worker and at most two that are exchanged to keep minPerRole workers per role.
-		require.LessOrEqual(t, moved, 3)
+		require.LessOrEqual(t, dropped, 3)
 	})
 }
 
--- a/routing/score.go
+++ b/routing/score.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// latenessWeight is the cost of each second by which a latency target is exceeded, so that a
-	// choice within its targets is preferred to one that is faster overall but misses a target.
+	// latenessWeight is the cost, in seconds, of each second by which a latency target is exceeded,
+	// so that a choice within its targets is preferred to one that is faster overall but misses a
+	// target.
 	latenessWeight = 20
-	// fullEnginePenaltySeconds is added to the cost of an engine without enough free KV cache pieces,
-	// where the request would wait until others finish.
-	fullEnginePenaltySeconds = 5
-	// homeCachedShare is the share of a prefix that is assumed to be cached on its home worker if
-	// nothing else is known.
+	// fullWorkerPenaltySeconds is added to the cost of a worker without enough free KV cache
+	// pieces, where the request would wait until others finish.
+	fullWorkerPenaltySeconds = 5
+	// homeCachedShare is the share of a prefix that is assumed to be cached at least on its home
+	// worker.
 	homeCachedShare = 0.25
 	// minPrefillTokens is the number of prompt tokens that are prefilled even if all are cached.
 	minPrefillTokens = 1
@@ -26,14 +27,14 @@
 type candidate struct {
 	worker        *Worker
 	estimate      load.Estimate
-	betweenTokens float64
-	cachedTokens  float64
+	betweenTokens float64 // seconds between tokens of the answer
+	cachedTokens  float64 // expected number of prompt tokens that the worker has cached
 	decodeCost    float64 // cost in seconds of decoding the answer
 }
 
-// enginePair is a choice of prefill and decode engine, given by index, with the expected times in
+// workerPair is a choice of prefill and decode worker, given by index, with the expected times in
 // seconds to the first token and of the KV cache transfer.
-type enginePair struct {
+type workerPair struct {
 	prefill, decode      int
 	firstToken, transfer float64
 }
@@ -44,17 +45,19 @@
 	candidates   []candidate
 	workers      []*Worker
 	cachedTokens []float64
-	home         int
-	// Latency targets, and KV cache transfer times within and between data centres, in seconds.
+	homeIndex    int // index of the prefix's home worker, or -1
+	// Latency targets in seconds.
 	firstTarget, betweenTarget float64
-	transferSeconds            [2]float64
-	chosen                     enginePair
-	// bestDecode is the index of the cheapest decode engine in each data centre, or -1.
-	bestDecode [maxDataCentres]int
+	// KV cache transfer times in seconds: [0] within a data centre, [1] between data centres.
+	transferSeconds [2]float64
+	chosen          workerPair
+	// cheapestDecoder is the index of the cheapest worker for decoding in each data centre, or -1.
+	cheapestDecoder [maxDataCentres]int
 }
 
-// prepare resets the buffers and collects the candidates, their load and their cached prefixes.
-func (s *scratch) prepare(r *Router, q *Request, candidates []*Worker, now time.Time) {
+// prepare resets the buffers and collects the candidates from the subset, their load and their
+// cached prefixes.
+func (s *scratch) prepare(r *Router, q *Request, subset []*Worker, now time.Time) {
 	s.candidates, s.workers = s.candidates[:0], s.workers[:0]
 	s.firstTarget, s.betweenTarget = q.FirstToken.Seconds(), q.BetweenTokens.Seconds()
 	bytes := float64(q.PromptTokens) * r.cfg.KVTokenBytes
@@ -62,14 +65,14 @@
 		bytes/r.cfg.Bandwidth + r.cfg.Latency.Seconds(),
 		bytes/r.cfg.RemoteBandwidth + r.cfg.RemoteLatency.Seconds(),
 	}
-	for _, w := range candidates {
+	for _, w := range subset {
 		if len(q.Exclude) > 0 && slices.Contains(q.Exclude, w.ID) {
 			continue
 		}
 		s.workers = append(s.workers, w)
 		s.candidates = append(s.candidates, candidate{worker: w, estimate: w.Load.Estimate(now)})
 	}
-	s.home = -1
+	s.homeIndex = -1
 	if len(q.Blocks) == 0 {
 		return
 	}
@@ -104,20 +107,20 @@
 			continue
 		}
 		if score := mix64(c.worker.idHash ^ firstBlock); score >= topScore {
-			topScore, s.home = score, i
+			topScore, s.homeIndex = score, i
 		}
 	}
-	if s.home >= 0 {
-		c := &s.candidates[s.home]
+	if s.homeIndex >= 0 {
+		c := &s.candidates[s.homeIndex]
 		c.cachedTokens = max(c.cachedTokens, homeCachedShare*float64(min(len(q.Blocks)*BlockTokens, q.PromptTokens-minPrefillTokens)))
 	}
 }
 
-// findBestDecodes computes the cost of decoding on each candidate and finds the cheapest decode engine
-// in each data centre.
-func (s *scratch) findBestDecodes(q *Request) {
-	for i := range s.bestDecode {
-		s.bestDecode[i] = -1
+// findCheapestDecoders computes the cost, in seconds, of decoding on each candidate and finds the
+// cheapest worker for decoding in each data centre.
+func (s *scratch) findCheapestDecoders(q *Request) {
+	for i := range s.cheapestDecoder {
+		s.cheapestDecoder[i] = -1
 	}
 	pieces := q.Pieces()
 	for i := range s.candidates {
@@ -125,18 +128,19 @@
 		c.betweenTokens = c.estimate.BetweenTokens()
 		c.decodeCost = float64(q.OutputTokens)*c.betweenTokens + latenessCost(c.betweenTokens, s.betweenTarget)*float64(max(q.OutputTokens, 1))
 		if !c.estimate.Fits(pieces) {
-			c.decodeCost += fullEnginePenaltySeconds
+			c.decodeCost += fullWorkerPenaltySeconds
 		}
 		if c.worker.Role == external.RolePrefill {
 			continue
 		}
-		if n := s.bestDecode[c.worker.dcIndex]; n < 0 || c.decodeCost < s.candidates[n].decodeCost {
-			s.bestDecode[c.worker.dcIndex] = i
+		if n := s.cheapestDecoder[c.worker.dcIndex]; n < 0 || c.decodeCost < s.candidates[n].decodeCost {
+			s.cheapestDecoder[c.worker.dcIndex] = i
 		}
 	}
 }
 
-// latenessCost returns the additional cost of exceeding a latency target. A target of zero means none.
+// latenessCost returns the additional cost, in seconds, of exceeding a latency target. A target of
+// zero means none.
 func latenessCost(seconds, target float64) float64 {
 	if target <= 0 || seconds <= target {
 		return 0
@@ -144,9 +148,10 @@
 	return latenessWeight * (seconds - target)
 }
 
-// evaluatePrefill compares the choices that prefill on candidate i with the best one so far: decoding
-// on the same engine, and on the cheapest decode engine of each data centre.
-func (s *scratch) evaluatePrefill(r *Router, q *Request, i int, best *float64) {
+// evaluatePrefill evaluates the choices that prefill on candidate i, and keeps the cheapest so far
+// in s.chosen: decoding on the same worker, and on the cheapest worker for decoding of each data
+// centre.
+func (s *scratch) evaluatePrefill(r *Router, q *Request, i int, bestCost *float64) {
 	c := &s.candidates[i]
 	tokens := float64(q.PromptTokens) - c.cachedTokens
 	if c.worker.Role == external.RoleDecode && tokens > float64(r.cfg.MaxShortPrefill) {
@@ -159,23 +164,23 @@
 	cost := firstToken + latenessCost(firstToken, s.firstTarget)
 	prefillSeconds := tokens * c.estimate.Speed.PrefillSecondsPerToken
 	if c.worker.Role != external.RolePrefill {
-		// The prefill delays each sequence that the engine decodes.
+		// The prefill delays each sequence that the worker decodes.
 		cost += r.cfg.Interference * prefillSeconds * float64(c.estimate.Sequences)
-		s.evaluatePair(i, i, firstToken, cost, best)
+		s.evaluatePair(i, i, firstToken, cost, bestCost)
 	}
 	if c.worker.Role == external.RoleDecode {
 		return
 	}
-	for _, n := range s.bestDecode {
+	for _, n := range s.cheapestDecoder {
 		if n >= 0 && n != i {
-			s.evaluatePair(i, n, firstToken, cost, best)
+			s.evaluatePair(i, n, firstToken, cost, bestCost)
 		}
 	}
 }
 
-// evaluatePair compares one pair with the best one so far, and keeps it if its cost is lower. The
-// given cost covers the prefill.
-func (s *scratch) evaluatePair(prefillIndex, decodeIndex int, firstToken, cost float64, best *float64) {
+// evaluatePair keeps a pair in s.chosen if it costs less than bestCost. The given cost is that of
+// the prefill alone. Costs and firstToken are in seconds.
+func (s *scratch) evaluatePair(prefillIndex, decodeIndex int, firstToken, cost float64, bestCost *float64) {
 	prefill, decode := &s.candidates[prefillIndex], &s.candidates[decodeIndex]
 	transfer := 0.0
 	if prefillIndex != decodeIndex {
@@ -185,11 +190,11 @@
 		}
 	}
 	cost += transfer + decode.decodeCost
-	if cost >= *best {
+	if cost >= *bestCost {
 		return
 	}
-	*best = cost
-	s.chosen = enginePair{prefill: prefillIndex, decode: decodeIndex, firstToken: firstToken, transfer: transfer}
+	*bestCost = cost
+	s.chosen = workerPair{prefill: prefillIndex, decode: decodeIndex, firstToken: firstToken, transfer: transfer}
 }
 
 // fillDecision writes the chosen pair into the decision.
@@ -204,7 +209,7 @@
 	switch {
 	case prefillIndex == decodeIndex && prefill.worker.Role == external.RoleDecode:
 		d.Reason = ReasonShortPrefill
-	case prefillIndex == s.home && prefill.cachedTokens > 0:
+	case prefillIndex == s.homeIndex && prefill.cachedTokens > 0:
 		d.Reason = ReasonHomeEngine
 	case prefill.cachedTokens > 0:
 		d.Reason = ReasonPrefixCached
