--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -7,25 +7,27 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
+// loggedEvent is a cache event with the time at which it happened.
 type loggedEvent struct {
 	external.CacheEvent
 	at time.Time
 }
 
-// prefixCache is an LRU cache of prompt blocks. The engine's mutex guards it.
+// prefixCache is an LRU cache of prompt blocks. It is guarded by Engine.mu.
 type prefixCache struct {
-	limit  int
-	blocks map[uint64]*list.Element
-	recent *list.List // of uint64, the most recently used in front
-	events []loggedEvent
-	next   uint64
+	limit        int
+	blocks       map[uint64]*list.Element
+	recent       *list.List // of uint64 block hashes, most recently used first
+	events       []loggedEvent
+	lastSequence uint64
 }
 
 func newPrefixCache(limit int) *prefixCache {
 	return &prefixCache{limit: limit, blocks: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// match returns the number of leading blocks that are cached and marks them as used.
+// match returns the number of leading blocks that are cached and moves them to the front of the LRU
+// list.
 func (c *prefixCache) match(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
@@ -39,8 +41,8 @@
 	return n
 }
 
-// store adds blocks and evicts the least recently used ones over the limit. Blocks are added
-// from the last to the first, so that eviction takes the end of a prompt before its start.
+// store adds blocks and evicts the least recently used ones beyond the limit. Blocks are added from
+// last to first, so that the end of a prompt is evicted before its start.
 func (c *prefixCache) store(hashes []uint64) {
 	for i := min(len(hashes), c.limit) - 1; i >= 0; i-- {
 		h := hashes[i]
@@ -49,19 +51,19 @@
 			continue
 		}
 		c.blocks[h] = c.recent.PushFront(h)
-		c.log(h, false)
+		c.appendEvent(h, false)
 	}
 	for c.recent.Len() > c.limit {
 		h := c.recent.Remove(c.recent.Back()).(uint64)
 		delete(c.blocks, h)
-		c.log(h, true)
+		c.appendEvent(h, true)
 	}
 }
 
-func (c *prefixCache) log(prefix uint64, evicted bool) {
-	c.next++
+func (c *prefixCache) appendEvent(prefix uint64, evicted bool) {
+	c.lastSequence++
 	c.events = append(c.events, loggedEvent{
-		CacheEvent: external.CacheEvent{Sequence: c.next, Prefix: prefix, Evicted: evicted},
+		CacheEvent: external.CacheEvent{Sequence: c.lastSequence, Prefix: prefix, Evicted: evicted},
 		at:         time.Now(),
 	})
 	if len(c.events) >= 2*eventLogLength {
@@ -69,9 +71,9 @@
 	}
 }
 
-// visible returns the events after a sequence number that are at least delay old. The gap'th
-// part of them is lost, chosen by seed and sequence number.
-func (c *prefixCache) visible(after uint64, delay time.Duration, gap int, seed uint64) []external.CacheEvent {
+// eventsAfter returns the events after a sequence number that are at least delay old. About one in
+// gap events is omitted; which ones depends on the seed and the sequence number only.
+func (c *prefixCache) eventsAfter(after uint64, delay time.Duration, gap int, seed uint64) []external.CacheEvent {
 	var out []external.CacheEvent
 	for _, ev := range c.events {
 		if ev.Sequence <= after {
@@ -80,7 +82,7 @@
 		if time.Since(ev.at) < delay {
 			break
 		}
-		if gap > 0 && mix(seed+ev.Sequence)%uint64(gap) == 0 {
+		if gap > 0 && splitMix64(seed+ev.Sequence)%uint64(gap) == 0 {
 			continue
 		}
 		out = append(out, ev.CacheEvent)
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in for a model engine: continuous batching, a prefix cache,
-// priorities, resumable deterministic answers, KV cache transfer, late cache events, lagging
-// load reports, orders and faults. It is test equipment.
+// Package engine simulates a model engine for tests. It models continuous batching, a prefix cache,
+// request priorities, deterministic answers that can be resumed, KV cache transfer, delayed cache
+// events, stale load reports, configuration orders and faults.
 package engine
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Defaults of Config. A full step of a mixed engine takes 4 ms + 1,024 × 9 µs + 32 × 60 µs,
-// about 15 ms, which is 68,000 prefill tokens/s beside 32 running answers.
+// Defaults of Config. A full step of a mixed engine with 32 running answers takes 4 ms + 1,024 × 9 µs
+// + 32 × 60 µs, about 15 ms, which is a prefill rate of 68,000 tokens/s.
 const (
 	DefaultStepBase     = 4 * time.Millisecond
 	DefaultPrefillCost  = 9 * time.Microsecond
@@ -26,53 +26,55 @@
 )
 
 const (
-	// A prefill engine prefills more tokens per step, a decode engine fewer, so that its steps
-	// and thereby the time between tokens stay short.
-	prefillRoleFactor = 2
-	decodeRoleDivisor = 4
-	// exportedRequests is the number of finished requests whose KV cache can still be exported,
-	// and of imported KV caches that are kept.
-	exportedRequests = 256
-	// eventLogLength is the number of cache events kept.
+	// A prefill engine prefills more tokens per step than a mixed engine. A decode engine prefills
+	// fewer, which keeps its steps and therefore the time between tokens short.
+	prefillBudgetFactor = 2
+	decodeBudgetDivisor = 4
+	// maxKVCaches is the maximum number of requests whose KV cache can be exported, and of imported
+	// KV caches.
+	maxKVCaches = 256
+	// eventLogLength is the minimum number of latest cache events that are kept.
 	eventLogLength = 4096
 )
 
-// Config sets an engine's size, speed and behaviour. Zero values take the defaults.
+// Config sets an engine's capacity, speed and behaviour. Zero values select the defaults.
 type Config struct {
-	// Name and Seed make start IDs and event gaps deterministic.
+	// Name and Seed determine the start IDs; Seed also determines which cache events are lost.
 	Name string
 	Seed uint64
-	// Initial is the configuration at the first start.
+	// Initial is the engine configuration at the first start.
 	Initial external.EngineConfig
 
-	// Step time is StepBase + PrefillCost per prefilled token + SequenceCost per running answer.
+	// A step takes StepBase + PrefillCost per prefilled token + SequenceCost per running answer.
 	StepBase     time.Duration
 	PrefillCost  time.Duration
 	SequenceCost time.Duration
-	// PrefillChunk bounds the prefill tokens per step of a mixed engine.
+	// PrefillChunk is the maximum number of prefilled tokens per step of a mixed engine.
 	PrefillChunk int
-	// Pieces is the capacity in pieces of external.PieceTokens tokens. A request reserves pieces
-	// for its prompt and its longest answer.
+	// Pieces is the capacity in units of external.PieceTokens tokens. A request reserves the pieces of
+	// its prompt and its longest possible answer.
 	Pieces     int
 	MaxRunning int
 	MaxQueued  int
-	// CacheBlocks bounds the prefix cache in blocks of enginewire.BlockTokens tokens.
+	// CacheBlocks is the capacity of the prefix cache in blocks of enginewire.BlockTokens tokens.
 	CacheBlocks int
 
-	// LoadLag is the age of load reports. Their granularity is LoadLag/32.
+	// LoadLag is the age of load reports. Samples are taken at most once per LoadLag/32.
 	LoadLag time.Duration
-	// EventDelay passes before a cache event shows; one in EventGap events is lost (negative: none).
+	// EventDelay is the time before a cache event is reported. About one in EventGap events is lost;
+	// a negative value means none.
 	EventDelay time.Duration
 	EventGap   int
 
-	// OrderTime is how long an order takes.
+	// OrderTime is the duration of an order.
 	OrderTime time.Duration
-	// CheckFence makes the engine refuse orders with a fence number below the highest seen.
+	// CheckFence makes the engine refuse orders with a fence number below the highest one seen.
 	CheckFence bool
 
-	// Instant generates a token at each call of Next without step time, batching or limits.
+	// Instant makes each call of Next generate a token, without step time, batching or limits.
 	Instant bool
-	// JournalLimit bounds the journal to the latest records; 0 means no bound.
+	// JournalLimit is the minimum number of latest records that the journal keeps; it drops older
+	// ones when it reaches twice this length. 0 means no limit.
 	JournalLimit int
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -11,72 +11,72 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// loadSamples is the number of load samples kept per lag.
-const loadSamples = 32
+// loadSamplesPerLag is the number of load samples that cover one Config.LoadLag.
+const loadSamplesPerLag = 32
 
 type loadSample struct {
 	at   time.Time
 	load external.EngineLoad
 }
 
-// Engine is a model engine. All methods are safe for concurrent use. A step loop runs only
-// while there are requests, so an idle engine has no goroutine.
+// Engine is a simulated model engine. It is safe for concurrent use. The step loop runs only while
+// there are requests, so an idle engine has no goroutine.
 type Engine struct {
-	cfg    Config
-	closed chan struct{}
-	loop   sync.WaitGroup
-
-	mu       sync.Mutex
-	state    external.EngineState
-	down     bool
-	isClosed bool
-	starts   uint64
-	stepping bool
-	queue    []*sequence // waiting, by priority and arrival
-	running  []*sequence // admitted, by priority and arrival
-	instant  map[*sequence]struct{}
-	arrivals uint64
-	free     int
-	cache    *prefixCache
-	kv       *kvCache
-	loads    []loadSample
-	order    *runningOrder
-	// highestFence and orders outlive crashes: they serve only to observe violations.
-	highestFence uint64
-	orders       map[orderID]external.EngineConfig
-	loseOrders   int
-	journal      []Record
-	violations   []Violation
+	cfg      Config
+	closed   chan struct{}
+	stepLoop sync.WaitGroup
+
+	mu           sync.Mutex
+	state        external.EngineState
+	down         bool
+	isClosed     bool
+	starts       uint64
+	stepping     bool
+	queue        []*sequence // waiting, ordered by priority, then arrival
+	running      []*sequence // admitted, ordered by priority, then arrival
+	instant      map[*sequence]struct{}
+	arrivals     uint64
+	freePieces   int
+	cache        *prefixCache
+	kv           *kvCache
+	loadSamples  []loadSample
+	currentOrder *runningOrder
+	// highestFence and orderConfigs survive crashes, because they are used only to detect violations.
+	highestFence       uint64
+	orderConfigs       map[orderID]external.EngineConfig
+	loseOrderResponses int
+	journal            []Record
+	violations         []Violation
 }
 
 var _ external.Engine = (*Engine)(nil)
 
-// New starts an engine.
+// New returns a running engine.
 func New(cfg Config) *Engine {
 	e := &Engine{
-		cfg:    cfg.withDefaults(),
-		closed: make(chan struct{}),
-		orders: map[orderID]external.EngineConfig{},
+		cfg:          cfg.withDefaults(),
+		closed:       make(chan struct{}),
+		orderConfigs: map[orderID]external.EngineConfig{},
 	}
-	e.start(cfg.Initial)
+	e.startProcess(cfg.Initial)
 	return e
 }
 
-// start sets the state of a fresh process.
-func (e *Engine) start(c external.EngineConfig) {
+// startProcess resets the state to that of a newly started process.
+func (e *Engine) startProcess(c external.EngineConfig) {
 	e.starts++
-	id := mix(xxhash.Sum64String(e.cfg.Name) ^ mix(e.cfg.Seed+e.starts))
+	id := splitMix64(xxhash.Sum64String(e.cfg.Name) ^ splitMix64(e.cfg.Seed+e.starts))
 	e.state = external.EngineState{Config: cloneConfig(c), StartID: fmt.Sprintf("%016x", id)}
 	e.down = false
-	e.free = e.cfg.Pieces
+	e.freePieces = e.cfg.Pieces
 	e.cache = newPrefixCache(e.cfg.CacheBlocks)
 	e.kv = newKVCache()
-	e.loads = nil
+	e.loadSamples = nil
 	e.instant = map[*sequence]struct{}{}
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// Close ends all requests and waits for the step loop.
+// Close ends all requests and waits for the step loop to return.
 func (e *Engine) Close() error {
 	e.mu.Lock()
 	if !e.isClosed {
@@ -85,12 +85,12 @@
 		close(e.closed)
 	}
 	e.mu.Unlock()
-	e.loop.Wait()
+	e.stepLoop.Wait()
 	return nil
 }
 
-// Crash ends the engine's process: all streams and a running order fail, and every call fails
-// until Restart.
+// Crash simulates a crash of the engine's process: all streams and a running order fail, and every
+// call fails until Restart.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,8 +100,8 @@
 	}
 }
 
-// Restart starts a crashed engine with the given configuration, which is usually empty, but may
-// be a wrong one. It forgets order and fence numbers.
+// Restart starts the engine again, crashing it first if it is up. The given configuration is usually
+// empty, but tests may pass a wrong one. Order and fence numbers are reset.
 func (e *Engine) Restart(c external.EngineConfig) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,21 +112,21 @@
 		e.record(Record{Kind: Crashed})
 		e.stop("engine restarted")
 	}
-	e.start(c)
+	e.startProcess(c)
 	e.record(Record{Kind: Restarted, Config: cloneConfig(c)})
 }
 
-// stop cuts everything and marks the engine as down.
+// stop ends all requests and the running order, and marks the engine as down.
 func (e *Engine) stop(reason string) {
 	e.down = true
-	e.cutAll(reason)
-	if e.order != nil {
-		e.recordOrder(OrderLost, e.order.order, reason)
+	e.abortAll(reason)
+	if e.currentOrder != nil {
+		e.recordOrder(OrderLost, e.currentOrder.order, reason)
 		e.endOrder(fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
 	}
 }
 
-// Down reports whether the engine has crashed and not been restarted.
+// Down reports whether the engine has crashed or been closed, and not been restarted.
 func (e *Engine) Down() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -137,7 +137,7 @@
 func (e *Engine) State(ctx context.Context) (external.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.readable(ctx); err != nil {
+	if err := e.checkAvailable(ctx); err != nil {
 		return external.EngineState{}, err
 	}
 	s := e.state
@@ -145,29 +145,29 @@
 	return s, nil
 }
 
-// Load implements external.Engine. PrefillTokens and DecodeTokens are the outstanding work of
-// running and queued requests, where an answer counts with its longest possible length.
+// Load implements external.Engine. PrefillTokens and DecodeTokens are the outstanding work of running
+// and queued requests; each answer counts with its longest possible length.
 func (e *Engine) Load(ctx context.Context) (external.EngineLoad, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.readable(ctx); err != nil {
+	if err := e.checkAvailable(ctx); err != nil {
 		return external.EngineLoad{}, err
 	}
-	e.noteLoad()
-	return e.loads[0].load, nil
+	e.recordLoad()
+	return e.loadSamples[0].load, nil
 }
 
 // CacheEvents implements external.Engine.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]external.CacheEvent, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.readable(ctx); err != nil {
+	if err := e.checkAvailable(ctx); err != nil {
 		return nil, err
 	}
-	return e.cache.visible(after, e.cfg.EventDelay, e.cfg.EventGap, e.cfg.Seed), nil
+	return e.cache.eventsAfter(after, e.cfg.EventDelay, e.cfg.EventGap, e.cfg.Seed), nil
 }
 
-func (e *Engine) readable(ctx context.Context) error {
+func (e *Engine) checkAvailable(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
 	}
@@ -177,30 +177,30 @@
 	return nil
 }
 
-// noteLoad adds a sample of the present load and drops those that are too old to report. A
-// sample that follows the last one closely replaces its load.
-func (e *Engine) noteLoad() {
+// recordLoad samples the current load and drops the samples that are too old to be reported. If the
+// last sample is less than one sampling interval old, its load is replaced instead.
+func (e *Engine) recordLoad() {
 	now := time.Now()
 	lag := e.cfg.LoadLag
 	load := e.currentLoad()
-	if n := len(e.loads); n > 1 && now.Sub(e.loads[n-1].at) < lag/loadSamples || n == 1 && lag == 0 {
-		e.loads[n-1].load = load
+	if n := len(e.loadSamples); n > 1 && now.Sub(e.loadSamples[n-1].at) < lag/loadSamplesPerLag || n == 1 && lag == 0 {
+		e.loadSamples[n-1].load = load
 	} else {
-		e.loads = append(e.loads, loadSample{now, load})
+		e.loadSamples = append(e.loadSamples, loadSample{now, load})
 	}
-	for len(e.loads) > 1 && now.Sub(e.loads[1].at) >= lag {
-		e.loads = e.loads[1:]
+	for len(e.loadSamples) > 1 && now.Sub(e.loadSamples[1].at) >= lag {
+		e.loadSamples = e.loadSamples[1:]
 	}
 }
 
 func (e *Engine) currentLoad() external.EngineLoad {
 	l := external.EngineLoad{
 		Running: len(e.running) + len(e.instant), Queued: len(e.queue),
-		FreePieces: e.free, TotalPieces: e.cfg.Pieces,
+		FreePieces: e.freePieces, TotalPieces: e.cfg.Pieces,
 	}
 	for _, list := range [][]*sequence{e.running, e.queue} {
 		for _, s := range list {
-			l.PrefillTokens += int64(s.prefill)
+			l.PrefillTokens += int64(s.prefillLeft)
 			l.DecodeTokens += int64(max(0, s.req.MaxTokens-s.produced))
 		}
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -19,7 +19,7 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-var loaded = external.EngineConfig{
+var loadedConfig = external.EngineConfig{
 	Role: external.RoleMixed, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
 }
 
@@ -31,15 +31,16 @@
 
 func newEngine(t *testing.T, cfg engine.Config) *engine.Engine {
 	if cfg.Initial.Role == "" {
-		cfg.Initial = loaded
+		cfg.Initial = loadedConfig
 	}
 	e := engine.New(cfg)
 	t.Cleanup(func() { _ = e.Close() })
 	return e
 }
 
-// read returns the text of a stream and its finish reason, and checks the offsets.
-func read(s external.TokenStream, offset int) (text, finish string, err error) {
+// readStream reads a stream to its end, checks the chunk offsets, and returns the text and the finish
+// reason.
+func readStream(s external.TokenStream, offset int) (text, finish string, err error) {
 	defer s.Close()
 	for {
 		c, err := s.Next()
@@ -58,16 +59,18 @@
 	}
 }
 
-func run(t *testing.T, e *engine.Engine, r *external.GenerateRequest) string {
+// generate runs a request and returns the generated text.
+func generate(t *testing.T, e *engine.Engine, r *external.GenerateRequest) string {
 	t.Helper()
 	s, err := e.Generate(t.Context(), r)
 	require.NoError(t, err)
-	text, _, err := read(s, r.Offset)
+	text, _, err := readStream(s, r.Offset)
 	require.NoError(t, err)
 	return text
 }
 
-func started(e *engine.Engine) (ids []string) {
+// startedRequests returns the IDs of the started requests in order.
+func startedRequests(e *engine.Engine) (ids []string) {
 	for _, r := range e.Journal() {
 		if r.Kind == engine.RequestStarted {
 			ids = append(ids, r.RequestID)
@@ -76,8 +79,8 @@
 	return ids
 }
 
-// Guards against a resumed answer that differs from the original, which would make the loss or
-// mixing of tokens by the proxy undetectable.
+// Guards against a resumed answer that differs from the original. Tests could then not detect that
+// the proxy loses or mixes up tokens.
 func TestResumeYieldsTheSameAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := &external.GenerateRequest{
@@ -89,11 +92,11 @@
 		r.Offset = rapid.IntRange(0, length).Draw(rt, "offset")
 		instant := rapid.Bool().Draw(rt, "instant")
 		synctest.Test(t, func(*testing.T) {
-			e := engine.New(engine.Config{Seed: r.Seed, Initial: loaded, Instant: instant})
+			e := engine.New(engine.Config{Seed: r.Seed, Initial: loadedConfig, Instant: instant})
 			defer e.Close()
 			s, err := e.Generate(context.Background(), r)
 			require.NoError(rt, err)
-			text, got, err := read(s, r.Offset)
+			text, got, err := readStream(s, r.Offset)
 			require.NoError(rt, err)
 			require.Equal(rt, strings.Fields(whole)[r.Offset:], strings.Fields(text))
 			require.Equal(rt, finish, got)
@@ -101,7 +104,8 @@
 	})
 }
 
-// Guards against answers in which a lost, repeated or foreign token goes unnoticed.
+// Guards against answers in which a lost token, a repeated token or a token of another answer cannot
+// be detected.
 func TestAnswersTellOffsetsAndRequestsApart(t *testing.T) {
 	r := request("a", 0, 1000)
 	a, _, _ := engine.Answer(r)
@@ -117,12 +121,12 @@
 	require.Less(t, equal, 5)
 }
 
-// Guards against a step model whose speed is outside the range that the planners assume.
+// Guards against step durations outside the range that the planners assume.
 func TestPrefillRateAndStepTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{})
 		begin := time.Now()
-		run(t, e, request("prefill", 100_000, 1))
+		generate(t, e, request("prefill", 100_000, 1))
 		rate := 100_000 / time.Since(begin).Seconds()
 		require.InDelta(t, 80_000, rate, 20_000)
 
@@ -138,8 +142,8 @@
 	})
 }
 
-// Guards against admission beyond the capacity, against the wrong order, and against pieces that
-// a finished or cancelled request does not give back.
+// Guards against admission beyond the capacity or in the wrong order, and against finished or
+// cancelled requests that do not release their pieces.
 func TestAdmissionByPiecesAndPriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{Pieces: 2})
@@ -159,10 +163,10 @@
 		require.Zero(t, load.FreePieces)
 		require.NoError(t, e.Cancel(t.Context(), "0"))
 		for _, s := range streams[1:] {
-			_, _, err := read(s, 0)
+			_, _, err := readStream(s, 0)
 			require.NoError(t, err)
 		}
-		require.Equal(t, []string{"0", "2", "3", "1"}, started(e))
+		require.Equal(t, []string{"0", "2", "3", "1"}, startedRequests(e))
 		load, err = e.Load(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, external.EngineLoad{FreePieces: 2, TotalPieces: 2}, load)
@@ -171,7 +175,7 @@
 	})
 }
 
-// Guards against a generation that goes on after its caller has gone.
+// Guards against a generation that continues after its caller's context has ended.
 func TestCallerLeavesCancels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{})
@@ -191,8 +195,8 @@
 	})
 }
 
-// Guards against a cache that saves nothing or never evicts, and against events that come early,
-// out of order or without gaps.
+// Guards against a prefix cache that saves no prefill or never evicts, and against cache events that
+// are reported early, out of order or without gaps.
 func TestPrefixCacheAndItsEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{CacheBlocks: 40, EventGap: 4})
@@ -201,22 +205,22 @@
 		elapsed := func(prompt string) time.Duration {
 			begin := time.Now()
 			r.Prompt = prompt
-			run(t, e, r)
+			generate(t, e, r)
 			return time.Since(begin)
 		}
 		cold, warm := elapsed(long+"one"), elapsed(long+"two")
 		require.Less(t, warm*10, cold)
 		events, err := e.CacheEvents(t.Context(), 0)
 		require.NoError(t, err)
-		require.Empty(t, events, "events are published late")
+		require.Empty(t, events, "events are reported before their delay has passed")
 		elapsed("other " + long)
-		require.Greater(t, elapsed(long+"three")*2, cold, "most blocks have been evicted")
+		require.Greater(t, elapsed(long+"three")*2, cold, "the other prompt did not evict most blocks")
 
 		time.Sleep(engine.DefaultEventDelay)
 		events, err = e.CacheEvents(t.Context(), 0)
 		require.NoError(t, err)
 		last := events[len(events)-1].Sequence
-		require.Greater(t, last, uint64(len(events)), "some events are lost")
+		require.Greater(t, last, uint64(len(events)), "no events are lost")
 		for i := range events[1:] {
 			require.Less(t, events[i].Sequence, events[i+1].Sequence)
 		}
@@ -230,7 +234,8 @@
 	})
 }
 
-// Guards against a transfer that is not cheaper than a prefill, or that serves another prompt.
+// Guards against a KV cache transfer that is not faster than a prefill, and against an imported KV
+// cache that is used for another prompt.
 func TestImportedKVMakesPrefillFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prefill, decode := newEngine(t, engine.Config{}), newEngine(t, engine.Config{})
@@ -238,7 +243,7 @@
 		whole, _, _ := engine.Answer(r)
 		one := *r
 		one.MaxTokens = 1
-		head := run(t, prefill, &one)
+		head := generate(t, prefill, &one)
 		data, err := prefill.ExportKV(t.Context(), "a")
 		require.NoError(t, err)
 		handle, err := decode.ImportKV(t.Context(), data)
@@ -246,20 +251,20 @@
 		begin := time.Now()
 		rest := *r
 		rest.Offset, rest.KVHandle = 1, handle
-		require.Equal(t, whole, head+run(t, decode, &rest))
-		require.Less(t, time.Since(begin), 250*time.Millisecond, "virtual time of 39 steps")
+		require.Equal(t, whole, head+generate(t, decode, &rest))
+		require.Less(t, time.Since(begin), 250*time.Millisecond, "39 decode steps took longer in virtual time")
 
 		begin = time.Now()
 		other := request("b", 50_000, 1)
 		other.KVHandle = handle
-		run(t, decode, other)
-		require.Greater(t, time.Since(begin), 500*time.Millisecond, "virtual time of 50,000 tokens")
+		generate(t, decode, other)
+		require.Greater(t, time.Since(begin), 500*time.Millisecond, "the prefill of 50,000 tokens was skipped")
 		_, err = decode.ImportKV(t.Context(), []byte("{"))
 		require.ErrorIs(t, err, external.ErrEngineRefused)
 	})
 }
 
-// Guards against load reports that are fresher than the configured lag.
+// Guards against load reports that are more recent than the configured lag.
 func TestLoadReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{LoadLag: time.Second})
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -10,59 +10,60 @@
 	"github.com/quetzallug/quetzallug/external/enginewire"
 )
 
-// sequence is one generation. The engine's mutex guards it, except for the fields that are set
-// once.
+// sequence is the generation of one answer. It is guarded by Engine.mu, except for the fields that
+// never change after Generate.
 type sequence struct {
-	engine  *Engine
-	req     external.GenerateRequest
-	key     uint64
-	arrival uint64
-	length  int
-	finish  string
-	pieces  int
-	prompt  int // prompt tokens
-	hashes  []uint64
-	wake    chan struct{}
-	done    <-chan struct{} // of the caller's context
-	unwatch func() bool
-
-	prefill   int // tokens left to prefill
-	prefilled int // tokens prefilled in the running step
-	produced  int // absolute offset of the next token to generate
-	delivered int // absolute offset of the next token to deliver
-	last      bool
-	ended     bool
-	err       error
+	engine           *Engine
+	req              external.GenerateRequest
+	key              uint64
+	arrival          uint64
+	length           int
+	finishReason     string
+	pieces           int
+	promptTokens     int
+	hashes           []uint64
+	wake             chan struct{}
+	ctxDone          <-chan struct{} // done channel of the caller's context
+	stopContextWatch func() bool
+
+	prefillLeft int // tokens left to prefill
+	stepPrefill int // tokens that the current step prefills
+	produced    int // absolute offset of the next token to generate
+	delivered   int // absolute offset of the next token to deliver
+	exhausted   bool
+	ended       bool
+	err         error
 }
 
-// Generate implements external.Engine. MaxTokens bounds the whole answer, including the tokens
-// before Offset.
+// Generate implements external.Engine. MaxTokens limits the whole answer, including the tokens before
+// Offset.
 func (e *Engine) Generate(ctx context.Context, r *external.GenerateRequest) (external.TokenStream, error) {
-	s := &sequence{engine: e, req: *r, key: answerKey(r), wake: make(chan struct{}, 1), done: ctx.Done()}
-	s.length, s.finish = answerLength(s.key, r.MaxTokens)
-	s.prompt = r.PromptTokens
-	if s.prompt <= 0 {
-		s.prompt = enginewire.CountWords(r.Prompt)
+	s := &sequence{engine: e, req: *r, key: answerKey(r), wake: make(chan struct{}, 1), ctxDone: ctx.Done()}
+	s.length, s.finishReason = answerLength(s.key, r.MaxTokens)
+	s.promptTokens = r.PromptTokens
+	if s.promptTokens <= 0 {
+		s.promptTokens = enginewire.CountWords(r.Prompt)
 	}
-	s.pieces = (s.prompt + r.MaxTokens + external.PieceTokens - 1) / external.PieceTokens
+	s.pieces = (s.promptTokens + r.MaxTokens + external.PieceTokens - 1) / external.PieceTokens
 	s.produced, s.delivered = r.Offset, r.Offset
 	if !e.cfg.Instant {
 		s.hashes = enginewire.AppendPrefixHashes(nil, r.Model, r.Adapter, r.Prompt, e.cfg.CacheBlocks)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if reason := e.refusal(ctx, s); reason != "" {
+	if reason := e.refusalReason(ctx, s); reason != "" {
 		e.record(Record{Kind: RequestRefused, RequestID: r.RequestID, Model: r.Model, Detail: reason})
 		return nil, fmt.Errorf("%w: %s", external.ErrEngineRefused, reason)
 	}
 	e.accept(s)
-	// The watch does not start before accept has set the sequence up, as it needs the mutex.
-	s.unwatch = context.AfterFunc(ctx, func() { e.cancel(s, "context ended") })
+	// The callback needs the mutex, so it cannot run before Generate has returned, even if the context
+	// ends at once.
+	s.stopContextWatch = context.AfterFunc(ctx, func() { e.cancel(s, "context ended") })
 	return s, nil
 }
 
-// refusal returns the reason for which a request is refused, or an empty string.
-func (e *Engine) refusal(ctx context.Context, s *sequence) string {
+// refusalReason returns why a request is refused, or an empty string if it is accepted.
+func (e *Engine) refusalReason(ctx context.Context, s *sequence) string {
 	r := &s.req
 	switch {
 	case ctx.Err() != nil:
@@ -93,31 +94,33 @@
 	return slices.ContainsFunc(list, func(m external.ModelVersion) bool { return m.Name == name })
 }
 
+// accept queues a request and starts the step loop if it is not running. In instant mode the request
+// starts at once.
 func (e *Engine) accept(s *sequence) {
 	if e.cfg.Instant {
 		e.instant[s] = struct{}{}
-		e.kv.keep(s)
+		e.kv.addExport(s)
 		e.recordSequence(RequestStarted, s, "")
 		return
 	}
 	e.arrivals++
 	s.arrival = e.arrivals
-	s.prefill = s.prompt + s.req.Offset
-	e.queue = insert(e.queue, s)
+	s.prefillLeft = s.promptTokens + s.req.Offset
+	e.queue = insertOrdered(e.queue, s)
 	e.recordSequence(RequestQueued, s, "")
 	if !e.stepping {
-		// The first step is planned here and not in the loop, so that its requests do not depend
-		// on how goroutines are scheduled.
+		// The first step is planned here instead of in the step loop, so that the set of requests in
+		// it does not depend on goroutine scheduling.
 		if d, ok := e.planStep(); ok {
-			e.loop.Add(1)
-			go e.run(d)
+			e.stepLoop.Add(1)
+			go e.runSteps(d)
 		}
 	}
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// insert keeps a list ordered by priority, then arrival.
-func insert(list []*sequence, s *sequence) []*sequence {
+// insertOrdered inserts a sequence into a list ordered by priority, then arrival.
+func insertOrdered(list []*sequence, s *sequence) []*sequence {
 	i, _ := slices.BinarySearchFunc(list, s, func(a, b *sequence) int {
 		if a.req.Priority != b.req.Priority {
 			return a.req.Priority - b.req.Priority
@@ -130,24 +133,25 @@
 // Next implements external.TokenStream.
 func (s *sequence) Next() (external.TokenChunk, error) {
 	for {
-		chunk, ready, err := s.take()
+		chunk, ready, err := s.takeReady()
 		if ready || err != nil {
 			return chunk, err
 		}
 		select {
 		case <-s.wake:
-		case <-s.done:
+		case <-s.ctxDone:
 			s.engine.cancel(s, "context ended")
 		}
 	}
 }
 
-// take returns the tokens that are ready.
-func (s *sequence) take() (chunk external.TokenChunk, ready bool, err error) {
+// takeReady returns the tokens generated since the last call. ready is false if there are none and
+// the sequence has not ended.
+func (s *sequence) takeReady() (chunk external.TokenChunk, ready bool, err error) {
 	e := s.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.last {
+	if s.exhausted {
 		return chunk, false, io.EOF
 	}
 	if s.err != nil {
@@ -156,7 +160,7 @@
 	if e.cfg.Instant && !s.ended {
 		s.produced = min(s.produced+1, s.length)
 		if s.produced == s.length {
-			e.end(s, RequestFinished, "", nil)
+			e.endSequence(s, RequestFinished, "", nil)
 		}
 	}
 	if s.produced == s.delivered && !s.ended {
@@ -164,32 +168,32 @@
 	}
 	chunk = external.TokenChunk{Offset: s.delivered, Tokens: s.produced - s.delivered}
 	if chunk.Tokens > 0 {
-		chunk.Text = tokens(s.key, s.delivered, s.produced)
+		chunk.Text = joinTokens(s.key, s.delivered, s.produced)
 	}
 	s.delivered = s.produced
 	if s.ended {
-		chunk.FinishReason = s.finish
-		s.last = true
+		chunk.FinishReason = s.finishReason
+		s.exhausted = true
 	}
 	return chunk, true, nil
 }
 
-// Close implements external.TokenStream. It cancels a generation that has not finished.
+// Close implements external.TokenStream. It cancels an unfinished generation.
 func (s *sequence) Close() error {
 	s.engine.cancel(s, "stream closed")
 	return nil
 }
 
-// Cancel implements external.Engine. An unknown request is no error.
+// Cancel implements external.Engine. Cancelling an unknown request is not an error.
 func (e *Engine) Cancel(ctx context.Context, requestID string) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.readable(ctx); err != nil {
+	if err := e.checkAvailable(ctx); err != nil {
 		return err
 	}
 	for _, s := range e.inFlight() {
 		if s.req.RequestID == requestID {
-			e.end(s, RequestCancelled, "cancel call", errCancelled)
+			e.endSequence(s, RequestCancelled, "cancel call", errCancelled)
 		}
 	}
 	return nil
@@ -200,7 +204,7 @@
 func (e *Engine) cancel(s *sequence, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.end(s, RequestCancelled, reason, errCancelled)
+	e.endSequence(s, RequestCancelled, reason, errCancelled)
 }
 
 func (e *Engine) inFlight() []*sequence {
@@ -211,34 +215,35 @@
 	return all
 }
 
-// cutAll ends every request in flight with ErrEngineFailed and returns them.
-func (e *Engine) cutAll(reason string) []*sequence {
+// abortAll ends all requests in flight with ErrEngineFailed and returns them.
+func (e *Engine) abortAll(reason string) []*sequence {
 	all := e.inFlight()
 	for _, s := range all {
-		e.end(s, RequestCut, reason, fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
+		e.endSequence(s, RequestCut, reason, fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
 	}
 	return all
 }
 
-// end takes a sequence out of the engine. Ending it again has no effect.
-func (e *Engine) end(s *sequence, k Kind, detail string, err error) {
+// endSequence removes a sequence from the engine and wakes its reader. It has no effect on a sequence
+// that has ended.
+func (e *Engine) endSequence(s *sequence, k Kind, detail string, err error) {
 	if s.ended {
 		return
 	}
 	s.ended, s.err = true, err
-	if s.unwatch != nil {
-		s.unwatch()
+	if s.stopContextWatch != nil {
+		s.stopContextWatch()
 	}
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.free += s.pieces
+		e.freePieces += s.pieces
 	} else if i := slices.Index(e.queue, s); i >= 0 {
 		e.queue = slices.Delete(e.queue, i, i+1)
 	}
 	delete(e.instant, s)
 	e.recordSequence(k, s, detail)
 	if !e.cfg.Instant {
-		e.noteLoad()
+		e.recordLoad()
 	}
 	s.signal()
 }
--- a/standin/engine/journal.go
+++ b/standin/engine/journal.go
@@ -11,24 +11,26 @@
 
 // Kinds of journal records.
 const (
-	// RequestRefused did not run. RequestQueued was accepted, RequestStarted got capacity.
-	RequestRefused   Kind = "request_refused"
-	RequestQueued    Kind = "request_queued"
+	// RequestRefused means that the request was refused and did not run.
+	RequestRefused Kind = "request_refused"
+	// RequestQueued means that the request was accepted.
+	RequestQueued Kind = "request_queued"
+	// RequestStarted means that the request was admitted to the running batch.
 	RequestStarted   Kind = "request_started"
 	RequestFinished  Kind = "request_finished"
 	RequestCancelled Kind = "request_cancelled"
-	// RequestCut ended by an order, a crash or the end of the engine.
+	// RequestCut means that an order, a crash or Close ended the request.
 	RequestCut    Kind = "request_cut"
 	OrderStarted  Kind = "order_started"
 	OrderFinished Kind = "order_finished"
 	OrderRefused  Kind = "order_refused"
-	// OrderLost was running when the engine crashed.
+	// OrderLost means that the engine crashed or was closed during the order.
 	OrderLost Kind = "order_lost"
 	Crashed   Kind = "crashed"
 	Restarted Kind = "restarted"
 )
 
-// Record is one thing that the engine did.
+// Record is one journal entry.
 type Record struct {
 	At        time.Time             `json:"at"`
 	Kind      Kind                  `json:"kind"`
@@ -43,22 +45,22 @@
 	Detail    string                `json:"detail,omitempty"`
 }
 
-// ViolationKind is the kind of a violation.
+// ViolationKind is the kind of a protocol violation.
 type ViolationKind string
 
-// Kinds of violations, all faults of whoever gives the orders.
+// Kinds of violations. All of them are faults of the process that sends the orders.
 const (
-	// RequestCutByOrder means that an order began while a request was in flight.
+	// RequestCutByOrder means that an order started while a request was in flight.
 	RequestCutByOrder ViolationKind = "request_cut_by_order"
-	// ConflictingOrder means that a different order arrived while one was running, or that two
-	// orders with one fence and number differ.
+	// ConflictingOrder means that an order arrived while a different one was running, or that two
+	// orders with the same fence and number have different configurations.
 	ConflictingOrder ViolationKind = "conflicting_order"
-	// StaleOrderRan means that an order ran although one with a higher fence had been seen since
-	// the engine was created, restarts included.
+	// StaleOrderRan means that an order started although an order with a higher fence had started
+	// before, even if the engine restarted in between.
 	StaleOrderRan ViolationKind = "stale_order_ran"
 )
 
-// Violation is a breach that the engine observed.
+// Violation is one protocol violation that the engine detected.
 type Violation struct {
 	At        time.Time     `json:"at"`
 	Kind      ViolationKind `json:"kind"`
@@ -68,14 +70,14 @@
 	Detail    string        `json:"detail,omitempty"`
 }
 
-// Journal returns what the engine did, oldest first. It outlives crashes.
+// Journal returns the journal, oldest record first. Crashes do not clear it.
 func (e *Engine) Journal() []Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Record(nil), e.journal...)
 }
 
-// Violations returns the breaches that the engine observed, oldest first.
+// Violations returns the detected violations, oldest first. Crashes do not clear them.
 func (e *Engine) Violations() []Violation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,8 +87,8 @@
 func (e *Engine) record(r Record) {
 	r.At, r.StartID = time.Now(), e.state.StartID
 	e.journal = append(e.journal, r)
-	if l := e.cfg.JournalLimit; l > 0 && len(e.journal) >= 2*l {
-		e.journal = append(e.journal[:0], e.journal[len(e.journal)-l:]...)
+	if limit := e.cfg.JournalLimit; limit > 0 && len(e.journal) >= 2*limit {
+		e.journal = append(e.journal[:0], e.journal[len(e.journal)-limit:]...)
 	}
 }
 
@@ -101,7 +103,7 @@
 	e.record(Record{Kind: k, Fence: o.Fence, Number: o.Number, Config: o.Config, Detail: detail})
 }
 
-func (e *Engine) violate(v Violation) {
+func (e *Engine) recordViolation(v Violation) {
 	v.At = time.Now()
 	e.violations = append(e.violations, v)
 }
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -15,8 +15,8 @@
 	Tokens int    `json:"tokens"`
 }
 
-// kvCache holds the KV caches that can be exported, and those imported, each up to
-// exportedRequests. The engine's mutex guards it.
+// kvCache holds the requests whose KV cache can be exported and the imported KV caches, at most
+// maxKVCaches of each. It is guarded by Engine.mu.
 type kvCache struct {
 	exports     map[string]*sequence
 	exportOrder []string
@@ -28,47 +28,50 @@
 	return &kvCache{exports: map[string]*sequence{}, imports: map[string]kvBlob{}}
 }
 
-// keep makes a prefilled request exportable.
-func (c *kvCache) keep(s *sequence) {
-	c.exportOrder = bounded(c.exports, c.exportOrder, s.req.RequestID, s)
+// addExport makes the KV cache of a prefilled request exportable.
+func (c *kvCache) addExport(s *sequence) {
+	c.exportOrder = putBounded(c.exports, c.exportOrder, s.req.RequestID, s)
 }
 
-func (c *kvCache) imported(handle string, key uint64) int {
+// importedTokens returns the number of tokens in an imported KV cache, or 0 if the handle is unknown
+// or belongs to another answer.
+func (c *kvCache) importedTokens(handle string, key uint64) int {
 	if b, ok := c.imports[handle]; ok && b.Answer == key {
 		return b.Tokens
 	}
 	return 0
 }
 
-// bounded puts a value into a map and removes the oldest one over the limit.
-func bounded[V any](m map[string]V, order []string, key string, v V) []string {
+// putBounded stores a value in a map and removes the oldest one beyond maxKVCaches. It returns the
+// keys in insertion order.
+func putBounded[V any](m map[string]V, order []string, key string, v V) []string {
 	if _, ok := m[key]; !ok {
 		order = append(order, key)
 	}
 	m[key] = v
-	if len(order) > exportedRequests {
+	if len(order) > maxKVCaches {
 		delete(m, order[0])
 		order = order[1:]
 	}
 	return order
 }
 
-// ExportKV implements external.Engine. It serves requests whose prefill is complete, running or
-// recently finished.
+// ExportKV implements external.Engine. It exports the KV cache of requests whose prefill is complete,
+// whether they are running or have recently finished.
 func (e *Engine) ExportKV(ctx context.Context, requestID string) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.readable(ctx); err != nil {
+	if err := e.checkAvailable(ctx); err != nil {
 		return nil, err
 	}
 	s, ok := e.kv.exports[requestID]
 	if !ok {
 		return nil, fmt.Errorf("%w: no KV cache of request %q", external.ErrEngineRefused, requestID)
 	}
-	return json.Marshal(kvBlob{Answer: s.key, Tokens: s.prompt + s.produced})
+	return json.Marshal(kvBlob{Answer: s.key, Tokens: s.promptTokens + s.produced})
 }
 
-// ImportKV implements external.Engine. Importing the same data again yields the same handle.
+// ImportKV implements external.Engine. Importing the same data again returns the same handle.
 func (e *Engine) ImportKV(ctx context.Context, data []byte) (string, error) {
 	var b kvBlob
 	if err := json.Unmarshal(data, &b); err != nil || b.Tokens <= 0 {
@@ -76,10 +79,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.readable(ctx); err != nil {
+	if err := e.checkAvailable(ctx); err != nil {
 		return "", err
 	}
 	handle := fmt.Sprintf("kv-%016x-%d", b.Answer, b.Tokens)
-	e.kv.importOrder = bounded(e.kv.imports, e.kv.importOrder, handle, b)
+	e.kv.importOrder = putBounded(e.kv.imports, e.kv.importOrder, handle, b)
 	return handle, nil
 }
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -18,14 +18,14 @@
 	err   error
 }
 
-// LoseOrderAnswers makes the engine execute that many orders and lose their responses.
+// LoseOrderAnswers makes the engine lose the responses of the next n orders that it executes.
 func (e *Engine) LoseOrderAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.loseOrders = n
+	e.loseOrderResponses = n
 }
 
-// Apply implements external.Engine. The order goes on if the caller's context ends.
+// Apply implements external.Engine. The order continues if the caller's context ends.
 func (e *Engine) Apply(ctx context.Context, o external.EngineOrder) error {
 	o.Config = cloneConfig(o.Config)
 	run, err := e.beginOrder(ctx, o)
@@ -39,34 +39,36 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if run.err == nil && e.loseOrders > 0 {
-		e.loseOrders--
+	if run.err == nil && e.loseOrderResponses > 0 {
+		e.loseOrderResponses--
 		return fmt.Errorf("%w: response of order %d lost", external.ErrEngineFailed, o.Number)
 	}
 	return run.err
 }
 
+// beginOrder starts an order, which aborts all requests in flight, or records its refusal.
 func (e *Engine) beginOrder(ctx context.Context, o external.EngineOrder) (*runningOrder, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.orderRefusal(ctx, o); err != nil {
+	if err := e.checkOrder(ctx, o); err != nil {
 		e.recordOrder(OrderRefused, o, err.Error())
 		return nil, err
 	}
-	e.observeOrder(o)
+	e.checkOrderHistory(o)
 	e.state.Changing = true
 	e.recordOrder(OrderStarted, o, "")
-	for _, s := range e.cutAll("an order began") {
-		e.violate(Violation{Kind: RequestCutByOrder, RequestID: s.req.RequestID, Fence: o.Fence, Number: o.Number})
+	for _, s := range e.abortAll("an order began") {
+		e.recordViolation(Violation{Kind: RequestCutByOrder, RequestID: s.req.RequestID, Fence: o.Fence, Number: o.Number})
 	}
 	run := &runningOrder{order: o, done: make(chan struct{})}
-	e.order = run
+	e.currentOrder = run
 	run.timer = time.AfterFunc(e.cfg.OrderTime, func() { e.finishOrder(run) })
 	return run, nil
 }
 
-// orderRefusal checks an order and records its fence number.
-func (e *Engine) orderRefusal(ctx context.Context, o external.EngineOrder) error {
+// checkOrder returns an error if the order must be refused. It updates the highest fence seen and
+// records a violation if a different order is running.
+func (e *Engine) checkOrder(ctx context.Context, o external.EngineOrder) error {
 	if ctx.Err() != nil || e.down {
 		return fmt.Errorf("%w: engine is down or the context has ended", external.ErrEngineRefused)
 	}
@@ -74,55 +76,56 @@
 		return fmt.Errorf("%w: order has %d, engine has seen %d", external.ErrStaleFence, o.Fence, e.state.Fence)
 	}
 	e.state.Fence = max(e.state.Fence, o.Fence)
-	if e.order == nil {
+	if e.currentOrder == nil {
 		return nil
 	}
-	if !reflect.DeepEqual(e.order.order, o) {
-		e.violate(Violation{
+	if !reflect.DeepEqual(e.currentOrder.order, o) {
+		e.recordViolation(Violation{
 			Kind: ConflictingOrder, Fence: o.Fence, Number: o.Number,
-			Detail: fmt.Sprintf("order %d of fence %d is running", e.order.order.Number, e.order.order.Fence),
+			Detail: fmt.Sprintf("order %d of fence %d is running", e.currentOrder.order.Number, e.currentOrder.order.Fence),
 		})
 	}
-	return fmt.Errorf("%w: order %d is running", external.ErrEngineRefused, e.order.order.Number)
+	return fmt.Errorf("%w: order %d is running", external.ErrEngineRefused, e.currentOrder.order.Number)
 }
 
-// observeOrder records the violations of an order that is about to run.
-func (e *Engine) observeOrder(o external.EngineOrder) {
+// checkOrderHistory records the violations of an order that is about to start: a fence lower than
+// that of an earlier order, or a reused order number with another configuration.
+func (e *Engine) checkOrderHistory(o external.EngineOrder) {
 	if o.Fence < e.highestFence {
-		e.violate(Violation{
+		e.recordViolation(Violation{
 			Kind: StaleOrderRan, Fence: o.Fence, Number: o.Number,
 			Detail: fmt.Sprintf("highest fence seen is %d", e.highestFence),
 		})
 	}
 	e.highestFence = max(e.highestFence, o.Fence)
 	id := orderID{o.Fence, o.Number}
-	if earlier, ok := e.orders[id]; ok && !reflect.DeepEqual(earlier, o.Config) {
-		e.violate(Violation{
+	if earlier, ok := e.orderConfigs[id]; ok && !reflect.DeepEqual(earlier, o.Config) {
+		e.recordViolation(Violation{
 			Kind: ConflictingOrder, Fence: o.Fence, Number: o.Number,
 			Detail: "an earlier order with this fence and number had another configuration",
 		})
 	}
-	e.orders[id] = o.Config
+	e.orderConfigs[id] = o.Config
 }
 
 func (e *Engine) finishOrder(run *runningOrder) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.order != run {
+	if e.currentOrder != run {
 		return
 	}
 	e.state.Config, e.state.Number = cloneConfig(run.order.Config), run.order.Number
-	// Loading other models discards the KV cache.
+	// An order reloads the models, which discards the prefix cache and the KV caches.
 	e.cache, e.kv = newPrefixCache(e.cfg.CacheBlocks), newKVCache()
 	e.recordOrder(OrderFinished, run.order, "")
 	e.endOrder(nil)
 }
 
 func (e *Engine) endOrder(err error) {
-	run := e.order
+	run := e.currentOrder
 	run.timer.Stop()
 	run.err = err
-	e.order = nil
+	e.currentOrder = nil
 	e.state.Changing = false
 	close(run.done)
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -10,58 +10,58 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// FaultRequest switches a fault over HTTP (POST /faults).
+// FaultRequest is the body of POST /faults, which injects faults.
 type FaultRequest struct {
 	Crash   bool `json:"crash,omitempty"`
 	Restart bool `json:"restart,omitempty"`
-	// Config is the configuration after a restart.
+	// Config is the engine configuration after a restart.
 	Config           external.EngineConfig `json:"config,omitzero"`
 	LoseOrderAnswers int                   `json:"lose_order_answers,omitempty"`
 }
 
-// Report is the answer of GET /journal.
+// Report is the response body of GET /journal.
 type Report struct {
 	Journal    []Record    `json:"journal"`
 	Violations []Violation `json:"violations"`
 }
 
-// Handler serves the engine over HTTP in the form of package enginewire, with GET /journal and
+// Handler serves the engine over HTTP with the protocol of package enginewire, and GET /journal and
 // POST /faults for tests.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+enginewire.PathGenerate, e.serveGenerate)
 	httpjson.Handle(mux, "POST "+enginewire.PathCancel, func(ctx context.Context, r enginewire.Cancel) (struct{}, error) {
 		return struct{}{}, e.Cancel(ctx, r.RequestID)
-	}, e.fail)
+	}, e.writeError)
 	httpjson.Handle(mux, "GET "+enginewire.PathState, func(ctx context.Context, _ struct{}) (external.EngineState, error) {
 		return e.State(ctx)
-	}, e.fail)
+	}, e.writeError)
 	httpjson.Handle(mux, "POST "+enginewire.PathApply, func(ctx context.Context, o external.EngineOrder) (struct{}, error) {
 		return struct{}{}, e.Apply(ctx, o)
-	}, e.fail)
+	}, e.writeError)
 	httpjson.Handle(mux, "GET "+enginewire.PathLoad, func(ctx context.Context, _ struct{}) (external.EngineLoad, error) {
 		return e.Load(ctx)
-	}, e.fail)
+	}, e.writeError)
 	mux.HandleFunc("GET "+enginewire.PathEvents, e.serveEvents)
 	httpjson.Handle(mux, "POST "+enginewire.PathExport, func(ctx context.Context, r enginewire.Cancel) (enginewire.Blob, error) {
 		data, err := e.ExportKV(ctx, r.RequestID)
 		return enginewire.Blob{Data: data}, err
-	}, e.fail)
+	}, e.writeError)
 	httpjson.Handle(mux, "POST "+enginewire.PathImport, func(ctx context.Context, b enginewire.Blob) (enginewire.Handle, error) {
 		h, err := e.ImportKV(ctx, b.Data)
 		return enginewire.Handle{Handle: h}, err
-	}, e.fail)
+	}, e.writeError)
 	mux.HandleFunc("GET /journal", func(w http.ResponseWriter, _ *http.Request) {
 		httpjson.Write(w, http.StatusOK, Report{Journal: e.Journal(), Violations: e.Violations()})
 	})
 	httpjson.Handle(mux, "POST /faults", func(_ context.Context, f FaultRequest) (struct{}, error) {
-		e.setFaults(f)
+		e.applyFaults(f)
 		return struct{}{}, nil
-	}, e.fail)
+	}, e.writeError)
 	return mux
 }
 
-func (e *Engine) setFaults(f FaultRequest) {
+func (e *Engine) applyFaults(f FaultRequest) {
 	if f.Crash {
 		e.Crash()
 	}
@@ -71,7 +71,7 @@
 	e.LoseOrderAnswers(f.LoseOrderAnswers)
 }
 
-func (*Engine) fail(w http.ResponseWriter, err error) {
+func (*Engine) writeError(w http.ResponseWriter, err error) {
 	status, code := enginewire.Code(err)
 	httpjson.WriteError(w, status, code, err)
 }
@@ -84,7 +84,7 @@
 	}
 	events, err := e.CacheEvents(r.Context(), after)
 	if err != nil {
-		e.fail(w, err)
+		e.writeError(w, err)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, events)
@@ -97,7 +97,7 @@
 	}
 	stream, err := e.Generate(r.Context(), &req)
 	if err != nil {
-		e.fail(w, err)
+		e.writeError(w, err)
 		return
 	}
 	defer stream.Close()
@@ -111,7 +111,7 @@
 	for {
 		chunk, err := stream.Next()
 		if err != nil {
-			// A crashed process breaks the connection without a last event.
+			// A crashed process drops the connection without a final event.
 			if e.Down() {
 				panic(http.ErrAbortHandler)
 			}
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -7,10 +7,10 @@
 	"github.com/quetzallug/quetzallug/external/enginewire"
 )
 
-// run is the step loop. The first step has been planned and takes d. The loop ends when there is
-// no work.
-func (e *Engine) run(d time.Duration) {
-	defer e.loop.Done()
+// runSteps is the step loop. The caller has planned the first step, which takes d. The loop returns
+// when there is no work left.
+func (e *Engine) runSteps(d time.Duration) {
+	defer e.stepLoop.Done()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for {
@@ -26,7 +26,7 @@
 	}
 }
 
-// step completes the running step and plans the next one.
+// step completes the current step and plans the next one.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,89 +34,90 @@
 	return e.planStep()
 }
 
-// planStep admits requests, plans the prefill and returns the step time. It returns false if
-// there is no work.
+// planStep admits queued requests, distributes the prefill budget and returns the duration of the
+// step. It returns false if there is no work.
 func (e *Engine) planStep() (time.Duration, bool) {
-	e.admit()
+	e.admitQueued()
 	if e.stepping = len(e.running) > 0; !e.stepping {
 		return 0, false
 	}
 	budget := e.prefillBudget()
 	planned := 0
 	for _, s := range e.running {
-		s.prefilled = min(s.prefill, budget-planned)
-		planned += s.prefilled
+		s.stepPrefill = min(s.prefillLeft, budget-planned)
+		planned += s.stepPrefill
 	}
 	d := e.cfg.StepBase + time.Duration(planned)*e.cfg.PrefillCost
 	return d + time.Duration(len(e.running))*e.cfg.SequenceCost, true
 }
 
+// prefillBudget returns the maximum number of tokens that one step prefills.
 func (e *Engine) prefillBudget() int {
 	switch e.state.Config.Role {
 	case external.RolePrefill:
-		return e.cfg.PrefillChunk * prefillRoleFactor
+		return e.cfg.PrefillChunk * prefillBudgetFactor
 	case external.RoleDecode:
-		return max(1, e.cfg.PrefillChunk/decodeRoleDivisor)
+		return max(1, e.cfg.PrefillChunk/decodeBudgetDivisor)
 	default:
 		return e.cfg.PrefillChunk
 	}
 }
 
-// admit starts queued requests in order while pieces are free. A request that does not fit
-// blocks those behind it, so that large requests are not starved.
-func (e *Engine) admit() {
-	for len(e.queue) > 0 && len(e.running) < e.cfg.MaxRunning && e.queue[0].pieces <= e.free {
+// admitQueued starts queued requests in order while pieces are free. A request that does not fit
+// blocks those behind it, so that large requests do not starve.
+func (e *Engine) admitQueued() {
+	for len(e.queue) > 0 && len(e.running) < e.cfg.MaxRunning && e.queue[0].pieces <= e.freePieces {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
-		e.free -= s.pieces
-		e.running = insert(e.running, s)
-		s.prefill = e.prefillNeeded(s)
+		e.freePieces -= s.pieces
+		e.running = insertOrdered(e.running, s)
+		s.prefillLeft = e.prefillNeeded(s)
 		e.recordSequence(RequestStarted, s, "")
 	}
 }
 
-// prefillNeeded returns the tokens to prefill: the prompt and the delivered part of the answer,
-// less what the prefix cache or imported KV cache holds. At least one token is prefilled, which
-// yields the first answer token.
+// prefillNeeded returns the number of tokens to prefill: the prompt and the part of the answer that
+// the caller already has, minus what the prefix cache or an imported KV cache holds. At least one
+// token is prefilled, because the prefill produces the first answer token.
 func (e *Engine) prefillNeeded(s *sequence) int {
-	all := s.prompt + s.req.Offset
-	have := e.kv.imported(s.req.KVHandle, s.key)
+	total := s.promptTokens + s.req.Offset
+	available := e.kv.importedTokens(s.req.KVHandle, s.key)
 	if words := enginewire.CountWords(s.req.Prompt); words > 0 {
 		cached := e.cache.match(s.hashes) * enginewire.BlockTokens
-		have = max(have, cached*s.prompt/words)
+		available = max(available, cached*s.promptTokens/words)
 	}
-	return max(1, all-have)
+	return max(1, total-available)
 }
 
-// completeStep advances each running sequence by the planned prefill or by one token. A sequence
-// whose prefill completes gets its first token in the same step.
+// completeStep advances each running sequence by its planned prefill or by one token. A sequence
+// that completes its prefill produces its first token in the same step.
 func (e *Engine) completeStep() {
 	finished := false
 	for _, s := range e.running {
-		if s.prefill > 0 {
-			s.prefill -= s.prefilled
-			s.prefilled = 0
-			if s.prefill > 0 {
+		if s.prefillLeft > 0 {
+			s.prefillLeft -= s.stepPrefill
+			s.stepPrefill = 0
+			if s.prefillLeft > 0 {
 				continue
 			}
 			e.cache.store(s.hashes)
-			e.kv.keep(s)
+			e.kv.addExport(s)
 		}
 		s.produced = min(s.produced+1, s.length)
 		finished = finished || s.produced == s.length
 		s.signal()
 	}
 	for finished {
-		finished = e.finishOne()
+		finished = e.finishNext()
 	}
-	e.noteLoad()
+	e.recordLoad()
 }
 
-// finishOne ends one sequence that is complete and reports whether there was one.
-func (e *Engine) finishOne() bool {
+// finishNext ends the first complete sequence and reports whether there was one.
+func (e *Engine) finishNext() bool {
 	for _, s := range e.running {
-		if s.prefill == 0 && s.produced == s.length {
-			e.end(s, RequestFinished, "", nil)
+		if s.prefillLeft == 0 && s.produced == s.length {
+			e.endSequence(s, RequestFinished, "", nil)
 			return true
 		}
 	}
--- a/standin/engine/tokens.go
+++ b/standin/engine/tokens.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// vocabularySize makes tokens of two answers differ at the same offset with 4095 in 4096.
+	// vocabularySize makes the tokens of two answers at the same offset differ with a probability of
+	// 4095 in 4096.
 	vocabularySize = 1 << 12
-	// Answers stop by themselves after minAnswer to minAnswer+answerSpread-1 tokens.
-	minAnswer    = 16
-	answerSpread = 2032
+	// The natural length of an answer is minAnswerTokens to minAnswerTokens+answerTokensSpread-1 tokens.
+	minAnswerTokens    = 16
+	answerTokensSpread = 2032
 )
 
 // Finish reasons.
@@ -23,7 +24,8 @@
 	FinishStop   = "stop"
 )
 
-// Each token is a space and a word, so an answer has as many words as tokens.
+// vocabulary holds the tokens. Each one is a space and a word, so an answer has as many words as
+// tokens.
 var vocabulary = func() (v [vocabularySize]string) {
 	for i := range v {
 		v[i] = fmt.Sprintf(" t%03x", i)
@@ -31,7 +33,7 @@
 	return v
 }()
 
-// answerKey identifies the answer to a model, adapter, prompt and seed.
+// answerKey returns a hash of the model, adapter, prompt and seed, which determine the answer.
 func answerKey(r *external.GenerateRequest) uint64 {
 	d := enginewire.NewAnswerDigest(r.Model, r.Adapter)
 	_, _ = d.WriteString(r.Prompt)
@@ -41,8 +43,8 @@
 	return d.Sum64()
 }
 
-// mix is the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// splitMix64 adds the SplitMix64 increment to x and applies the SplitMix64 finalizer.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -51,20 +53,20 @@
 
 // token returns the token at an offset of an answer.
 func token(key uint64, offset int) string {
-	return vocabulary[mix(key+uint64(offset))%vocabularySize]
+	return vocabulary[splitMix64(key+uint64(offset))%vocabularySize]
 }
 
-// answerLength returns the length in tokens and the finish reason of an answer.
+// answerLength returns the length of an answer in tokens and its finish reason.
 func answerLength(key uint64, maxTokens int) (int, string) {
-	natural := minAnswer + int(mix(^key)%answerSpread)
+	natural := minAnswerTokens + int(splitMix64(^key)%answerTokensSpread)
 	if natural < maxTokens {
 		return natural, FinishStop
 	}
 	return maxTokens, FinishLength
 }
 
-// tokens returns the text of the tokens from an offset up to an end.
-func tokens(key uint64, from, end int) string {
+// joinTokens returns the text of the tokens in the offset range [from, end).
+func joinTokens(key uint64, from, end int) string {
 	if end == from+1 {
 		return token(key, from)
 	}
@@ -76,10 +78,10 @@
 	return b.String()
 }
 
-// Answer returns the whole answer that any engine gives to a request, its length in tokens and
-// its finish reason. Checkers compare delivered answers with it.
+// Answer returns the whole answer that every simulated engine generates for a request, its length in
+// tokens and its finish reason. Tests compare delivered answers with it.
 func Answer(r *external.GenerateRequest) (text string, length int, finish string) {
 	key := answerKey(r)
 	length, finish = answerLength(key, r.MaxTokens)
-	return tokens(key, 0, length), length, finish
+	return joinTokens(key, 0, length), length, finish
 }
