--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -1,6 +1,5 @@
-// Package backend is a stand-in for a plain backend server: GET reads a schedule, any other
-// method runs an action that a journal counts, so that a double execution shows. It is test
-// equipment.
+// Package backend simulates a plain backend server for tests. GET returns a schedule; every other
+// method executes an action and records it in a journal, which makes duplicate executions visible.
 package backend
 
 import (
@@ -22,27 +21,28 @@
 	DefaultLimit       = 64
 )
 
-// Config sets a server's size and speed. Zero values take the defaults.
+// Config sets a server's capacity and speed. Zero values select the defaults.
 type Config struct {
-	// ServiceTime is the time of one request; a negative value means none.
+	// ServiceTime is the duration of one request; a negative value means none.
 	ServiceTime time.Duration
-	// Limit bounds the requests that run at once; others wait.
+	// Limit is the maximum number of concurrent requests; further ones wait.
 	Limit int
-	// JournalLimit bounds the journal to the latest records; 0 means no bound.
+	// JournalLimit is the minimum number of latest records that the journal keeps; it drops older
+	// ones when it reaches twice this length. 0 means no limit.
 	JournalLimit int
 }
 
-// Faults are the failures in force.
+// Faults are the faults to inject.
 type Faults struct {
-	// FailBeforeRun makes that many requests fail without effect.
+	// FailBeforeRun is the number of next requests that fail before execution.
 	FailBeforeRun int `json:"fail_before_run"`
-	// LoseResponse makes that many requests run and lose their response.
+	// LoseResponse is the number of next requests that are executed but lose their response.
 	LoseResponse int `json:"lose_response"`
-	// SlowMS is added to the service time.
+	// SlowMS is added to the service time, in milliseconds.
 	SlowMS int `json:"slow_ms"`
 }
 
-// Record is one execution.
+// Record is the journal entry of one executed request.
 type Record struct {
 	At             time.Time `json:"at"`
 	RequestID      string    `json:"request_id"`
@@ -50,22 +50,23 @@
 	Method         string    `json:"method"`
 	Path           string    `json:"path"`
 	Body           uint64    `json:"body"` // xxhash64 of the body
-	// Lost means that the response did not reach the caller.
+	// Lost reports that the response was dropped by an injected fault.
 	Lost bool `json:"lost,omitempty"`
 }
 
-// Answer is the body of each response.
+// Answer is the JSON body of a response.
 type Answer struct {
 	RequestID      string `json:"request_id"`
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
 	Path           string `json:"path"`
-	// Executions counts the executions under the idempotency key, or the request ID without one.
+	// Executions is the number of executions so far with this idempotency key, or with this request
+	// ID if the request has no key.
 	Executions int `json:"executions,omitempty"`
-	// Departures is the schedule that a GET reads; it is a function of the path.
+	// Departures is the schedule returned by a GET. It depends only on the path.
 	Departures []string `json:"departures,omitempty"`
 }
 
-// Server is a plain backend server. All methods are safe for concurrent use.
+// Server is a simulated plain backend server. It is safe for concurrent use.
 type Server struct {
 	cfg   Config
 	slots chan struct{}
@@ -79,7 +80,7 @@
 
 var _ external.Backend = (*Server)(nil)
 
-// New returns a server.
+// New returns a server without faults.
 func New(cfg Config) *Server {
 	if cfg.ServiceTime == 0 {
 		cfg.ServiceTime = DefaultServiceTime
@@ -90,44 +91,44 @@
 	return &Server{cfg: cfg, slots: make(chan struct{}, cfg.Limit), executions: map[string]int{}}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Journal returns the executions, oldest first.
+// Journal returns the records of the executed requests, oldest first.
 func (s *Server) Journal() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Record(nil), s.journal...)
 }
 
-// Executions returns the number of actions that ran under an idempotency key, or under a request
-// ID for requests without a key.
+// Executions returns the number of actions executed with an idempotency key, or with a request ID
+// for requests without a key.
 func (s *Server) Executions(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[key]
 }
 
-// Do implements external.Backend. Once an action is in the journal it has run, whether or not
-// its response arrives.
+// Do implements external.Backend. An action in the journal has been executed, whether or not its
+// response reaches the caller.
 func (s *Server) Do(ctx context.Context, r *external.PlainRequest) (*external.PlainResponse, error) {
 	if r.Timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, r.Timeout)
 		defer cancel()
 	}
-	release, err := s.acquire(ctx)
+	release, err := s.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	slow, fail := s.nextFaults()
+	slow, fail := s.consumeFaults()
 	if fail {
-		return nil, fmt.Errorf("%w: switched to fail before the run", external.ErrEngineFailed)
+		return nil, fmt.Errorf("%w: injected failure before execution", external.ErrEngineFailed)
 	}
 	if err := sleep(ctx, s.cfg.ServiceTime+slow); err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
@@ -136,18 +137,18 @@
 	if lost {
 		return nil, fmt.Errorf("%w: response lost", external.ErrEngineFailed)
 	}
-	a := Answer{RequestID: r.RequestID, IdempotencyKey: r.IdempotencyKey, Path: r.Path, Executions: n}
+	answer := Answer{RequestID: r.RequestID, IdempotencyKey: r.IdempotencyKey, Path: r.Path, Executions: n}
 	if r.Method == http.MethodGet {
-		a.Departures = schedule(r.Path)
+		answer.Departures = departures(r.Path)
 	}
-	body, err := json.Marshal(a)
+	body, err := json.Marshal(answer)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
 	}
 	return &external.PlainResponse{Status: http.StatusOK, ContentType: "application/json", Body: body}, nil
 }
 
-func (s *Server) acquire(ctx context.Context) (release func(), err error) {
+func (s *Server) acquireSlot(ctx context.Context) (release func(), err error) {
 	s.addWaiting(1)
 	defer s.addWaiting(-1)
 	select {
@@ -164,7 +165,8 @@
 	s.waiting += n
 }
 
-func (s *Server) nextFaults() (slow time.Duration, fail bool) {
+// consumeFaults returns the faults of the next request and counts down FailBeforeRun.
+func (s *Server) consumeFaults() (slow time.Duration, fail bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.FailBeforeRun > 0 {
@@ -174,7 +176,8 @@
 	return time.Duration(s.faults.SlowMS) * time.Millisecond, fail
 }
 
-// execute runs the request. It returns the executions under its key, 0 for a GET.
+// execute records the request and returns the number of executions with its key, which is 0 for a
+// GET.
 func (s *Server) execute(r *external.PlainRequest) (n int, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,8 +189,8 @@
 		At: time.Now(), RequestID: r.RequestID, IdempotencyKey: r.IdempotencyKey,
 		Method: r.Method, Path: r.Path, Body: xxhash.Sum64(r.Body), Lost: lost,
 	})
-	if l := s.cfg.JournalLimit; l > 0 && len(s.journal) >= 2*l {
-		s.journal = append(s.journal[:0], s.journal[len(s.journal)-l:]...)
+	if limit := s.cfg.JournalLimit; limit > 0 && len(s.journal) >= 2*limit {
+		s.journal = append(s.journal[:0], s.journal[len(s.journal)-limit:]...)
 	}
 	if r.Method == http.MethodGet {
 		return 0, lost
@@ -200,7 +203,7 @@
 	return s.executions[key], lost
 }
 
-// Load implements external.Backend. Pieces are request slots.
+// Load implements external.Backend. One piece is one request slot.
 func (s *Server) Load(context.Context) (external.EngineLoad, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +214,7 @@
 	}, nil
 }
 
-func schedule(path string) []string {
+func departures(path string) []string {
 	h := xxhash.Sum64String(path)
 	out := make([]string, 0, 4)
 	for i := range 4 {
--- a/standin/backend/server.go
+++ b/standin/backend/server.go
@@ -9,32 +9,32 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// Paths of the server itself; every other path is a request.
+// Paths of the control endpoints. Every other path is handled as a request.
 const (
 	PathLoad    = "/load"
 	PathJournal = "/_standin/journal"
 	PathFaults  = "/_standin/faults"
 )
 
-// Handler serves the backend over HTTP. The headers X-Request-Id and Idempotency-Key name the
-// request. A request that fails breaks its connection.
+// Handler serves the backend over HTTP. The headers X-Request-Id and Idempotency-Key identify a
+// request. A failed request aborts its connection.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	httpjson.Handle(mux, "GET "+PathLoad, func(ctx context.Context, _ struct{}) (external.EngineLoad, error) {
 		return s.Load(ctx)
-	}, fail)
+	}, writeFailure)
 	mux.HandleFunc("GET "+PathJournal, func(w http.ResponseWriter, _ *http.Request) {
 		httpjson.Write(w, http.StatusOK, s.Journal())
 	})
 	httpjson.Handle(mux, "POST "+PathFaults, func(_ context.Context, f Faults) (struct{}, error) {
 		s.SetFaults(f)
 		return struct{}{}, nil
-	}, fail)
+	}, writeFailure)
 	mux.HandleFunc("/", s.serveRequest)
 	return mux
 }
 
-func fail(w http.ResponseWriter, err error) {
+func writeFailure(w http.ResponseWriter, err error) {
 	httpjson.WriteError(w, http.StatusInternalServerError, "failed", err)
 }
 
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault models processes that may be paused, killed or cut off at any call they make to
-// another part of the system. Tests run the product's code with these calls. It is test equipment.
+// Package fault injects faults into the calls that a process makes to other parts of the system. In
+// tests, a process can be paused, killed or disconnected at any call.
 package fault
 
 import (
@@ -13,27 +13,27 @@
 // Call is one call that a process makes.
 type Call struct {
 	Process string
-	// Op names the call: get, list, cas, delete, watch, grant, keepalive, revoke, or a name that
-	// the test uses for other parts.
+	// Op is the operation: get, list, cas, delete, watch, grant, keepalive, revoke, or a name that the
+	// test defines for calls to other parts.
 	Op    string
 	Key   string
 	Value []byte
 }
 
-// Action changes one call. The zero value lets it pass.
+// Action is the fault injected into one call. The zero value injects none.
 type Action struct {
-	// Before runs before the call has its effect, After between the effect and the response.
+	// Before runs before the call takes effect, After between the effect and the response.
 	Before, After func()
 	// Lose drops the response of a call that has taken effect.
 	Lose bool
-	// Twice delivers the call twice; the caller gets the second response.
+	// Twice executes the call twice; the caller gets the second response.
 	Twice bool
 }
 
-// Process is one process. It stops at its next call while it is paused.
+// Process is a simulated process. While it is paused, it blocks at its next call.
 type Process struct {
 	Name string
-	// Hook chooses the action for each call; nil lets all calls pass.
+	// Hook selects the action for each call; nil injects no faults.
 	Hook func(Call) Action
 
 	ctx    context.Context
@@ -41,7 +41,7 @@
 
 	mu     sync.Mutex
 	resume chan struct{} // nil while the process runs
-	dead   bool
+	killed bool
 }
 
 // NewProcess returns a running process.
@@ -50,16 +50,16 @@
 	return &Process{Name: name, Hook: hook, ctx: ctx, cancel: cancel}
 }
 
-// Context ends when the process is killed or shut down.
+// Context returns a context that ends when the process is killed or shut down.
 func (p *Process) Context() context.Context { return p.ctx }
 
 // Shutdown asks the process to stop gracefully.
 func (p *Process) Shutdown() { p.cancel() }
 
-// Kill ends the process. None of its later calls has an effect.
+// Kill ends the process. Its later calls have no effect.
 func (p *Process) Kill() {
 	p.mu.Lock()
-	p.dead = true
+	p.killed = true
 	if p.resume != nil {
 		close(p.resume)
 		p.resume = nil
@@ -72,14 +72,15 @@
 func (p *Process) Dead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dead
+	return p.killed
 }
 
-// Pause stops the process for a time. Its timers and deadlines go on, as on a paused machine.
+// Pause pauses the process for a duration. Its timers and deadlines keep running, as when the machine
+// is paused.
 func (p *Process) Pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.dead || p.resume != nil {
+	if p.killed || p.resume != nil {
 		return
 	}
 	resume := make(chan struct{})
@@ -94,21 +95,22 @@
 	})
 }
 
-// Gate blocks while the process is paused and reports whether it lives.
+// Gate blocks while the process is paused and reports whether it is alive.
 func (p *Process) Gate() bool {
 	for {
 		p.mu.Lock()
-		resume, dead := p.resume, p.dead
+		resume, killed := p.resume, p.killed
 		p.mu.Unlock()
-		if resume == nil || dead {
-			return !dead
+		if resume == nil || killed {
+			return !killed
 		}
 		<-resume
 	}
 }
 
-// Do makes one call. lost is the error of a caller that cannot know whether the call had an effect.
-func (p *Process) Do(c Call, lost error, effect func() error) error {
+// Do makes one call and injects its faults. It returns lostErr if the response is lost, so that the
+// caller cannot know whether the call took effect.
+func (p *Process) Do(c Call, lostErr error, effect func() error) error {
 	if !p.Gate() {
 		return external.ErrUnavailable
 	}
@@ -131,12 +133,12 @@
 		a.After()
 	}
 	if !p.Gate() || (a.Lose && err == nil) {
-		return lost
+		return lostErr
 	}
 	return err
 }
 
-// Network is the path to the key-value service, shared by all processes.
+// Network is the network path to the key-value service, shared by all processes.
 type Network struct {
 	mu        sync.Mutex
 	downUntil time.Time
@@ -144,21 +146,22 @@
 	delay     time.Duration
 }
 
-// Down cuts the path for a time.
+// Down makes all calls fail for a duration.
 func (n *Network) Down(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.downUntil = time.Now().Add(d)
 }
 
-// Slow delays each call for a time.
+// Slow adds a delay to each call for the duration d.
 func (n *Network) Slow(d, delay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.slowUntil, n.delay = time.Now().Add(d), delay
 }
 
-func (n *Network) pass(ctx context.Context) error {
+// applyFaults waits for the injected delay and returns an error if the network is down.
+func (n *Network) applyFaults(ctx context.Context) error {
 	n.mu.Lock()
 	now := time.Now()
 	down, slow, delay := now.Before(n.downUntil), now.Before(n.slowUntil), n.delay
--- a/standin/instances/instances.go
+++ b/standin/instances/instances.go
@@ -1,4 +1,5 @@
-// Package instances is a stand-in for the platform's lagging instance list. It is test equipment.
+// Package instances simulates the platform's instance list for tests. Changes become visible after a
+// lag.
 package instances
 
 import (
@@ -15,41 +16,41 @@
 	"github.com/quetzallug/quetzallug/external/instancewire"
 )
 
-// ErrDown means that the list cannot be read.
+// ErrDown is returned by reads while the list is down.
 var ErrDown = errors.New("instance list is down")
 
-// change becomes visible when it is due.
+// change is an update or removal that becomes visible at the time due.
 type change struct {
 	due    time.Time
 	id     string
 	update *external.Instance // nil removes the instance
 }
 
-// List is the instance list. All methods are safe for concurrent use. It has no goroutine:
-// changes and expiries take effect when the list is read or written.
+// List is a simulated instance list. It is safe for concurrent use. It has no goroutine: changes and
+// expiries take effect when the list is read or written.
 type List struct {
 	mu      sync.Mutex
 	lag     time.Duration
 	down    bool
 	actual  map[string]external.Instance
-	expires map[string]time.Time // of instances registered with a time to live
+	expires map[string]time.Time // expiry times of instances with a time to live
 	pending []change
 	visible map[string]external.Instance
 	version uint64
 
-	// epoch names this start. changed holds the version of the last change of each instance, gone
-	// ones included, back to version floor.
-	epoch   string
-	changed map[string]uint64
-	floor   uint64
+	// epoch identifies this start of the list. changed maps each instance that changed after version
+	// changesSince, including removed ones, to the version of its last change.
+	epoch        string
+	changed      map[string]uint64
+	changesSince uint64
 }
 
-// maxChanges bounds the memory of gone instances.
-const maxChanges = 1 << 14
+// maxTrackedChanges limits the size of List.changed, which also holds removed instances.
+const maxTrackedChanges = 1 << 14
 
 var _ external.InstanceList = (*List)(nil)
 
-// New returns an empty list on which a change shows after the given lag.
+// New returns an empty list on which changes become visible after the given lag.
 func New(lag time.Duration) *List {
 	return &List{
 		lag:     lag,
@@ -61,25 +62,25 @@
 	}
 }
 
-// SetLag sets the lag of later changes.
+// SetLag sets the lag of subsequent changes.
 func (l *List) SetLag(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = d
 }
 
-// SetDown makes reads fail with ErrDown. Registrations still count.
+// SetDown makes reads fail with ErrDown. Registrations and other writes still take effect.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// Set replaces the whole list.
+// Set replaces the whole list. The instances do not expire.
 func (l *List) Set(all ...external.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expire()
+	l.removeExpired()
 	keep := map[string]bool{}
 	for _, in := range all {
 		keep[in.ID] = true
@@ -93,12 +94,12 @@
 	}
 }
 
-// Register adds or replaces an instance. A time to live above 0 removes it unless it is
-// registered again in time. An empty state means live.
+// Register adds or replaces an instance. With a time to live above 0, the instance is removed when
+// this time has passed without another registration. An empty state means live.
 func (l *List) Register(in external.Instance, ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expire()
+	l.removeExpired()
 	if ttl > 0 {
 		l.expires[in.ID] = time.Now().Add(ttl)
 	} else {
@@ -111,7 +112,7 @@
 func (l *List) Leave(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expire()
+	l.removeExpired()
 	if in, ok := l.actual[id]; ok {
 		in.State = external.InstanceLeaving
 		l.put(in)
@@ -122,7 +123,7 @@
 func (l *List) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expire()
+	l.removeExpired()
 	l.remove(id, time.Now())
 }
 
@@ -136,11 +137,11 @@
 	if l.version <= after {
 		return external.InstanceSnapshot{Version: after}, nil
 	}
-	return external.InstanceSnapshot{Version: l.version, Instances: l.all()}, nil
+	return external.InstanceSnapshot{Version: l.version, Instances: l.sortedVisible()}, nil
 }
 
-// Changes returns what has changed after a version of an epoch, or the whole list if the epoch is
-// another one or the version is too old.
+// Changes returns the changes after a version of an epoch, or the whole list if the epoch is not the
+// current one or the changes after the version are not known.
 func (l *List) Changes(ctx context.Context, epoch string, after uint64) (instancewire.List, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,8 +149,8 @@
 		return instancewire.List{}, err
 	}
 	out := instancewire.List{Epoch: l.epoch, Version: l.version}
-	if epoch != l.epoch || after == 0 || after < l.floor || after > l.version {
-		out.Instances = l.all()
+	if epoch != l.epoch || after == 0 || after < l.changesSince || after > l.version {
+		out.Instances = l.sortedVisible()
 		return out, nil
 	}
 	out.Since = after
@@ -166,6 +167,7 @@
 	return out, nil
 }
 
+// refresh brings the visible list up to date, or returns an error if the list is down.
 func (l *List) refresh(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -173,12 +175,13 @@
 	if l.down {
 		return ErrDown
 	}
-	l.expire()
-	l.settle()
+	l.removeExpired()
+	l.applyDueChanges()
 	return nil
 }
 
-func (l *List) all() []external.Instance {
+// sortedVisible returns the visible instances, ordered by ID.
+func (l *List) sortedVisible() []external.Instance {
 	return slices.SortedFunc(maps.Values(l.visible), func(a, b external.Instance) int { return cmp.Compare(a.ID, b.ID) })
 }
 
@@ -201,8 +204,8 @@
 	}
 }
 
-// expire removes the instances whose time to live is over.
-func (l *List) expire() {
+// removeExpired removes the instances whose time to live has passed.
+func (l *List) removeExpired() {
 	now := time.Now()
 	for _, id := range slices.Sorted(maps.Keys(l.expires)) {
 		if at := l.expires[id]; !now.Before(at) {
@@ -211,8 +214,8 @@
 	}
 }
 
-// settle makes the due changes visible, in the order in which they are due.
-func (l *List) settle() {
+// applyDueChanges makes the due changes visible, ordered by due time.
+func (l *List) applyDueChanges() {
 	slices.SortStableFunc(l.pending, func(a, b change) int { return a.due.Compare(b.due) })
 	now := time.Now()
 	n := 0
@@ -225,9 +228,9 @@
 		l.version++
 		l.changed[l.pending[n].id] = l.version
 	}
-	if len(l.changed) > maxChanges {
+	if len(l.changed) > maxTrackedChanges {
 		clear(l.changed)
-		l.floor = l.version
+		l.changesSince = l.version
 	}
 	l.pending = slices.Delete(l.pending, 0, n)
 }
--- a/standin/instances/server.go
+++ b/standin/instances/server.go
@@ -10,37 +10,38 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// FaultRequest is the body of POST /faults.
+// FaultRequest is the body of POST /faults, which injects faults.
 type FaultRequest struct {
 	Down  bool  `json:"down"`
 	LagMS int64 `json:"lag_ms"`
 }
 
-// Handler serves the list over HTTP in the form of package instancewire.
+// Handler serves the list over HTTP with the protocol of package instancewire, and POST /faults for
+// tests.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+instancewire.PathList, l.serveList)
 	httpjson.Handle(mux, "POST "+instancewire.PathRegister, func(_ context.Context, r instancewire.Registration) (struct{}, error) {
 		l.Register(r.Instance, time.Duration(r.TTLMS)*time.Millisecond)
 		return struct{}{}, nil
-	}, fail)
+	}, writeUnavailable)
 	httpjson.Handle(mux, "POST "+instancewire.PathLeave, func(_ context.Context, r instancewire.Leave) (struct{}, error) {
 		l.Leave(r.ID)
 		return struct{}{}, nil
-	}, fail)
+	}, writeUnavailable)
 	httpjson.Handle(mux, "POST "+instancewire.PathRemove, func(_ context.Context, r instancewire.Leave) (struct{}, error) {
 		l.Remove(r.ID)
 		return struct{}{}, nil
-	}, fail)
+	}, writeUnavailable)
 	httpjson.Handle(mux, "POST /faults", func(_ context.Context, f FaultRequest) (struct{}, error) {
 		l.SetDown(f.Down)
 		l.SetLag(time.Duration(f.LagMS) * time.Millisecond)
 		return struct{}{}, nil
-	}, fail)
+	}, writeUnavailable)
 	return mux
 }
 
-func fail(w http.ResponseWriter, err error) {
+func writeUnavailable(w http.ResponseWriter, err error) {
 	httpjson.WriteError(w, http.StatusServiceUnavailable, "down", err)
 }
 
@@ -55,7 +56,7 @@
 	}
 	list, err := l.Changes(r.Context(), r.URL.Query().Get("epoch"), after)
 	if err != nil {
-		fail(w, err)
+		writeUnavailable(w, err)
 		return
 	}
 	httpjson.Write(w, http.StatusOK, list)
--- a/standin/kv/faults.go
+++ b/standin/kv/faults.go
@@ -8,30 +8,30 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// FaultState is the set of faults in force.
+// FaultState is the set of faults to inject.
 type FaultState struct {
-	// Down makes each call fail without effect.
+	// Down makes all calls fail without effect.
 	Down bool `json:"down"`
-	// SlowMS delays each call.
+	// SlowMS is the delay of each call in milliseconds.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers makes that many writes take effect and lose their response.
+	// LoseAnswers is the number of next writes that take effect but lose their response.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Faults switches the faults of a store.
+// Faults holds the injected faults of a store. It is safe for concurrent use.
 type Faults struct {
 	mu    sync.Mutex
 	state FaultState
 }
 
-// Set replaces the faults in force.
+// Set replaces the injected faults.
 func (f *Faults) Set(s FaultState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state = s
 }
 
-// Get returns the faults in force.
+// Get returns the injected faults.
 func (f *Faults) Get() FaultState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,8 +40,8 @@
 
 func (f *Faults) isDown() bool { return f.Get().Down }
 
-// before runs ahead of the effect of a call.
-func (f *Faults) before(ctx context.Context) error {
+// beforeCall injects the faults that precede the effect of a call.
+func (f *Faults) beforeCall(ctx context.Context) error {
 	s := f.Get()
 	if s.SlowMS > 0 {
 		if err := sleep(ctx, time.Duration(s.SlowMS)*time.Millisecond); err != nil {
@@ -54,8 +54,9 @@
 	return nil
 }
 
-// after runs once a write has taken effect.
-func (f *Faults) after(ctx context.Context) error {
+// afterWrite injects the loss of the response after a write has taken effect. The response is also
+// lost if the caller's context has ended.
+func (f *Faults) afterWrite(ctx context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state.LoseAnswers > 0 {
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -11,7 +11,8 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// Handler serves the store over HTTP with JSON bodies.
+// Handler serves the store over HTTP with the protocol of package kvwire, and GET /calls and
+// POST /faults for tests.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handle(mux, kvwire.PathGet, func(ctx context.Context, r kvwire.Request) (kvwire.Response, error) {
@@ -59,7 +60,7 @@
 		}
 		resp, err := do(r.Context(), req)
 		if errors.Is(err, external.ErrOutcomeUnknown) {
-			// The write took effect and its response is lost: drop the connection.
+			// The write took effect, but its response is lost: drop the connection.
 			panic(http.ErrAbortHandler)
 		}
 		resp.Error = kvwire.Code(err)
--- a/standin/kv/store.go
+++ b/standin/kv/store.go
@@ -1,5 +1,5 @@
-// Package kv is a stand-in for the platform's key-value service: compare-and-swap, leases,
-// watches, call accounting, a rate limit and switchable faults. It is test equipment.
+// Package kv simulates the platform's key-value service for tests. It implements compare-and-swap,
+// leases, watches, call counters, rate limits and fault injection.
 package kv
 
 import (
@@ -15,21 +15,22 @@
 )
 
 const (
-	// MaxValueBytes is the largest value that the service accepts.
+	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes = 1 << 20
-	// DefaultWatchWait bounds one watch call.
+	// DefaultWatchWait is the maximum duration of one watch call.
 	DefaultWatchWait = 20 * time.Second
-	// eventLogLength is the number of past events that a watch can continue from.
+	// eventLogLength is the maximum number of past events that are kept for watches.
 	eventLogLength = 4096
 )
 
-// Limits are the rates of the service in calls per second. Zero means no limit.
+// Limits are the rate limits of the service in calls per second. Zero means no limit.
 type Limits struct {
 	Writes float64
 	Reads  float64
 }
 
-// Calls counts the calls that the service has taken.
+// Calls holds the call counters of the service. Waiting is the number of watches in progress, Rejected
+// the number of calls over a rate limit.
 type Calls struct {
 	Reads    uint64 `json:"reads"`
 	Writes   uint64 `json:"writes"`
@@ -50,21 +51,21 @@
 	expires time.Time
 }
 
-// Store is the service's state. All methods are safe for concurrent use.
+// Store is a simulated key-value service. It is safe for concurrent use.
 type Store struct {
 	faults *Faults
 
-	mu       sync.Mutex
-	revision uint64
-	items    map[string]*item
-	leases   map[external.LeaseID]*leaseState
-	next     external.LeaseID
-	log      []external.Event
-	changed  chan struct{}
-	calls    Calls
-	writes   *rate.Limiter
-	reads    *rate.Limiter
-	wait     time.Duration
+	mu        sync.Mutex
+	revision  uint64
+	items     map[string]*item
+	leases    map[external.LeaseID]*leaseState
+	lastLease external.LeaseID
+	eventLog  []external.Event
+	changed   chan struct{}
+	calls     Calls
+	writes    *rate.Limiter
+	reads     *rate.Limiter
+	watchWait time.Duration
 }
 
 var _ external.KV = (*Store)(nil)
@@ -72,36 +73,36 @@
 // NewStore returns an empty store.
 func NewStore(l Limits) *Store {
 	return &Store{
-		faults:  &Faults{},
-		items:   map[string]*item{},
-		leases:  map[external.LeaseID]*leaseState{},
-		changed: make(chan struct{}),
-		writes:  limiter(l.Writes),
-		reads:   limiter(l.Reads),
-		wait:    DefaultWatchWait,
+		faults:    &Faults{},
+		items:     map[string]*item{},
+		leases:    map[external.LeaseID]*leaseState{},
+		changed:   make(chan struct{}),
+		writes:    newLimiter(l.Writes),
+		reads:     newLimiter(l.Reads),
+		watchWait: DefaultWatchWait,
 	}
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Faults returns the store's switchable faults.
+// Faults returns the injected faults of the store.
 func (s *Store) Faults() *Faults { return s.faults }
 
-// Calls returns the accounting so far.
+// Calls returns the call counters.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// admitRead counts a read and applies the fault and rate limits.
+// admitRead injects faults, applies the rate limit and counts the read.
 func (s *Store) admitRead(ctx context.Context) error {
-	if err := s.faults.before(ctx); err != nil {
+	if err := s.faults.beforeCall(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -114,8 +115,9 @@
 	return nil
 }
 
+// admitWrite injects faults, applies the rate limit and counts the write.
 func (s *Store) admitWrite(ctx context.Context) error {
-	if err := s.faults.before(ctx); err != nil {
+	if err := s.faults.beforeCall(ctx); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -154,6 +156,7 @@
 	return s.listLocked(prefix), s.revision, nil
 }
 
+// listLocked returns the entries under prefix in key order. The caller holds s.mu.
 func (s *Store) listLocked(prefix string) []external.Entry {
 	var entries []external.Entry
 	for k, it := range s.items {
@@ -173,14 +176,14 @@
 	if err := s.admitWrite(ctx); err != nil {
 		return 0, err
 	}
-	version, err := s.swap(key, expected, value, lease)
+	version, err := s.applySwap(key, expected, value, lease)
 	if err != nil {
 		return 0, err
 	}
-	return version, s.faults.after(ctx)
+	return version, s.faults.afterWrite(ctx)
 }
 
-func (s *Store) swap(key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
+func (s *Store) applySwap(key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
@@ -215,12 +218,12 @@
 	}
 	s.remove(key)
 	s.mu.Unlock()
-	return s.faults.after(ctx)
+	return s.faults.afterWrite(ctx)
 }
 
 // Watch implements external.KV.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
-	if err := s.faults.before(ctx); err != nil {
+	if err := s.faults.beforeCall(ctx); err != nil {
 		return nil, after, err
 	}
 	s.mu.Lock()
@@ -232,7 +235,7 @@
 		s.calls.Waiting--
 		s.mu.Unlock()
 	}()
-	deadline := time.NewTimer(s.wait)
+	deadline := time.NewTimer(s.watchWait)
 	defer deadline.Stop()
 	for {
 		if s.faults.isDown() {
@@ -242,19 +245,20 @@
 		s.expireLeases()
 		events, next := s.eventsAfter(prefix, after)
 		changed := s.changed
-		expiry := s.nextExpiry()
+		expiry := s.untilNextExpiry()
 		s.mu.Unlock()
 		if len(events) > 0 {
 			return events, next, nil
 		}
-		if !waitChange(ctx, changed, deadline.C, expiry) {
+		if !waitForChange(ctx, changed, deadline.C, expiry) {
 			return nil, next, ctx.Err()
 		}
 	}
 }
 
-// waitChange waits for a change or a lease expiry. It returns false when the call must end.
-func waitChange(ctx context.Context, changed <-chan struct{}, deadline <-chan time.Time, expiry time.Duration) bool {
+// waitForChange waits for a change or the next lease expiry. It returns false if the context ended or
+// the deadline passed first.
+func waitForChange(ctx context.Context, changed <-chan struct{}, deadline <-chan time.Time, expiry time.Duration) bool {
 	timer := time.NewTimer(expiry)
 	defer timer.Stop()
 	select {
@@ -268,10 +272,10 @@
 	return true
 }
 
-// eventsAfter returns the events under prefix after a revision. If the log no longer reaches
-// back to it, the present entries are returned as events.
+// eventsAfter returns the events under prefix after a revision, and the revision to continue from. If
+// the event log does not reach back to the given revision, the current entries are returned as events.
 func (s *Store) eventsAfter(prefix string, after uint64) ([]external.Event, uint64) {
-	if after < s.revision && (len(s.log) == 0 || s.log[0].Revision > after+1) {
+	if after < s.revision && (len(s.eventLog) == 0 || s.eventLog[0].Revision > after+1) {
 		var events []external.Event
 		for _, e := range s.listLocked(prefix) {
 			events = append(events, external.Event{Entry: e})
@@ -279,7 +283,7 @@
 		return events, s.revision
 	}
 	var events []external.Event
-	for _, e := range s.log {
+	for _, e := range s.eventLog {
 		if e.Revision > after && strings.HasPrefix(e.Key, prefix) {
 			events = append(events, e)
 		}
@@ -293,11 +297,11 @@
 		return 0, err
 	}
 	s.mu.Lock()
-	s.next++
-	id := s.next
+	s.lastLease++
+	id := s.lastLease
 	s.leases[id] = &leaseState{ttl: ttl, expires: time.Now().Add(ttl)}
 	s.mu.Unlock()
-	return id, s.faults.after(ctx)
+	return id, s.faults.afterWrite(ctx)
 }
 
 // KeepAlive implements external.KV.
@@ -315,7 +319,7 @@
 	if !ok {
 		return external.ErrLeaseExpired
 	}
-	return s.faults.after(ctx)
+	return s.faults.afterWrite(ctx)
 }
 
 // RevokeLease implements external.KV.
@@ -326,7 +330,7 @@
 	s.mu.Lock()
 	s.dropLease(id)
 	s.mu.Unlock()
-	return s.faults.after(ctx)
+	return s.faults.afterWrite(ctx)
 }
 
 func (s *Store) expireLeases() {
@@ -338,7 +342,8 @@
 	}
 }
 
-func (s *Store) nextExpiry() time.Duration {
+// untilNextExpiry returns the time until the next lease expires, between 1 ms and DefaultWatchWait.
+func (s *Store) untilNextExpiry() time.Duration {
 	next := DefaultWatchWait
 	for _, l := range s.leases {
 		next = min(next, time.Until(l.expires))
@@ -346,6 +351,7 @@
 	return max(next, time.Millisecond)
 }
 
+// dropLease ends a lease and removes its keys.
 func (s *Store) dropLease(id external.LeaseID) {
 	delete(s.leases, id)
 	var keys []string
@@ -367,9 +373,9 @@
 }
 
 func (s *Store) appendEvent(e external.Event) {
-	s.log = append(s.log, e)
-	if len(s.log) > eventLogLength {
-		s.log = slices.Clone(s.log[len(s.log)-eventLogLength/2:])
+	s.eventLog = append(s.eventLog, e)
+	if len(s.eventLog) > eventLogLength {
+		s.eventLog = slices.Clone(s.eventLog[len(s.eventLog)-eventLogLength/2:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/standin/kv/store_test.go
+++ b/standin/kv/store_test.go
@@ -11,7 +11,8 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// Guards against a lost response that did not take effect, which would hide faults in callers.
+// Guards against a write with a lost response that does not take effect. This would hide faults of
+// callers that retry it.
 func TestLostAnswerTakesEffect(t *testing.T) {
 	s := kv.NewStore(kv.Limits{})
 	s.Faults().Set(kv.FaultState{LoseAnswers: 1})
@@ -24,7 +25,8 @@
 	require.ErrorIs(t, err, external.ErrConflict)
 }
 
-// Guards against keys that outlive their lease.
+// Guards against keys that remain after their lease has expired, and against watches that do not
+// report the removal.
 func TestLeaseExpiryRemovesKeyAndWakesWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := kv.NewStore(kv.Limits{})
--- a/standin/site/answers.go
+++ b/standin/site/answers.go
@@ -10,40 +10,43 @@
 	"time"
 )
 
-// expired is the answer at the time limit of a request that has run.
-func expired(rw http.ResponseWriter) { rw.WriteHeader(http.StatusGatewayTimeout) }
+// writeTimeout writes the response to a request that ran until its deadline.
+func writeTimeout(rw http.ResponseWriter) { rw.WriteHeader(http.StatusGatewayTimeout) }
 
-// read takes the time that reading the prompt takes, one prompt after the other.
-func (w *Worker) read(ctx context.Context, r *http.Request) bool {
+// prefillPrompt simulates the prefill of the request's prompt. It waits for the worker's other prefills,
+// then takes PerToken for each token outside the longest cached prefix, and caches the prompt. It
+// returns false if the context ends first.
+func (w *Worker) prefillPrompt(ctx context.Context, r *http.Request) bool {
 	select {
-	case w.reading <- struct{}{}:
-		defer func() { <-w.reading }()
+	case w.prefillSlot <- struct{}{}:
+		defer func() { <-w.prefillSlot }()
 	case <-ctx.Done():
 		return false
 	}
 	tokens := 0
-	hit := true
-	chain := ""
+	cached := true
+	prefix := ""
 	for part := range strings.SplitSeq(r.Header.Get("Quetzallug-Prefix-Hash"), ",") {
 		id, count, _ := strings.Cut(part, ":")
 		n, _ := strconv.Atoi(count)
-		chain += "/" + id
+		prefix += "/" + id
 		w.mu.Lock()
-		hit = hit && w.kept[chain]
-		w.kept[chain] = true
+		cached = cached && w.cachedPrefixes[prefix]
+		w.cachedPrefixes[prefix] = true
 		w.mu.Unlock()
-		if !hit {
+		if !cached {
 			tokens += n
 		}
 	}
-	per := w.cfg.PerToken
+	perToken := w.cfg.PerToken
 	if w.Stage() == "decode" {
-		per *= 2
+		perToken *= 2
 	}
-	return wait(ctx, time.Duration(tokens)*per)
+	return sleep(ctx, time.Duration(tokens)*perToken)
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep returns false if the context ends before the duration has passed.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -54,14 +57,16 @@
 	}
 }
 
-// Events is the number of events of a stream: the output tokens that the request names.
+// Events returns the number of events in the response stream, which is the request's number of output
+// tokens.
 func Events(r *http.Request) int {
 	_, out, _ := strings.Cut(r.Header.Get("Quetzallug-Token-Count"), ",")
 	n, _ := strconv.Atoi(out)
 	return n
 }
 
-func (w *Worker) stream(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
+// serveStream writes a response stream, starting after the event run.After.
+func (w *Worker) serveStream(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
 	n := Events(r)
 	first, _ := strconv.Atoi(run.After)
 	rw.Header().Set("Content-Type", "text/event-stream")
@@ -73,12 +78,12 @@
 		return
 	case FaultHang:
 		<-ctx.Done()
-		expired(rw)
+		writeTimeout(rw)
 		return
 	default:
 	}
 	for i := first + 1; i <= n; i++ {
-		if !wait(ctx, w.cfg.Work) {
+		if !sleep(ctx, w.cfg.Work) {
 			panic(http.ErrAbortHandler)
 		}
 		event := Event(run.ID, i)
@@ -95,19 +100,20 @@
 	run.Finished = true
 }
 
-func (w *Worker) plain(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
-	if !wait(ctx, w.cfg.Work) {
-		expired(rw)
+// servePlain writes the response to a plain request.
+func (w *Worker) servePlain(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
+	if !sleep(ctx, w.cfg.Work) {
+		writeTimeout(rw)
 		return
 	}
 	text := Answer(run.ID, r.RequestURI)
-	head := func(id, extra string) string {
+	responseHead := func(id, extra string) string {
 		return "HTTP/1.1 200 OK\r\nQuetzallug-Attempt-Id: " + id + "\r\nQuetzallug-Response-Signature: " +
 			Signature(w.cfg.ID, id) + "\r\n" + extra + "\r\n"
 	}
-	whole := func(id string) string {
+	fullResponse := func(id string) string {
 		body := Answer(id, r.RequestURI)
-		return head(id, "Content-Length: "+strconv.Itoa(len(body))+"\r\n") + body
+		return responseHead(id, "Content-Length: "+strconv.Itoa(len(body))+"\r\n") + body
 	}
 	switch fault {
 	case FaultError:
@@ -118,24 +124,24 @@
 		panic(http.ErrAbortHandler)
 	case FaultHang:
 		<-ctx.Done()
-		expired(rw)
+		writeTimeout(rw)
 		return
 	case FaultUnsigned:
 		rw.Header().Del("Quetzallug-Response-Signature")
 	case FaultTruncate:
-		w.raw(rw, head(run.ID, "Content-Length: "+strconv.Itoa(len(text))+"\r\n")+text[:len(text)/2], true)
+		w.writeRaw(rw, responseHead(run.ID, "Content-Length: "+strconv.Itoa(len(text))+"\r\n")+text[:len(text)/2], true)
 		return
 	case FaultGarbage:
-		w.raw(rw, "\x00\x01 this is no answer\r\n\r\n", true)
+		w.writeRaw(rw, "\x00\x01 this is no answer\r\n\r\n", true)
 		return
 	case FaultUnframed:
-		w.raw(rw, head(run.ID, "Connection: close\r\n")+text, true)
+		w.writeRaw(rw, responseHead(run.ID, "Connection: close\r\n")+text, true)
 		return
 	case FaultExtra:
-		w.raw(rw, whole(run.ID)+whole(run.ID), false)
+		w.writeRaw(rw, fullResponse(run.ID)+fullResponse(run.ID), false)
 		return
 	case FaultForeign:
-		w.raw(rw, whole("another")+whole(run.ID), false)
+		w.writeRaw(rw, fullResponse("another")+fullResponse(run.ID), false)
 		return
 	default:
 	}
@@ -144,9 +150,9 @@
 	_, _ = io.WriteString(rw, text)
 }
 
-// raw writes bytes to the connection. Without closing, the connection serves further requests as the
-// rest of a broken server would: each gets nothing.
-func (w *Worker) raw(rw http.ResponseWriter, text string, closeAfter bool) {
+// writeRaw writes bytes to the connection. Without closeAfter, the connection stays open, but further
+// requests on it get no response, as from a broken server.
+func (w *Worker) writeRaw(rw http.ResponseWriter, text string, closeAfter bool) {
 	c, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
 		return
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -1,5 +1,5 @@
-// Package site is a stand-in of the users' platform: its metadata store, its model workers and its
-// plain workers. It speaks their protocol over HTTP and records what it saw. Tests only.
+// Package site simulates the users' platform for tests: the metadata store, model workers and plain
+// workers. It implements their HTTP protocols and records the requests it receives.
 package site
 
 import (
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// StoreMode is how the store answers.
+// StoreMode selects how the store responds to calls.
 type StoreMode int
 
 // Modes of the store.
 const (
-	StoreUp StoreMode = iota
-	StoreBusy
-	StoreSilent
-	StoreReset
+	StoreUp     StoreMode = iota // responds normally
+	StoreBusy                    // responds to each call with 503
+	StoreSilent                  // never responds
+	StoreReset                   // closes the connection of each call
 )
 
-// Item is a key with its value.
+// Item is the state of a key at one revision.
 type Item struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -34,75 +34,76 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// pageItems is the most items of one page.
-const pageItems = 500
+// maxPageItems is the maximum number of items in one page of a range response.
+const maxPageItems = 500
 
 type storeLease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Store is the metadata store. It is safe for concurrent use.
+// Store is a simulated metadata store. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	changed  chan struct{}
-	items    map[string]*Item
-	history  []Item
-	dropped  uint64 // revisions up to this one are no longer in the history
-	revision uint64
-	leases   map[uint64]*storeLease
-	mode     StoreMode
-	// lose and late count the writes whose answers are lost, at once or applied after a delay.
-	lose  int
-	late  time.Duration
-	calls map[string]int
-	ended chan struct{}
+	mu                sync.Mutex
+	changed           chan struct{}
+	items             map[string]*Item
+	history           []Item
+	compactedRevision uint64 // revisions up to this one are no longer in the history
+	revision          uint64
+	leases            map[uint64]*storeLease
+	mode              StoreMode
+	// lostWrites is the number of next writes whose response is lost. They are applied after
+	// lostWriteDelay, or at once if it is 0.
+	lostWrites     int
+	lostWriteDelay time.Duration
+	calls          map[string]int
+	closed         chan struct{}
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
 		changed: make(chan struct{}), items: map[string]*Item{}, revision: 1, leases: map[uint64]*storeLease{},
-		calls: map[string]int{}, ended: make(chan struct{}),
+		calls: map[string]int{}, closed: make(chan struct{}),
 	}
 }
 
-// Close ends all calls that wait.
+// Close aborts all waiting calls.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.ended:
+	case <-s.closed:
 	default:
-		close(s.ended)
+		close(s.closed)
 	}
 }
 
-// SetMode changes how the store answers.
+// SetMode changes how the store responds. Waiting watches are aborted unless the mode is StoreUp.
 func (s *Store) SetMode(m StoreMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
-	s.wake()
+	s.notifyWatchers()
 }
 
-// LoseWrites loses the answers of the next writes. With a delay, they are applied that much later if
-// their condition still holds.
+// LoseWrites makes the store lose the responses of the next n writes. With a delay, the writes are
+// applied that much later, if their preconditions still hold by then.
 func (s *Store) LoseWrites(n int, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose, s.late = n, delay
+	s.lostWrites, s.lostWriteDelay = n, delay
 }
 
-// Compact forgets the history and cuts the watches.
+// Compact discards the history. Watches that continue from an earlier revision end with status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.dropped = nil, s.revision
-	s.wake()
+	s.history, s.compactedRevision = nil, s.revision
+	s.notifyWatchers()
 }
 
-// Calls returns the number of calls by path.
+// Calls returns the number of calls for each path, without the IDs in paths.
 func (s *Store) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +114,8 @@
 	return out
 }
 
-// Put writes a key as the operator or a worker does.
+// Put writes a key, as an operator or a worker does, and returns the new revision. A value that is
+// not a byte slice is encoded as JSON.
 func (s *Store) Put(key string, value any) uint64 {
 	b, ok := value.([]byte)
 	if !ok {
@@ -125,39 +127,39 @@
 	return s.revision
 }
 
-// Remove deletes a key as the operator or a worker does.
+// Remove deletes a key, as an operator or a worker does.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
 }
 
-// Value returns the value of a key, or nil.
+// Value returns the value of a key, or nil if the key does not exist.
 func (s *Store) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	if i := s.items[key]; i != nil {
-		return i.Value
+	s.expireLeases()
+	if item := s.items[key]; item != nil {
+		return item.Value
 	}
 	return nil
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) put(key string, value []byte, lease uint64) {
 	s.revision++
-	i := s.items[key]
-	if i == nil {
-		i = &Item{Key: key, CreateRev: s.revision}
-		s.items[key] = i
+	item := s.items[key]
+	if item == nil {
+		item = &Item{Key: key, CreateRev: s.revision}
+		s.items[key] = item
 	}
-	i.Value, i.Revision, i.Lease = value, s.revision, lease
-	s.history = append(s.history, *i)
-	s.wake()
+	item.Value, item.Revision, item.Lease = value, s.revision, lease
+	s.history = append(s.history, *item)
+	s.notifyWatchers()
 }
 
 func (s *Store) remove(key string) {
@@ -167,23 +169,23 @@
 	s.revision++
 	delete(s.items, key)
 	s.history = append(s.history, Item{Key: key, Revision: s.revision, Tombstone: true})
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) expire() {
+func (s *Store) expireLeases() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.until) {
-			s.endLease(id)
+		if now.After(l.expiresAt) {
+			s.revokeLease(id)
 		}
 	}
 }
 
-func (s *Store) endLease(id uint64) {
+func (s *Store) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
-	for k, i := range s.items {
-		if i.Lease == id {
+	for k, item := range s.items {
+		if item.Lease == id {
 			keys = append(keys, k)
 		}
 	}
@@ -198,7 +200,7 @@
 	s.mu.Lock()
 	s.calls[strings.Join(strings.Split(r.URL.Path, "/")[:3], "/")]++
 	mode := s.mode
-	s.expire()
+	s.expireLeases()
 	s.mu.Unlock()
 	switch mode {
 	case StoreBusy:
@@ -207,7 +209,7 @@
 	case StoreReset:
 		panic(http.ErrAbortHandler)
 	case StoreSilent:
-		s.silence(r)
+		s.hang(r)
 	case StoreUp:
 	}
 	path := r.URL.Path
@@ -223,11 +225,11 @@
 	case path == "/api/kv-lease":
 		s.serveLease(w, r)
 	case strings.HasPrefix(path, "/api/kv-keep/"):
-		s.serveKeep(w, path[len("/api/kv-keep/"):])
+		s.serveKeepAlive(w, path[len("/api/kv-keep/"):])
 	case strings.HasPrefix(path, "/api/kv-lease-end/"):
 		s.mu.Lock()
 		id, _ := strconv.ParseUint(path[len("/api/kv-lease-end/"):], 10, 64)
-		s.endLease(id)
+		s.revokeLease(id)
 		s.mu.Unlock()
 		reply(w, http.StatusOK, struct{}{})
 	default:
@@ -235,11 +237,11 @@
 	}
 }
 
-// silence holds a call until its caller leaves.
-func (s *Store) silence(r *http.Request) {
+// hang blocks until the caller disconnects or the store is closed, then aborts the call.
+func (s *Store) hang(r *http.Request) {
 	select {
 	case <-r.Context().Done():
-	case <-s.ended:
+	case <-s.closed:
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -247,7 +249,7 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		panic(fmt.Sprintf("encode an answer of the stand-in: %v", err))
+		panic(fmt.Sprintf("encode response: %v", err))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -257,15 +259,15 @@
 func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.items[r.URL.Query().Get("key")]
-	if i == nil {
+	item := s.items[r.URL.Query().Get("key")]
+	if item == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	reply(w, http.StatusOK, struct {
 		Item
 		CurrentRev uint64 `json:"current-rev"`
-	}{*i, s.revision})
+	}{*item, s.revision})
 }
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -273,15 +275,15 @@
 	defer s.mu.Unlock()
 	prefix, after := r.URL.Query().Get("path-prefix"), r.URL.Query().Get("after")
 	items := []Item{}
-	for k, i := range s.items {
+	for k, item := range s.items {
 		if strings.HasPrefix(k, prefix) && k > after {
-			items = append(items, *i)
+			items = append(items, *item)
 		}
 	}
 	slices.SortFunc(items, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
-	more := len(items) > pageItems
+	morePages := len(items) > maxPageItems
 	reply(w, http.StatusOK, map[string]any{
-		"items": items[:min(len(items), pageItems)], "more-pages": more, "current-rev": s.revision,
+		"items": items[:min(len(items), maxPageItems)], "more-pages": morePages, "current-rev": s.revision,
 	})
 }
 
@@ -291,27 +293,27 @@
 	wait, _ := strconv.Atoi(q.Get("wait-ms"))
 	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timeout.Stop()
-	over := false
+	timedOut := false
 	for {
 		s.mu.Lock()
-		s.expire()
+		s.expireLeases()
 		changed, mode := s.changed, s.mode
 		if mode != StoreUp {
 			s.mu.Unlock()
 			panic(http.ErrAbortHandler)
 		}
-		if after < s.dropped {
+		if after < s.compactedRevision {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		events := []Item{}
-		for _, i := range s.history {
-			if i.Revision > after && strings.HasPrefix(i.Key, q.Get("path-prefix")) {
-				events = append(events, i)
+		for _, item := range s.history {
+			if item.Revision > after && strings.HasPrefix(item.Key, q.Get("path-prefix")) {
+				events = append(events, item)
 			}
 		}
-		if len(events) > 0 || over {
+		if len(events) > 0 || timedOut {
 			reply(w, http.StatusOK, map[string]any{"events": events, "current-rev": s.revision})
 			s.mu.Unlock()
 			return
@@ -320,10 +322,10 @@
 		select {
 		case <-changed:
 		case <-timeout.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
-		case <-s.ended:
+		case <-s.closed:
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -349,11 +351,11 @@
 		return
 	}
 	s.mu.Lock()
-	if s.lose > 0 {
-		s.lose--
-		late := s.late
-		if late > 0 {
-			time.AfterFunc(late, func() {
+	if s.lostWrites > 0 {
+		s.lostWrites--
+		delay := s.lostWriteDelay
+		if delay > 0 {
+			time.AfterFunc(delay, func() {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				s.apply(&t)
@@ -362,13 +364,15 @@
 			s.apply(&t)
 		}
 		s.mu.Unlock()
-		s.silence(r)
+		s.hang(r)
 	}
 	defer s.mu.Unlock()
 	status, body := s.apply(&t)
 	reply(w, status, body)
 }
 
+// apply executes a transaction if its preconditions hold, and returns the status and body of the
+// response. The caller holds s.mu.
 func (s *Store) apply(t *transaction) (int, any) {
 	for _, p := range t.Puts {
 		if strings.HasPrefix(p.Key, "op/") || strings.HasPrefix(p.Key, "servers/") {
@@ -378,12 +382,12 @@
 			return http.StatusNotFound, struct{}{}
 		}
 	}
-	for _, c := range t.Precondition {
-		var now uint64
-		if i := s.items[c.Key]; i != nil {
-			now = i.Revision
+	for _, condition := range t.Precondition {
+		var current uint64
+		if item := s.items[condition.Key]; item != nil {
+			current = item.Revision
 		}
-		if now != c.Revision {
+		if current != condition.Revision {
 			return http.StatusPreconditionFailed, map[string]any{"items": []Item{}}
 		}
 	}
@@ -408,11 +412,11 @@
 	defer s.mu.Unlock()
 	s.revision++
 	ttl := time.Duration(body.TTLMS) * time.Millisecond
-	s.leases[s.revision] = &storeLease{ttl: ttl, until: time.Now().Add(ttl)}
+	s.leases[s.revision] = &storeLease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	reply(w, http.StatusOK, map[string]any{"lease": s.revision, "ttl-ms": body.TTLMS})
 }
 
-func (s *Store) serveKeep(w http.ResponseWriter, id string) {
+func (s *Store) serveKeepAlive(w http.ResponseWriter, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n, _ := strconv.ParseUint(id, 10, 64)
@@ -421,15 +425,15 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.until = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	reply(w, http.StatusOK, map[string]any{"ttl-ms": l.ttl.Milliseconds()})
 }
 
-// EndLeases ends all leases, as the store may do to machines that it turns away.
+// EndLeases revokes all leases, as the platform's store may do for instances that it rejects.
 func (s *Store) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.endLease(id)
+		s.revokeLease(id)
 	}
 }
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// Fault is what a worker does wrong with one request.
+// Fault is the fault that a worker injects into one request.
 type Fault int
 
 // Faults of workers.
 const (
 	FaultNone       Fault = iota
-	FaultShed             // refuses before running
-	FaultError            // runs and answers 500
-	FaultResetEarly       // closes without running
-	FaultLost             // runs and closes without an answer
-	FaultHang             // runs and says nothing until the caller leaves
-	FaultTruncate         // breaks off in the middle of the answer
-	FaultGarbage          // sends bytes that are no answer
-	FaultExtra            // sends a second answer after the first
-	FaultForeign          // sends an answer to another request first
-	FaultUnsigned         // answers 200 without signature
-	FaultUnframed         // sends the answer without length and closes
-	FaultEarly            // answers before it has read the body
+	FaultShed             // refuses the request without running it
+	FaultError            // runs the request and responds with 500
+	FaultResetEarly       // closes the connection without running the request
+	FaultLost             // runs the request and closes the connection without a response
+	FaultHang             // runs the request and sends nothing until the deadline or the caller's disconnect
+	FaultTruncate         // closes the connection in the middle of the response
+	FaultGarbage          // sends bytes that are not an HTTP response
+	FaultExtra            // sends the response twice
+	FaultForeign          // sends the response to another request first
+	FaultUnsigned         // responds with 200 but without a signature
+	FaultUnframed         // sends the response without a length and closes the connection
+	FaultEarly            // sends the response before reading the request body
 )
 
-// Run is one request that a worker has begun to work on.
+// Run is one request that a worker has started to run.
 type Run struct {
 	ID       string
 	Worker   string
@@ -50,7 +50,7 @@
 	Finished bool
 }
 
-// Order is one accepted order.
+// Order is one role order that a worker accepted.
 type Order struct {
 	Holder string
 	Fence  uint64
@@ -58,7 +58,7 @@
 	At     time.Time
 }
 
-// WorkerConfig sets a worker.
+// WorkerConfig configures a worker.
 type WorkerConfig struct {
 	ID      string
 	Service string
@@ -67,42 +67,44 @@
 	Slots   int
 	// Stage is empty for plain workers.
 	Stage string
-	// Work is the time of one plain request, or of one event of a stream.
+	// Work is the duration of a plain request, or the time per event of a stream.
 	Work time.Duration
-	// PerToken is the time to read one prompt token in the prefill stage; decode takes twice as long.
+	// PerToken is the time to prefill one prompt token in the prefill stage. In the decode stage it
+	// takes twice as long.
 	PerToken time.Duration
-	// RoleSwitch is how long a change of the stage takes.
+	// RoleSwitch is the duration of a change of the stage.
 	RoleSwitch time.Duration
-	// Fault decides what goes wrong with a request; nil means nothing.
+	// Fault selects the fault for each request; nil injects none.
 	Fault func(r *http.Request) Fault
-	// LateOrders delays orders and loses their answers.
+	// LateOrders, if above 0, is the time after which orders are applied; their responses are lost.
 	LateOrders time.Duration
 }
 
-// Worker is a model worker or a plain worker. It is safe for concurrent use.
+// Worker is a simulated model worker or plain worker. It is safe for concurrent use.
 type Worker struct {
-	cfg  WorkerConfig
-	born int64
-
-	mu       sync.Mutex
-	stage    string
-	busy     bool
-	seq      int64
-	state    string
-	running  int
-	arrivals []string
-	runs     []*Run
-	orders   []Order
-	kept     map[string]bool
-	handles  map[string]string
-	freed    int
-	// reading holds one token: prompts are read one after the other. A mutex would stop virtual time.
-	reading chan struct{}
+	cfg         WorkerConfig
+	startMillis int64
+
+	mu             sync.Mutex
+	stage          string
+	busy           bool
+	orderSequence  int64
+	state          string
+	running        int
+	arrivals       []string
+	runs           []*Run
+	orders         []Order
+	cachedPrefixes map[string]bool
+	handles        map[string]string
+	freedHandles   int
+	// prefillSlot holds one element during a prefill, so that prompts are prefilled one at a time. It is
+	// not a mutex, because a goroutine blocked on a mutex stops the virtual time of synctest.
+	prefillSlot chan struct{}
 }
 
-// NewWorker returns a worker that is ready.
+// NewWorker returns a worker in state ready.
 func NewWorker(cfg WorkerConfig) *Worker {
-	return &Worker{cfg: cfg, born: time.Now().UnixMilli(), stage: cfg.Stage, state: "ready", kept: map[string]bool{}, handles: map[string]string{}, reading: make(chan struct{}, 1)}
+	return &Worker{cfg: cfg, startMillis: time.Now().UnixMilli(), stage: cfg.Stage, state: "ready", cachedPrefixes: map[string]bool{}, handles: map[string]string{}, prefillSlot: make(chan struct{}, 1)}
 }
 
 // ID returns the worker's ID.
@@ -111,7 +113,7 @@
 // Address returns the worker's address.
 func (w *Worker) Address() string { return w.cfg.Address }
 
-// SetFault changes what goes wrong.
+// SetFault replaces WorkerConfig.Fault.
 func (w *Worker) SetFault(f func(*http.Request) Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,13 +123,13 @@
 // Register writes the worker's entry to the store.
 func (w *Worker) Register(s *Store) { s.Put("servers/"+w.cfg.ID, w.Entry()) }
 
-// Entry is the worker's entry in the store.
+// Entry returns the worker's entry in the store.
 func (w *Worker) Entry() map[string]any {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := map[string]any{
 		"service": w.cfg.Service, "address": w.cfg.Address, "zone": w.cfg.Zone, "version": "v1", "slots": w.cfg.Slots,
-		"state": w.state, "cold-remaining-ms": 0, "seq": 1, "born": w.born,
+		"state": w.state, "cold-remaining-ms": 0, "seq": 1, "born": w.startMillis,
 	}
 	if w.stage != "" {
 		e["stage"] = w.stage
@@ -135,7 +137,7 @@
 	return e
 }
 
-// Drain reports the worker as draining.
+// Drain registers the worker as draining.
 func (w *Worker) Drain(s *Store) {
 	w.mu.Lock()
 	w.state = "draining"
@@ -143,7 +145,7 @@
 	w.Register(s)
 }
 
-// Runs returns what the worker ran.
+// Runs returns copies of the worker's runs, oldest first.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,14 +156,14 @@
 	return out
 }
 
-// Arrivals returns the IDs of all requests that reached the worker.
+// Arrivals returns the attempt IDs of all requests that reached the worker, in order.
 func (w *Worker) Arrivals() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.arrivals)
 }
 
-// Orders returns the orders that the worker accepted.
+// Orders returns the orders that the worker accepted, oldest first.
 func (w *Worker) Orders() []Order {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -172,7 +174,7 @@
 func (w *Worker) Freed() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.freed
+	return w.freedHandles
 }
 
 // Stage returns the worker's stage.
@@ -182,15 +184,16 @@
 	return w.stage
 }
 
-// Answer is the whole body of the answer to a plain request.
+// Answer returns the body of the response to a plain request.
 func Answer(id, target string) string {
 	return "answer to " + id + " at " + target + strings.Repeat(".", 200)
 }
 
-// Event is one event of the answer to a stream. The last one ends the answer.
+// Event returns the nth event of the response stream to a request, encoded as a server-sent event. The
+// stream ends after the event whose number Events returns.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
-// Signature is the signature of a worker under an answer.
+// Signature returns the signature of a worker's response.
 func Signature(worker, id string) string { return worker + "." + id }
 
 // ServeHTTP implements http.Handler.
@@ -203,7 +206,7 @@
 	case strings.HasPrefix(r.URL.Path, "/api/kv-handle/"):
 		w.mu.Lock()
 		delete(w.handles, r.URL.Path[len("/api/kv-handle/"):])
-		w.freed++
+		w.freedHandles++
 		w.mu.Unlock()
 		reply(rw, http.StatusOK, struct{}{})
 	default:
@@ -214,7 +217,7 @@
 func (w *Worker) serveReport(rw http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	reply(rw, http.StatusOK, map[string]any{"stage": w.stage, "busy": w.busy, "seq": w.seq, "active": w.running, "queued": 0, "born": w.born})
+	reply(rw, http.StatusOK, map[string]any{"stage": w.stage, "busy": w.busy, "seq": w.orderSequence, "active": w.running, "queued": 0, "born": w.startMillis})
 }
 
 func (w *Worker) serveOrder(rw http.ResponseWriter, r *http.Request) {
@@ -234,27 +237,28 @@
 		return
 	}
 	w.mu.Lock()
-	late := w.cfg.LateOrders
+	delay := w.cfg.LateOrders
 	w.mu.Unlock()
-	if late > 0 {
-		time.AfterFunc(late, func() { w.accept(o.Stage, o.Holder, o.FencingToken, o.Precondition) })
+	if delay > 0 {
+		time.AfterFunc(delay, func() { w.applyOrder(o.Stage, o.Holder, o.FencingToken, o.Precondition) })
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	rw.WriteHeader(w.accept(o.Stage, o.Holder, o.FencingToken, o.Precondition))
+	rw.WriteHeader(w.applyOrder(o.Stage, o.Holder, o.FencingToken, o.Precondition))
 }
 
-func (w *Worker) accept(stage, holder string, fence uint64, condition *int64) int {
+// applyOrder starts the change of the stage, if any, and returns the status of the response.
+func (w *Worker) applyOrder(stage, holder string, fence uint64, condition *int64) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.busy, condition != nil && *condition != w.seq:
+	case w.busy, condition != nil && *condition != w.orderSequence:
 		return http.StatusConflict
 	case stage == w.stage:
 		return http.StatusOK
 	}
 	w.busy = true
-	w.seq++
+	w.orderSequence++
 	w.orders = append(w.orders, Order{Holder: holder, Fence: fence, Stage: stage, At: time.Now()})
 	time.AfterFunc(w.cfg.RoleSwitch, func() {
 		w.mu.Lock()
@@ -264,8 +268,8 @@
 	return http.StatusAccepted
 }
 
-// refuse says that the request did not run.
-func refuse(rw http.ResponseWriter, status int) {
+// writeNotExecuted writes a response which states that the request did not run.
+func writeNotExecuted(rw http.ResponseWriter, status int) {
 	rw.Header().Set("Quetzallug-Not-Executed", "1")
 	rw.WriteHeader(status)
 }
@@ -293,16 +297,16 @@
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	case id == "":
-		refuse(rw, http.StatusBadRequest)
+		writeNotExecuted(rw, http.StatusBadRequest)
 		return
 	case busy || full || fault == FaultShed:
-		refuse(rw, http.StatusServiceUnavailable)
+		writeNotExecuted(rw, http.StatusServiceUnavailable)
 		return
 	case fault == FaultResetEarly:
 		panic(http.ErrAbortHandler)
 	}
 	if fault == FaultEarly {
-		w.early(rw, r, id)
+		w.serveEarly(rw, r, id)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -315,12 +319,12 @@
 		ID: id, Worker: w.cfg.ID, Method: r.Method, Target: r.RequestURI, Body: string(body), Model: r.Header.Get("Quetzallug-Model"),
 		Deadline: deadline, Prefill: prefill, After: r.Header.Get("Last-Event-Id"), Source: source, Started: time.Now(),
 	}
-	w.begin(run)
-	defer w.end(run)
+	w.beginRun(run)
+	defer w.endRun(run)
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(max(1, deadline))*time.Millisecond)
 	defer cancel()
-	if stage != "" && source == "" && !w.read(ctx, r) {
-		expired(rw)
+	if stage != "" && source == "" && !w.prefillPrompt(ctx, r) {
+		writeTimeout(rw)
 		return
 	}
 	if prefill {
@@ -334,31 +338,31 @@
 	}
 	rw.Header().Set("Quetzallug-Response-Signature", Signature(w.cfg.ID, id))
 	if stage != "" {
-		w.stream(ctx, rw, r, run, fault)
+		w.serveStream(ctx, rw, r, run, fault)
 		return
 	}
-	w.plain(ctx, rw, r, run, fault)
+	w.servePlain(ctx, rw, r, run, fault)
 }
 
-func (w *Worker) begin(run *Run) {
+func (w *Worker) beginRun(run *Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running++
 	w.runs = append(w.runs, run)
 }
 
-func (w *Worker) end(run *Run) {
+func (w *Worker) endRun(run *Run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
 	run.Ended = time.Now()
 }
 
-// early answers without reading the body, keeps the connection and reads on later.
-func (w *Worker) early(rw http.ResponseWriter, r *http.Request, id string) {
+// serveEarly sends the response before it reads the request body, and keeps the connection open.
+func (w *Worker) serveEarly(rw http.ResponseWriter, r *http.Request, id string) {
 	run := &Run{ID: id, Worker: w.cfg.ID, Method: r.Method, Target: r.RequestURI, Started: time.Now(), Finished: true}
-	w.begin(run)
-	defer w.end(run)
+	w.beginRun(run)
+	defer w.endRun(run)
 	_ = http.NewResponseController(rw).EnableFullDuplex()
 	rw.Header().Set("Quetzallug-Response-Signature", Signature(w.cfg.ID, id))
 	text := Answer(id, r.RequestURI)
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -1,5 +1,4 @@
-// Package weights is a stand-in for the platform's rate-limited weight store. It is test
-// equipment.
+// Package weights simulates the platform's rate-limited weight store for tests.
 package weights
 
 import (
@@ -17,16 +16,17 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// DefaultBytesPerSecond is the default rate.
+// DefaultBytesPerSecond is the default rate limit.
 const DefaultBytesPerSecond = 2 << 30
 
-// grantsPerSecond splits a load into parts, so that concurrent loads share the rate.
+// grantsPerSecond is the number of grants per second at the full rate. Loads are granted in parts, so
+// that concurrent loads share the rate.
 const grantsPerSecond = 20
 
-// Store is the weight store. All methods are safe for concurrent use.
+// Store is a simulated weight store. It is safe for concurrent use.
 type Store struct {
-	limiter *rate.Limiter
-	part    int64
+	limiter    *rate.Limiter
+	grantBytes int64
 
 	mu      sync.Mutex
 	granted map[string]int64
@@ -34,16 +34,16 @@
 
 var _ external.WeightStore = (*Store)(nil)
 
-// New returns a store with a rate in bytes per second; 0 means the default.
+// New returns a store with a rate limit in bytes per second; 0 means the default.
 func New(bytesPerSecond int64) *Store {
 	if bytesPerSecond <= 0 {
 		bytesPerSecond = DefaultBytesPerSecond
 	}
-	part := max(1, bytesPerSecond/grantsPerSecond)
+	grantBytes := max(1, bytesPerSecond/grantsPerSecond)
 	return &Store{
-		limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), int(part)),
-		part:    part,
-		granted: map[string]int64{},
+		limiter:    rate.NewLimiter(rate.Limit(bytesPerSecond), int(grantBytes)),
+		grantBytes: grantBytes,
+		granted:    map[string]int64{},
 	}
 }
 
@@ -52,12 +52,12 @@
 	if bytes < 0 {
 		return fmt.Errorf("weights of model %q: %d bytes requested", model, bytes)
 	}
-	for left := bytes; left > 0; {
-		n := min(left, s.part)
-		if err := s.wait(ctx, int(n)); err != nil {
+	for remaining := bytes; remaining > 0; {
+		n := min(remaining, s.grantBytes)
+		if err := s.waitForBytes(ctx, int(n)); err != nil {
 			return fmt.Errorf("weights of model %q: %w", model, err)
 		}
-		left -= n
+		remaining -= n
 		s.mu.Lock()
 		s.granted[model] += n
 		s.mu.Unlock()
@@ -65,9 +65,10 @@
 	return nil
 }
 
-// wait differs from rate.Limiter.WaitN in that it waits until the context ends even if its
-// deadline is known to be too early, as a caller of a remote store does.
-func (s *Store) wait(ctx context.Context, n int) error {
+// waitForBytes waits until n bytes are granted or the context ends. Unlike rate.Limiter.WaitN, it waits
+// until the context ends even if its deadline is known to be too early, as a caller of a remote store
+// does.
+func (s *Store) waitForBytes(ctx context.Context, n int) error {
 	r := s.limiter.ReserveN(time.Now(), n)
 	t := time.NewTimer(r.Delay())
 	defer t.Stop()
@@ -80,14 +81,14 @@
 	}
 }
 
-// Granted returns the bytes granted so far by model.
+// Granted returns the number of bytes granted so far for each model.
 func (s *Store) Granted() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.granted)
 }
 
-// Handler serves the store over HTTP, with GET /granted for tests.
+// Handler serves the store over HTTP, and GET /granted for tests.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	httpjson.Handle(mux, "POST "+weightwire.PathAcquire, func(ctx context.Context, r weightwire.Request) (struct{}, error) {
