--- a/internal/bench/calls.go
+++ b/internal/bench/calls.go
@@ -22,7 +22,7 @@
 	"github.com/quetzallug/quetzallug/modules/kvhttp"
 )
 
-// CallCost is the mean cost of one control call without news.
+// CallCost is the mean cost of one control call whose answer reports no change.
 type CallCost struct {
 	Call string
 	// Sent and Received are bytes at the caller, without TCP and IP headers.
@@ -32,19 +32,21 @@
 	Machine              string
 }
 
-// callConfig is one call to measure. Server is the listener whose process serves it.
+// callConfig describes one call to measure. server is the address whose metrics give the CPU time
+// of the serving process; it is empty if that process is a stand-in.
 type callConfig struct {
-	name   string
-	server string
-	count  *traffic.Counter
-	do     func(ctx context.Context) error
+	name    string
+	server  string
+	counter *traffic.Counter
+	call    func(ctx context.Context) error
 }
 
-// Calls measures the control calls against one entry, one sidecar and the stand-ins.
+// Calls measures the control calls to one entry, one sidecar and the stand-in services. Each call
+// is repeated n times.
 func Calls(ctx context.Context, bin, dir string, n int) ([]CallCost, error) {
 	c, err := startCluster(ctx, clusterConfig{
 		bin: bin, dir: dir, size: Size{Entries: 1, Sidecars: 1}, engineArgs: []string{"--order-time", "200ms"},
-		// The calls follow each other faster than the service's limits allow.
+		// The calls are made back to back, which exceeds the service's default rate limits.
 		kvArgs: []string{"--reads", "0", "--writes", "0"},
 	})
 	if err != nil {
@@ -56,10 +58,10 @@
 		return nil, err
 	}
 	var costs []CallCost
-	for _, cfg := range configs {
-		cost, err := measureCall(ctx, cfg, n)
+	for _, config := range configs {
+		cost, err := measureCall(ctx, config, n)
 		if err != nil {
-			return costs, fmt.Errorf("%s: %w", cfg.name, err)
+			return costs, fmt.Errorf("%s: %w", config.name, err)
 		}
 		costs = append(costs, cost)
 	}
@@ -68,24 +70,24 @@
 
 func measureCall(ctx context.Context, cfg callConfig, n int) (CallCost, error) {
 	cost := CallCost{Call: cfg.name, Machine: Machine()}
-	if err := cfg.do(ctx); err != nil { // makes the connection
+	if err := cfg.call(ctx); err != nil { // opens the connection outside the measurement
 		return cost, err
 	}
-	in, out := cfg.count.In.Load(), cfg.count.Out.Load()
-	self, err := ownCPU()
+	receivedBefore, sentBefore := cfg.counter.In.Load(), cfg.counter.Out.Load()
+	clientBefore, err := ownCPU()
 	if err != nil {
 		return cost, err
 	}
-	server, err := serverCPU(ctx, cfg.server)
+	serverBefore, err := serverCPU(ctx, cfg.server)
 	if err != nil {
 		return cost, err
 	}
 	for range n {
-		if err := cfg.do(ctx); err != nil {
+		if err := cfg.call(ctx); err != nil {
 			return cost, err
 		}
 	}
-	selfAfter, err := ownCPU()
+	clientAfter, err := ownCPU()
 	if err != nil {
 		return cost, err
 	}
@@ -93,9 +95,9 @@
 	if err != nil {
 		return cost, err
 	}
-	per := func(v float64) float64 { return v / float64(n) }
-	cost.Received, cost.Sent = per(float64(cfg.count.In.Load()-in)), per(float64(cfg.count.Out.Load()-out))
-	cost.ClientCPU, cost.ServerCPU = per((selfAfter-self)*1e6), per((serverAfter-server)*1e6)
+	perCall := func(v float64) float64 { return v / float64(n) }
+	cost.Received, cost.Sent = perCall(float64(cfg.counter.In.Load()-receivedBefore)), perCall(float64(cfg.counter.Out.Load()-sentBefore))
+	cost.ClientCPU, cost.ServerCPU = perCall((clientAfter-clientBefore)*1e6), perCall((serverAfter-serverBefore)*1e6)
 	return cost, nil
 }
 
@@ -107,23 +109,23 @@
 	return v[metricCPU], err
 }
 
-// controlCalls returns the calls that processes repeat at rest.
+// controlCalls returns the calls that entries and sidecars make periodically while idle.
 func controlCalls(ctx context.Context, c *testcluster.Cluster) ([]callConfig, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	count := &traffic.Counter{}
-	clients := rpc.NewClients(rpc.ClientConfig{Control: count, Interceptors: []connect.Interceptor{peerauth.NewInterceptor(peerauth.Credentials{Cluster: testcluster.Name, Key: testcluster.Key}, log)}})
+	counter := &traffic.Counter{}
+	clients := rpc.NewClients(rpc.ClientConfig{Control: counter, Interceptors: []connect.Interceptor{peerauth.NewInterceptor(peerauth.Credentials{Cluster: testcluster.Name, Key: testcluster.Key}, log)}})
 	worker, peer := clients.Worker(c.Workers[0].Address), clients.Peer(c.Entries[0].PeerAddress)
-	list, err := kernel.Load[*instanceshttp.Client](ctx, instanceshttp.ID, kernel.Settings{"address": c.InstancesAddress()})
+	instances, err := kernel.Load[*instanceshttp.Client](ctx, instanceshttp.ID, kernel.Settings{"address": c.InstancesAddress()})
 	if err != nil {
 		return nil, err
 	}
-	list.CountTraffic(count)
+	instances.CountTraffic(counter)
 	kv, err := kernel.Load[*kvhttp.Client](ctx, kvhttp.ID, kernel.Settings{"address": c.KVAddress()})
 	if err != nil {
 		return nil, err
 	}
-	kv.CountTraffic(count)
+	kv.CountTraffic(counter)
 	lease, err := kv.GrantLease(ctx, time.Hour)
 	if err != nil {
 		return nil, err
@@ -131,42 +133,42 @@
 	var version uint64
 	have := map[string]uint64{service: 1}
 	return []callConfig{
-		{"probe of a sidecar", c.Workers[0].Address, count, func(ctx context.Context) error {
+		{"probe of a sidecar", c.Workers[0].Address, counter, func(ctx context.Context) error {
 			_, err := worker.Probe(ctx, connect.NewRequest(&v1.ProbeRequest{Cluster: testcluster.Name}))
 			return err
 		}},
-		{"document poll", c.Entries[0].Address, count, func(ctx context.Context) error {
+		{"document poll", c.Entries[0].Address, counter, func(ctx context.Context) error {
 			_, err := peer.FetchDocuments(ctx, connect.NewRequest(&v1.FetchDocumentsRequest{Cluster: testcluster.Name, Have: have}))
 			return err
 		}},
-		{"status of an entry", c.Entries[0].Address, count, func(ctx context.Context) error {
+		{"status of an entry", c.Entries[0].Address, counter, func(ctx context.Context) error {
 			_, err := peer.Status(ctx, connect.NewRequest(&v1.StatusRequest{Cluster: testcluster.Name}))
 			return err
 		}},
-		{"instance list poll", "", count, func(ctx context.Context) error {
-			s, err := list.Instances(ctx, version)
+		{"instance list poll", "", counter, func(ctx context.Context) error {
+			s, err := instances.Instances(ctx, version)
 			version = s.Version
 			return err
 		}},
-		{"key-value get", "", count, func(ctx context.Context) error {
+		{"key-value get", "", counter, func(ctx context.Context) error {
 			_, err := kv.Get(ctx, "pool/"+service+"."+dataCentres[0]+"/fence")
 			return err
 		}},
-		{"key-value list of 1 order record", "", count, func(ctx context.Context) error {
+		{"key-value list of 1 order record", "", counter, func(ctx context.Context) error {
 			_, _, err := kv.List(ctx, "order/")
 			return err
 		}},
-		{"key-value list of 1 pool", "", count, func(ctx context.Context) error {
+		{"key-value list of 1 pool", "", counter, func(ctx context.Context) error {
 			_, _, err := kv.List(ctx, "pool/")
 			return err
 		}},
-		{"key-value keep-alive", "", count, func(ctx context.Context) error { return kv.KeepAlive(ctx, lease) }},
-		{"key-value compare-and-swap of 512 bytes", "", count, swapper(kv)},
+		{"key-value keep-alive", "", counter, func(ctx context.Context) error { return kv.KeepAlive(ctx, lease) }},
+		{"key-value compare-and-swap of 512 bytes", "", counter, recordWriter(kv)},
 	}, nil
 }
 
-// swapper writes the next version of a record of 512 bytes.
-func swapper(kv external.KV) func(ctx context.Context) error {
+// recordWriter returns a function that replaces a record of 512 bytes with its next version.
+func recordWriter(kv external.KV) func(ctx context.Context) error {
 	value := make([]byte, 512)
 	var version uint64
 	return func(ctx context.Context) error {
@@ -176,11 +178,11 @@
 	}
 }
 
-// WriteCalls writes the costs as CSV.
+// WriteCalls writes the costs to a CSV file.
 func WriteCalls(path string, costs []CallCost) error {
 	rows := [][]string{{"call", "bytes sent", "bytes received", "server us", "client us", "machine"}}
 	for _, c := range costs {
-		rows = append(rows, []string{c.Call, number(c.Sent), number(c.Received), number(c.ServerCPU), number(c.ClientCPU), c.Machine})
+		rows = append(rows, []string{c.Call, formatNumber(c.Sent), formatNumber(c.Received), formatNumber(c.ServerCPU), formatNumber(c.ClientCPU), c.Machine})
 	}
 	return writeCSV(path, rows)
 }
--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -26,30 +26,31 @@
 
 const (
 	burstChanges = 20
-	// settleTime lets the start's own traffic end before the fleet counts as at rest.
+	// settleTime lets the traffic of the start-up end before the idle fleet is measured.
 	settleTime = 10 * time.Second
-	// maxLoad bounds the load in requests/s, so that the machine's cores are not the limit.
+	// maxLoad bounds the load in requests/s, so that the machine's cores do not limit it.
 	maxLoad = 300
-	// perSidecar is the load in requests/s for each sidecar.
-	perSidecar = 10
-	// kvTick is the time between looks at the accounting of the key-value service.
-	kvTick = 250 * time.Millisecond
+	// loadPerSidecar is in requests/s.
+	loadPerSidecar = 10
+	// kvSampleInterval is the time between two reads of the call counts of the key-value service.
+	kvSampleInterval = 250 * time.Millisecond
 )
 
 // CapacityConfig configures a capacity run.
 type CapacityConfig struct {
 	Bin, Dir string
 	Sizes    []Size
-	// Phase is the length of the phases at rest, under load and after a restart.
+	// Phase is the length of the idle phase, of the phase under load and of the phase after a
+	// restart, and the least length of the phase with the burst.
 	Phase time.Duration
-	// Phases are the phases to run, all if empty.
+	// Phases lists the phases to run; empty means all.
 	Phases []string
-	// Singles is the number of single changes.
+	// Singles is the number of changes in PhaseSingle.
 	Singles int
 	Log     func(format string, args ...any)
 }
 
-// Sample is one measured figure: its mean and maximum over the processes of a role.
+// Sample is one metric of a phase: its mean and maximum over the processes of a role.
 type Sample struct {
 	Size
 	Phase, Role, Metric string
@@ -57,27 +58,28 @@
 	Machine             string
 }
 
-// Roles of samples.
+// Roles of the processes that samples refer to.
 const (
 	RoleEntry   = "entry"
 	RoleSidecar = "sidecar"
 	RoleKV      = "key-value service"
 )
 
-// capacityRun is the run at one size.
+// capacityRun measures a cluster of one size.
 type capacityRun struct {
 	cfg     CapacityConfig
 	size    Size
 	cluster *testcluster.Cluster
 	// addresses and logs hold the entries first, then the sidecars.
-	addresses []string
-	logs      []*logReader
-	kv        external.KV
-	samples   []Sample
-	changes   int
+	addresses      []string
+	logs           []*logReader
+	kv             external.KV
+	samples        []Sample
+	appliedChanges int
 }
 
-// Capacity measures all sizes, one after the other.
+// Capacity measures all sizes, one after the other. On an error it also returns the samples taken
+// until then.
 func Capacity(ctx context.Context, cfg CapacityConfig) ([]Sample, error) {
 	var all []Sample
 	for _, s := range cfg.Sizes {
@@ -103,10 +105,10 @@
 	defer func() { err = errors.Join(err, c.Stop()) }()
 	r := &capacityRun{cfg: cfg, size: s, cluster: c}
 	for _, e := range c.Entries {
-		r.add(e.Address, e.LogPath)
+		r.addProcess(e.Address, e.LogPath)
 	}
 	for _, w := range c.Workers {
-		r.add(w.Address, w.Sidecar.LogPath)
+		r.addProcess(w.Address, w.Sidecar.LogPath)
 	}
 	if r.kv, err = c.KV(ctx); err != nil {
 		return nil, err
@@ -114,7 +116,7 @@
 	for _, p := range []struct {
 		name string
 		run  func(context.Context) error
-	}{{PhaseRest, r.rest}, {PhaseLoad, r.load}, {PhaseSingle, r.single}, {PhaseBurst, r.burst}, {PhaseRestart, r.restart}} {
+	}{{PhaseRest, r.runRest}, {PhaseLoad, r.runLoad}, {PhaseSingle, r.runSingle}, {PhaseBurst, r.runBurst}, {PhaseRestart, r.runRestart}} {
 		if len(cfg.Phases) > 0 && !slices.Contains(cfg.Phases, p.name) {
 			continue
 		}
@@ -125,12 +127,12 @@
 	return r.samples, nil
 }
 
-func (r *capacityRun) add(address, log string) {
+func (r *capacityRun) addProcess(address, log string) {
 	r.addresses = append(r.addresses, address)
-	r.logs = append(r.logs, &logReader{path: log, at: map[uint64]time.Time{}})
+	r.logs = append(r.logs, &logReader{path: log, inForceAt: map[uint64]time.Time{}})
 }
 
-func (r *capacityRun) rest(ctx context.Context) error {
+func (r *capacityRun) runRest(ctx context.Context) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
@@ -139,14 +141,14 @@
 	})
 }
 
-func (r *capacityRun) load(ctx context.Context) error {
-	cl := newClient()
-	defer cl.close()
+func (r *capacityRun) runLoad(ctx context.Context) error {
+	client := newClient()
+	defer client.close()
 	entries := r.cluster.Entries
 	l := Load{
-		Rate: min(maxLoad, float64(perSidecar*r.size.Sidecars)), Duration: r.cfg.Phase, Seed: 1,
+		Rate: min(maxLoad, float64(loadPerSidecar*r.size.Sidecars)), Duration: r.cfg.Phase, Seed: 1,
 		Send: func(ctx context.Context, n int) error {
-			return cl.complete(ctx, entries[n%len(entries)].Address, model, n)
+			return client.complete(ctx, entries[n%len(entries)].Address, model, n)
 		},
 	}
 	var res LoadResult
@@ -165,27 +167,28 @@
 	return nil
 }
 
-// apply accepts one more change and returns its revision.
-func (r *capacityRun) apply(ctx context.Context, base uint64) (uint64, error) {
-	r.changes++
-	_, err := registry.Apply(ctx, r.kv, service, base, []byte(documentText(poolSizes(r.size.Sidecars), r.changes)), "bench")
+// applyChange applies the next version of the document on top of revision base and returns the new
+// revision.
+func (r *capacityRun) applyChange(ctx context.Context, base uint64) (uint64, error) {
+	r.appliedChanges++
+	_, err := registry.Apply(ctx, r.kv, service, base, []byte(documentText(poolSizes(r.size.Sidecars), r.appliedChanges)), "bench")
 	return base + 1, err
 }
 
-func (r *capacityRun) revision(ctx context.Context) (uint64, error) {
+func (r *capacityRun) currentRevision(ctx context.Context) (uint64, error) {
 	rec, err := registry.Get(ctx, r.kv, service)
 	return rec.Revision, err
 }
 
-func (r *capacityRun) single(ctx context.Context) error {
+func (r *capacityRun) runSingle(ctx context.Context) error {
 	var entries, sidecars []float64
 	for range r.cfg.Singles {
-		base, err := r.revision(ctx)
+		base, err := r.currentRevision(ctx)
 		if err != nil {
 			return err
 		}
 		accepted := time.Now()
-		revision, err := r.apply(ctx, base)
+		revision, err := r.applyChange(ctx, base)
 		if err != nil {
 			return err
 		}
@@ -193,7 +196,7 @@
 		if err != nil {
 			return err
 		}
-		e, s := r.split(seconds(delays))
+		e, s := r.splitByRole(seconds(delays))
 		entries, sidecars = append(entries, e...), append(sidecars, s...)
 	}
 	r.sample(PhaseSingle, RoleEntry, "seconds until in force", entries)
@@ -201,12 +204,12 @@
 	return nil
 }
 
-// burst accepts changes without a pause. The delay is that of the last one; the rates are those of
-// a phase that starts with the burst.
-func (r *capacityRun) burst(ctx context.Context) error {
+// runBurst applies burstChanges changes back to back. The reported delay is that of the last one; the
+// rates are those of a phase that starts with the burst.
+func (r *capacityRun) runBurst(ctx context.Context) error {
 	var delays []time.Duration
 	err := r.measure(ctx, PhaseBurst, func() error {
-		revision, err := r.revision(ctx)
+		revision, err := r.currentRevision(ctx)
 		if err != nil {
 			return err
 		}
@@ -214,7 +217,7 @@
 		var accepted time.Time
 		for range burstChanges {
 			accepted = time.Now()
-			if revision, err = r.apply(ctx, revision); err != nil {
+			if revision, err = r.applyChange(ctx, revision); err != nil {
 				return err
 			}
 		}
@@ -224,32 +227,32 @@
 	if err != nil {
 		return err
 	}
-	e, s := r.split(seconds(delays))
+	e, s := r.splitByRole(seconds(delays))
 	r.sample(PhaseBurst, RoleEntry, "seconds until in force", e)
 	r.sample(PhaseBurst, RoleSidecar, "seconds until in force", s)
 	return nil
 }
 
-// restart kills and starts all entries and sidecars at the same time. Delays run from the start
-// of the last process.
-func (r *capacityRun) restart(ctx context.Context) error {
-	revision, err := r.revision(ctx)
+// runRestart kills all entries and sidecars and then starts them again. Delays are counted from the
+// time before the first start.
+func (r *capacityRun) runRestart(ctx context.Context) error {
+	revision, err := r.currentRevision(ctx)
 	if err != nil {
 		return err
 	}
-	var all []*testcluster.Process
+	var processes []*testcluster.Process
 	for _, e := range r.cluster.Entries {
-		all = append(all, e.Process)
+		processes = append(processes, e.Process)
 	}
 	for _, w := range r.cluster.Workers {
-		all = append(all, w.Sidecar)
+		processes = append(processes, w.Sidecar)
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		p.Kill()
 	}
-	peak := watchKV(ctx, r.cluster)
+	stopSampling := sampleKVCalls(ctx, r.cluster)
 	before := time.Now()
-	for _, p := range all {
+	for _, p := range processes {
 		if err := p.Restart(); err != nil {
 			return err
 		}
@@ -262,42 +265,42 @@
 	if err := pause(ctx, r.cfg.Phase); err != nil {
 		return err
 	}
-	for name, v := range peak() {
+	for name, v := range stopSampling() {
 		r.sample(PhaseRestart, RoleKV, name, []float64{v})
 	}
-	e, s := r.split(seconds(delays))
+	e, s := r.splitByRole(seconds(delays))
 	r.sample(PhaseRestart, RoleEntry, "seconds until in force", e)
 	r.sample(PhaseRestart, RoleSidecar, "seconds until in force", s)
 	return nil
 }
 
-// watchKV samples the accounting of the key-value service until the returned function is called,
-// which returns the totals and the largest rates over a second.
-func watchKV(ctx context.Context, c *testcluster.Cluster) func() map[string]float64 {
+// sampleKVCalls reads the call counts of the key-value service until the returned function is
+// called, which returns the totals and the highest rates over a second.
+func sampleKVCalls(ctx context.Context, c *testcluster.Cluster) func() map[string]float64 {
 	stop, done := make(chan struct{}), make(chan struct{})
 	var calls []kv.Calls
 	go func() {
 		defer close(done)
 		for {
-			var now kv.Calls
-			if c.KVCalls(ctx, &now) == nil {
-				calls = append(calls, now)
+			var current kv.Calls
+			if c.KVCalls(ctx, &current) == nil {
+				calls = append(calls, current)
 			}
 			select {
 			case <-stop:
 				return
-			case <-time.After(kvTick):
+			case <-time.After(kvSampleInterval):
 			}
 		}
 	}()
 	return func() map[string]float64 {
 		close(stop)
 		<-done
-		return peaks(calls, int(time.Second/kvTick))
+		return totalsAndPeaks(calls, int(time.Second/kvSampleInterval))
 	}
 }
 
-func peaks(calls []kv.Calls, perSecond int) map[string]float64 {
+func totalsAndPeaks(calls []kv.Calls, samplesPerSecond int) map[string]float64 {
 	out := map[string]float64{}
 	if len(calls) == 0 {
 		return out
@@ -306,16 +309,16 @@
 	out["reads in all"], out["writes in all"] = float64(last.Reads-first.Reads), float64(last.Writes-first.Writes)
 	out["calls rejected in all"] = float64(last.Rejected - first.Rejected)
 	for i, c := range calls {
-		past := calls[max(0, i-perSecond)]
-		out["largest reads per second"] = max(out["largest reads per second"], float64(c.Reads-past.Reads))
-		out["largest writes per second"] = max(out["largest writes per second"], float64(c.Writes-past.Writes))
+		secondAgo := calls[max(0, i-samplesPerSecond)]
+		out["largest reads per second"] = max(out["largest reads per second"], float64(c.Reads-secondAgo.Reads))
+		out["largest writes per second"] = max(out["largest writes per second"], float64(c.Writes-secondAgo.Writes))
 		out["waiting watches"] = max(out["waiting watches"], float64(c.Waiting))
 	}
 	return out
 }
 
-// split parts the values of all processes by role.
-func (r *capacityRun) split(all []float64) (entries, sidecars []float64) {
+// splitByRole splits the values of all processes, in the order of addresses, by role.
+func (r *capacityRun) splitByRole(all []float64) (entries, sidecars []float64) {
 	return all[:r.size.Entries], all[r.size.Entries:]
 }
 
@@ -326,7 +329,7 @@
 	}
 	s.Max = slices.Max(all)
 	if s.Max == 0 {
-		return // a figure that the role does not have
+		return // the role does not have this metric
 	}
 	r.samples = append(r.samples, s)
 }
@@ -339,7 +342,7 @@
 	return out
 }
 
-// pause waits for d, or returns the error of a context that ends earlier.
+// pause waits for d. It returns an error if the context ends earlier.
 func pause(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// answerTokens is the longest answer of the load; the stand-in's answers are mostly as long.
+	// answerTokens limits the length of answers; most answers of the stand-in engine reach it.
 	answerTokens = 16
-	// callers spreads the load over several callers, so that the limits per caller do not apply.
-	callers = 200
-	// maxIdle is above the number of requests in flight at 1,000 requests/s.
-	maxIdle = 1024
-	prompt  = "when does the next bus reach the stop at the market on the corner of the long street"
-	model   = "halte-verdict"
+	// callerCount is the number of callers that the load is spread over, so that it stays below the
+	// limits per caller.
+	callerCount = 200
+	// maxIdleConns is above the number of requests in flight at 1,000 requests/s.
+	maxIdleConns = 1024
+	prompt       = "when does the next bus reach the stop at the market on the corner of the long street"
+	model        = "halte-verdict"
 )
 
-var errCut = errors.New("answer ended before its end mark")
+var errTruncated = errors.New("answer ended before its end marker")
 
 // client sends completion requests to entries, or generation requests to an engine.
 type client struct{ http *http.Client }
 
 func newClient() *client {
 	return &client{http: &http.Client{Transport: &http.Transport{
-		MaxIdleConns: maxIdle, MaxIdleConnsPerHost: maxIdle, DisableCompression: true,
+		MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true,
 		IdleConnTimeout: time.Minute,
 	}}}
 }
@@ -51,7 +52,7 @@
 	return c.post(ctx, "http://"+address+"/v1/completions", n, body, []byte("data: [DONE]\n"))
 }
 
-// generate asks an engine for the same answer.
+// generate asks an engine directly for an answer to the same prompt.
 func (c *client) generate(ctx context.Context, engine string, n int) error {
 	body, err := json.Marshal(external.GenerateRequest{
 		RequestID: "bench-" + strconv.Itoa(n), Model: model, Prompt: prompt,
@@ -63,14 +64,14 @@
 	return c.post(ctx, engine+enginewire.PathGenerate, n, body, []byte(`"finish_reason":"`))
 }
 
-// post sends a request and reads the answer to its end. The end mark must be in its last read.
-func (c *client) post(ctx context.Context, url string, n int, body, end []byte) error {
+// post sends a request and reads the whole answer, which must contain endMark.
+func (c *client) post(ctx context.Context, url string, n int, body, endMark []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer caller-"+strconv.Itoa(n%callers))
+	req.Header.Set("Authorization", "Bearer caller-"+strconv.Itoa(n%callerCount))
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return err
@@ -80,10 +81,10 @@
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
 		return fmt.Errorf("status %d: %s", resp.StatusCode, b)
 	}
-	return readToMark(resp.Body, end)
+	return readToMark(resp.Body, endMark)
 }
 
-// readToMark reads the whole stream and requires the mark in it.
+// readToMark reads the whole stream and returns errTruncated if mark does not occur in it.
 func readToMark(r io.Reader, mark []byte) error {
 	var window []byte
 	buf := make([]byte, 4<<10)
@@ -97,7 +98,7 @@
 		case errors.Is(err, io.EOF) && found:
 			return nil
 		case errors.Is(err, io.EOF):
-			return errCut
+			return errTruncated
 		case err != nil:
 			return err
 		}
--- a/internal/bench/fit.go
+++ b/internal/bench/fit.go
@@ -9,25 +9,25 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Fit is a straight-line fit of a figure over the numbers of entries and sidecars.
+// Fit is a least-squares fit of a metric as a linear function of the numbers of entries and sidecars.
 type Fit struct {
 	Phase, Role, Metric string
-	// The figure is Constant + PerEntry × entries + PerSidecar × sidecars.
+	// The fitted value is Constant + PerEntry × entries + PerSidecar × sidecars.
 	Constant, PerEntry, PerSidecar float64
-	// Residual is the largest difference between a measured mean and the line.
+	// Residual is the largest absolute difference between a measured mean and its fitted value.
 	Residual float64
 	Points   int
 }
 
-// At returns the line's value at a size.
+// At returns the fitted value for a size.
 func (f Fit) At(s Size) float64 {
 	return f.Constant + f.PerEntry*float64(s.Entries) + f.PerSidecar*float64(s.Sidecars)
 }
 
-// unknowns of a fit.
-const unknowns = 3
+// fitParameters is the number of parameters of a fit.
+const fitParameters = 3
 
-// Fits fits each figure that was measured at enough sizes.
+// Fits returns a fit for each phase, role and metric whose samples determine one.
 func Fits(samples []Sample) []Fit {
 	type key struct{ phase, role, metric string }
 	groups := map[key][]Sample{}
@@ -36,10 +36,10 @@
 		groups[k] = append(groups[k], s)
 	}
 	var fits []Fit
-	for k, g := range groups {
-		f, err := fit(g)
+	for k, group := range groups {
+		f, err := fitSamples(group)
 		if err != nil {
-			continue // too few sizes, or sizes on one line
+			continue // too few sizes, or collinear ones
 		}
 		f.Phase, f.Role, f.Metric = k.phase, k.role, k.metric
 		fits = append(fits, f)
@@ -50,21 +50,21 @@
 	return fits
 }
 
-func fit(g []Sample) (Fit, error) {
-	if len(g) < unknowns {
-		return Fit{}, fmt.Errorf("%d points for %d unknowns", len(g), unknowns)
+func fitSamples(group []Sample) (Fit, error) {
+	if len(group) < fitParameters {
+		return Fit{}, fmt.Errorf("%d samples for %d parameters", len(group), fitParameters)
 	}
-	a, b := mat.NewDense(len(g), unknowns, nil), mat.NewVecDense(len(g), nil)
-	for i, s := range g {
-		a.SetRow(i, []float64{1, float64(s.Entries), float64(s.Sidecars)})
-		b.SetVec(i, s.Mean)
+	coefficients, means := mat.NewDense(len(group), fitParameters, nil), mat.NewVecDense(len(group), nil)
+	for i, s := range group {
+		coefficients.SetRow(i, []float64{1, float64(s.Entries), float64(s.Sidecars)})
+		means.SetVec(i, s.Mean)
 	}
-	var x mat.VecDense
-	if err := x.SolveVec(a, b); err != nil {
-		return Fit{}, fmt.Errorf("least squares: %w", err)
+	var solution mat.VecDense
+	if err := solution.SolveVec(coefficients, means); err != nil {
+		return Fit{}, fmt.Errorf("solve least squares: %w", err)
 	}
-	f := Fit{Constant: x.AtVec(0), PerEntry: x.AtVec(1), PerSidecar: x.AtVec(2), Points: len(g)}
-	for _, s := range g {
+	f := Fit{Constant: solution.AtVec(0), PerEntry: solution.AtVec(1), PerSidecar: solution.AtVec(2), Points: len(group)}
+	for _, s := range group {
 		f.Residual = max(f.Residual, math.Abs(s.Mean-f.At(s.Size)))
 	}
 	return f, nil
--- a/internal/bench/fit_test.go
+++ b/internal/bench/fit_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against fits whose slopes are assigned to the wrong unknown, and against fits of sizes
-// that do not determine them.
+// Guards against fits that swap the coefficients of entries and sidecars, and against fits of
+// sizes that do not determine them.
 func TestFits(t *testing.T) {
 	var samples []Sample
 	for _, s := range []Size{{2, 4}, {2, 16}, {8, 16}, {8, 64}} {
@@ -24,7 +24,7 @@
 	assert.Empty(t, Fits(samples[:2]))
 }
 
-// Guards against counts that lose series of one metric or its operations.
+// Guards against sums that miss a series of a metric, and against lost counts per operation.
 func TestParseMetrics(t *testing.T) {
 	v, err := parseMetrics(strings.NewReader(`# HELP quetzallug_kv_calls_total Calls.
 quetzallug_kv_calls_total{operation="get",scope="a b"} 3
@@ -32,11 +32,11 @@
 process_cpu_seconds_total 1.5e-1
 `))
 	require.NoError(t, err)
-	assert.Equal(t, values{metricKVCalls: 7, metricKVCalls + "/get": 3, metricKVCalls + "/list": 4, metricCPU: 0.15}, v)
+	assert.Equal(t, metricValues{metricKVCalls: 7, metricKVCalls + "/get": 3, metricKVCalls + "/list": 4, metricCPU: 0.15}, v)
 }
 
-// Guards against an answer without its end mark that counts as whole.
+// Guards against counting an answer without its end marker as complete.
 func TestReadToMark(t *testing.T) {
 	require.NoError(t, readToMark(strings.NewReader(strings.Repeat("x", 10_000)+"[DONE]\n"), []byte("[DONE]")))
-	require.ErrorIs(t, readToMark(strings.NewReader("data: x\n"), []byte("[DONE]")), errCut)
+	require.ErrorIs(t, readToMark(strings.NewReader("data: x\n"), []byte("[DONE]")), errTruncated)
 }
--- a/internal/bench/fixture.go
+++ b/internal/bench/fixture.go
@@ -12,7 +12,7 @@
 // Size is the number of entries and sidecars of a run.
 type Size struct{ Entries, Sidecars int }
 
-// poolSizes spreads sidecars over the data centres.
+// poolSizes spreads sidecars evenly over the data centres, with one pool in each.
 func poolSizes(sidecars int) []int {
 	n := min(sidecars, len(dataCentres))
 	sizes := make([]int, n)
@@ -22,8 +22,8 @@
 	return sizes
 }
 
-// documentText returns a document for pools of the given sizes. Serial numbers differ in a limit
-// that the load does not reach.
+// documentText returns a document for pools of the given sizes. serial makes documents differ: it
+// changes the queue limit, which the load does not reach.
 func documentText(pools []int, serial int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service: %s\ntype: model\ndata_centres: [%s]\n", service, strings.Join(dataCentres[:len(pools)], ", "))
--- a/internal/bench/fullsize.go
+++ b/internal/bench/fullsize.go
@@ -24,28 +24,29 @@
 	"github.com/quetzallug/quetzallug/order"
 )
 
-// Target size of the design page.
+// Target size of the design document.
 const (
-	fullEntries     = 340
-	fullSidecars    = 640
-	fullDataCentres = 5
-	fullServices    = 8
-	// realSidecars run beside the real entries.
+	targetEntries     = 340
+	targetSidecars    = 640
+	targetDataCentres = 5
+	targetServices    = 8
+	// realSidecars is the number of sidecars that run as processes.
 	realSidecars = 2
-	// fullSettle is above the 107 s in which an entry's probes go round all sidecars. Until then, each
-	// probe makes a connection.
-	fullSettle = 130 * time.Second
-	registered = time.Hour
+	// probeSettleTime is longer than the 107 s in which an entry probes each sidecar once. Until
+	// then, each probe opens a new connection.
+	probeSettleTime = 130 * time.Second
+	registrationTTL = time.Hour
 )
 
-// peers answers for the processes of a full-size fleet that are not real: it listens on an address
-// for each of them.
-type peers struct {
+// fakeFleet simulates the processes of a target-size fleet that do not run. It listens on one
+// address for each of them.
+type fakeFleet struct {
 	documents []*v1.Document
 	servers   []*http.Server
 }
 
-// fakeWorker answers probes and seals as the sidecar of an engine that is loaded and idle.
+// fakeWorker answers requests, probes and seals like the sidecar of an idle engine with a loaded
+// model.
 type fakeWorker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 	id, model string
@@ -82,17 +83,17 @@
 	return connect.NewResponse(&v1.SealResponse{Accepted: true, HighestFence: r.Msg.GetFence(), ExecutorIncarnation: 1}), nil
 }
 
-// fakePeer answers document polls as an entry that is up to date.
+// fakePeer answers document polls like an entry that has all documents.
 type fakePeer struct {
 	quetzallugv1connect.UnimplementedPeerServiceHandler
 	id    string
-	peers *peers
+	fleet *fakeFleet
 }
 
 // FetchDocuments implements PeerService.
 func (p *fakePeer) FetchDocuments(ctx context.Context, r *connect.Request[v1.FetchDocumentsRequest]) (*connect.Response[v1.FetchDocumentsResponse], error) {
 	resp := &v1.FetchDocumentsResponse{Confirmed: true}
-	for _, d := range p.peers.documents {
+	for _, d := range p.fleet.documents {
 		if r.Msg.GetHave()[d.GetService()] < d.GetRevision() {
 			resp.Documents = append(resp.Documents, d)
 		}
@@ -108,7 +109,7 @@
 	return connect.NewResponse(&v1.StatusResponse{Instance: p.id, Confirmed: true}), nil
 }
 
-func (p *peers) listen(h http.Handler, path string) (string, error) {
+func (f *fakeFleet) serve(h http.Handler, path string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -116,53 +117,53 @@
 	mux := http.NewServeMux()
 	mux.Handle(path, h)
 	srv := rpc.NewServer(mux)
-	p.servers = append(p.servers, srv)
+	f.servers = append(f.servers, srv)
 	go func() { _ = srv.Serve(l) }()
 	return l.Addr().String(), nil
 }
 
-func (p *peers) close() {
-	for _, s := range p.servers {
+func (f *fakeFleet) close() {
+	for _, s := range f.servers {
 		_ = s.Close()
 	}
 }
 
-func fullService(i int) string    { return fmt.Sprintf("model-%d", i%fullServices) }
-func fullDataCentre(i int) string { return fmt.Sprintf("dc-%d", i/fullServices%fullDataCentres) }
+func serviceName(i int) string    { return fmt.Sprintf("model-%d", i%targetServices) }
+func dataCentreName(i int) string { return fmt.Sprintf("dc-%d", i/targetServices%targetDataCentres) }
 
-// instances returns the instances that are not real.
-func (p *peers) instances(realEntries int) ([]external.Instance, error) {
-	var all []external.Instance
-	for i := range fullSidecars - realSidecars {
+// fakeInstances starts the simulated processes and returns their registrations.
+func (f *fakeFleet) fakeInstances(realEntries int) ([]external.Instance, error) {
+	var registrations []external.Instance
+	for i := range targetSidecars - realSidecars {
 		id := fmt.Sprintf("worker-%d", i)
-		path, h := quetzallugv1connect.NewWorkerServiceHandler(&fakeWorker{id: id, model: fullService(i)}, rpc.WorkerOptions()...)
-		addr, err := p.listen(h, path)
+		path, h := quetzallugv1connect.NewWorkerServiceHandler(&fakeWorker{id: id, model: serviceName(i)}, rpc.WorkerOptions()...)
+		addr, err := f.serve(h, path)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, external.Instance{
-			ID: id, Role: external.RoleSidecar, Service: fullService(i), DataCentre: fullDataCentre(i), Address: addr, State: external.InstanceLive,
+		registrations = append(registrations, external.Instance{
+			ID: id, Role: external.RoleSidecar, Service: serviceName(i), DataCentre: dataCentreName(i), Address: addr, State: external.InstanceLive,
 		})
 	}
-	for i := range fullEntries - realEntries {
+	for i := range targetEntries - realEntries {
 		id := fmt.Sprintf("peer-%d", i)
-		path, h := quetzallugv1connect.NewPeerServiceHandler(&fakePeer{id: id, peers: p}, rpc.PeerOptions()...)
-		addr, err := p.listen(h, path)
+		path, h := quetzallugv1connect.NewPeerServiceHandler(&fakePeer{id: id, fleet: f}, rpc.PeerOptions()...)
+		addr, err := f.serve(h, path)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, external.Instance{
-			ID: id, Role: external.RoleEntry, DataCentre: fmt.Sprintf("dc-%d", i%fullDataCentres), Address: addr, State: external.InstanceLive,
+		registrations = append(registrations, external.Instance{
+			ID: id, Role: external.RoleEntry, DataCentre: fmt.Sprintf("dc-%d", i%targetDataCentres), Address: addr, State: external.InstanceLive,
 		})
 	}
-	return all, nil
+	return registrations, nil
 }
 
-// fullDocument returns the document of a service with a pool in each data centre.
-func fullDocument(service string) []byte {
+// serviceDocument returns the document of a service with a pool in each data centre.
+func serviceDocument(service string) []byte {
 	var dcs []string
 	var pools strings.Builder
-	for i := range fullDataCentres {
+	for i := range targetDataCentres {
 		dc := fmt.Sprintf("dc-%d", i)
 		dcs = append(dcs, dc)
 		fmt.Fprintf(&pools, "  - data_centre: %s\n    workers: 16\n    roles: {mixed: 16}\n    checks_fence: true\n", dc)
@@ -184,69 +185,70 @@
 `, service, strings.Join(dcs, ", "), service, pools.String())
 }
 
-// prepare writes the documents and order records and registers the fleet.
-func (p *peers) prepare(ctx context.Context, kv external.KV, list *instanceshttp.Client, realEntries int) error {
-	all, err := p.instances(realEntries)
+// populate stores the documents and order records and registers the simulated processes.
+func (f *fakeFleet) populate(ctx context.Context, kv external.KV, instances *instanceshttp.Client, realEntries int) error {
+	registrations, err := f.fakeInstances(realEntries)
 	if err != nil {
 		return err
 	}
-	for i := range fullServices {
-		body := fullDocument(fullService(i))
-		if _, err := registry.Apply(ctx, kv, fullService(i), 0, body, "bench"); err != nil {
+	for i := range targetServices {
+		body := serviceDocument(serviceName(i))
+		if _, err := registry.Apply(ctx, kv, serviceName(i), 0, body, "bench"); err != nil {
 			return err
 		}
-		p.documents = append(p.documents, &v1.Document{Service: fullService(i), Revision: 1, Body: body})
+		f.documents = append(f.documents, &v1.Document{Service: serviceName(i), Revision: 1, Body: body})
 	}
-	for _, in := range all {
-		if err := list.Register(ctx, in, registered); err != nil {
+	for _, instance := range registrations {
+		if err := instances.Register(ctx, instance, registrationTTL); err != nil {
 			return err
 		}
-		if in.Role != external.RoleSidecar {
+		if instance.Role != external.RoleSidecar {
 			continue
 		}
 		b, err := json.Marshal(order.Record{Number: 1, Incarnation: 1, Phase: order.PhaseDone, Config: external.EngineConfig{
-			Role: external.RoleMixed, Models: []external.ModelVersion{{Name: in.Service, Version: "1"}},
+			Role: external.RoleMixed, Models: []external.ModelVersion{{Name: instance.Service, Version: "1"}},
 		}})
 		if err != nil {
 			return err
 		}
-		if _, err := kv.CompareAndSwap(ctx, order.Key(in.Service+"."+in.DataCentre, in.ID), 0, b, 0); err != nil {
+		if _, err := kv.CompareAndSwap(ctx, order.Key(instance.Service+"."+instance.DataCentre, instance.ID), 0, b, 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// FullSize measures real entries and sidecars in a list of the target size at rest. The rest of the
-// fleet is listeners in this process that answer probes, polls and seals, but ask for nothing.
+// FullSize measures real entries and sidecars, idle and under load, with an instance list of the
+// target size. The other members of the list are listeners in this process, which answer requests
+// but make none.
 func FullSize(ctx context.Context, cfg CapacityConfig, realEntries int) (samples []Sample, err error) {
 	tc := testcluster.Config{
 		Bin: cfg.Bin, Dir: cfg.Dir, Entries: realEntries, DataCentres: []string{"dc-0", "dc-1"},
 		EntryArgs:  []string{"--instances-poll", "2s", "--plan-interval", "5s"},
-		EngineArgs: []string{"--model", fullService(0) + "@1"}, KVArgs: []string{"--writes", "0", "--reads", "0"},
+		EngineArgs: []string{"--model", serviceName(0) + "@1"}, KVArgs: []string{"--writes", "0", "--reads", "0"},
 	}
 	for i := range realSidecars {
-		tc.Pools = append(tc.Pools, testcluster.Pool{Service: fullService(0), DataCentre: fmt.Sprintf("dc-%d", i), Workers: 1, CheckFence: true})
+		tc.Pools = append(tc.Pools, testcluster.Pool{Service: serviceName(0), DataCentre: fmt.Sprintf("dc-%d", i), Workers: 1, CheckFence: true})
 	}
 	c, err := testcluster.Start(ctx, tc)
 	if err != nil {
 		return nil, err
 	}
-	p := &peers{}
-	defer p.close()
+	fleet := &fakeFleet{}
+	defer fleet.close()
 	defer func() { err = errors.Join(err, c.Stop()) }()
 	kv, err := c.KV(ctx)
 	if err != nil {
 		return nil, err
 	}
-	list, err := kernel.Load[*instanceshttp.Client](ctx, instanceshttp.ID, kernel.Settings{"address": c.InstancesAddress()})
+	instances, err := kernel.Load[*instanceshttp.Client](ctx, instanceshttp.ID, kernel.Settings{"address": c.InstancesAddress()})
 	if err != nil {
 		return nil, err
 	}
-	if err := p.prepare(ctx, kv, list, realEntries); err != nil {
+	if err := fleet.populate(ctx, kv, instances, realEntries); err != nil {
 		return nil, err
 	}
-	// Entries that start with the whole list take the pools that are their share.
+	// Entries take over their share of the pools when they start with the complete list.
 	for _, e := range c.Entries {
 		e.Kill()
 		if err := e.Restart(); err != nil {
@@ -255,17 +257,17 @@
 	}
 	r := &capacityRun{cfg: cfg, size: Size{Entries: realEntries, Sidecars: realSidecars}, cluster: c}
 	for _, e := range c.Entries {
-		r.add(e.Address, e.LogPath)
+		r.addProcess(e.Address, e.LogPath)
 	}
 	for _, w := range c.Workers {
-		r.add(w.Address, w.Sidecar.LogPath)
+		r.addProcess(w.Address, w.Sidecar.LogPath)
 	}
-	if err := pause(ctx, fullSettle); err != nil {
+	if err := pause(ctx, probeSettleTime); err != nil {
 		return nil, err
 	}
 	err = r.measure(ctx, PhaseRest, func() error { return pause(ctx, cfg.Phase) })
 	if err == nil {
-		err = r.fullLoad(ctx)
+		err = r.runTargetLoad(ctx)
 	}
 	for i := range r.samples {
 		r.samples[i].Size = TargetSize
@@ -273,18 +275,19 @@
 	return r.samples, err
 }
 
-// peakRate is the requests/s of one entry at the target size's peak: 12,000 over 340 entries.
-const peakRate = 12_000.0 / fullEntries
+// peakRatePerEntry is the load of one entry in requests/s at the peak of the target size: 12,000
+// requests/s over 340 entries.
+const peakRatePerEntry = 12_000.0 / targetEntries
 
-// fullLoad sends each real entry its share of the peak, spread over all models.
-func (r *capacityRun) fullLoad(ctx context.Context) error {
-	cl := newClient()
-	defer cl.close()
+// runTargetLoad sends each real entry its share of the peak load, spread over all models.
+func (r *capacityRun) runTargetLoad(ctx context.Context) error {
+	client := newClient()
+	defer client.close()
 	entries := r.cluster.Entries
 	l := Load{
-		Rate: peakRate * float64(len(entries)), Duration: r.cfg.Phase, Seed: 1,
+		Rate: peakRatePerEntry * float64(len(entries)), Duration: r.cfg.Phase, Seed: 1,
 		Send: func(ctx context.Context, n int) error {
-			return cl.complete(ctx, entries[n%len(entries)].Address, fullService(n/len(entries)), n)
+			return client.complete(ctx, entries[n%len(entries)].Address, serviceName(n/len(entries)), n)
 		},
 	}
 	var res LoadResult
--- a/internal/bench/inforce.go
+++ b/internal/bench/inforce.go
@@ -13,25 +13,25 @@
 )
 
 var (
-	errNotInForce = errors.New("document is not in force everywhere within the bound")
+	errNotInForce = errors.New("document is not in force in every process within the time limit")
 	inForceLine   = regexp.MustCompile(`^time="([^"]+)".*msg="document in force".* revision=(\d+)`)
 )
 
 const (
-	// inForceBound ends the wait for a document; the product's own bound is 8 s.
-	inForceBound = 30 * time.Second
-	inForceTick  = 50 * time.Millisecond
+	// inForceTimeout bounds the wait for a document. Entries and sidecars have to apply it within 8 s.
+	inForceTimeout      = 30 * time.Second
+	inForcePollInterval = 50 * time.Millisecond
 )
 
-// logReader finds the documents in force in the log of one process.
+// logReader reads from the log of one process which revisions of the document came into force.
 type logReader struct {
 	path   string
 	offset int64
-	// at is the time at which the revision came into force.
-	at map[uint64]time.Time
+	// inForceAt holds the time at which each revision came into force.
+	inForceAt map[uint64]time.Time
 }
 
-// read takes the lines that were added since the last read.
+// read parses the lines that were added since the last read.
 func (r *logReader) read() error {
 	f, err := os.Open(r.path)
 	if err != nil {
@@ -45,19 +45,19 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) {
-			return nil // a part of a line is read again
+			return nil // an incomplete line is read again next time
 		}
 		if err != nil {
 			return err
 		}
 		r.offset += int64(len(line))
-		if err := r.take(line); err != nil {
+		if err := r.parseLine(line); err != nil {
 			return err
 		}
 	}
 }
 
-func (r *logReader) take(line string) error {
+func (r *logReader) parseLine(line string) error {
 	m := inForceLine.FindStringSubmatch(line)
 	if m == nil {
 		return nil
@@ -70,15 +70,15 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", r.path, err)
 	}
-	r.at[revision] = at
+	r.inForceAt[revision] = at
 	return nil
 }
 
-// since returns the first time at or after from at which the revision or a later one came into
-// force.
-func (r *logReader) since(from time.Time, revision uint64) (time.Time, bool) {
+// firstInForce returns the first time, not before from, at which the revision or a later one came
+// into force.
+func (r *logReader) firstInForce(from time.Time, revision uint64) (time.Time, bool) {
 	var first time.Time
-	for v, at := range r.at {
+	for v, at := range r.inForceAt {
 		if v >= revision && !at.Before(from) && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
@@ -86,18 +86,19 @@
 	return first, !first.IsZero()
 }
 
-// waitInForce waits until a revision has come into force in each process and returns the delays
-// since a time, in the order of the readers. Log times are cut to milliseconds.
+// waitInForce waits until a revision, or a later one, has come into force in each process and
+// returns the delays since from, in the order of the readers. from is truncated because log times
+// have a resolution of milliseconds.
 func waitInForce(ctx context.Context, readers []*logReader, from time.Time, revision uint64) ([]time.Duration, error) {
 	from = from.Truncate(time.Millisecond)
 	delays := make([]time.Duration, len(readers))
-	ctx, cancel := context.WithTimeout(ctx, inForceBound)
+	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	for i := 0; i < len(readers); {
 		if err := readers[i].read(); err != nil {
 			return nil, err
 		}
-		if at, ok := readers[i].since(from, revision); ok {
+		if at, ok := readers[i].firstInForce(from, revision); ok {
 			delays[i] = at.Sub(from)
 			i++
 			continue
@@ -105,7 +106,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%s: revision %d: %w", readers[i].path, revision, errNotInForce)
-		case <-time.After(inForceTick):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 	return delays, nil
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -1,6 +1,6 @@
-// Package bench measures the product as separate processes on loopback: the latency that entry
-// and sidecar add, and what each role costs at several sizes. It runs no timed checks; it
-// reports figures.
+// Package bench measures Quetzallug, run as separate processes on loopback: the latency that entry
+// and sidecar add, and the resources that each role uses at several cluster sizes. It only reports
+// measurements and fails on none of them.
 package bench
 
 import (
@@ -19,10 +19,10 @@
 
 // LatencyConfig configures a latency run.
 type LatencyConfig struct {
-	// Bin holds the built programs, Dir the logs.
+	// Bin is the folder of the built programs, Dir the folder for logs.
 	Bin, Dir string
-	// Rate is in requests per second. Each round sends Duration of load to the engine directly
-	// and then as much through the product.
+	// Rate is in requests per second. Each round sends load for Duration to the engine directly, and
+	// then for as long through entry and sidecar.
 	Rate     float64
 	Duration time.Duration
 	Rounds   int
@@ -30,47 +30,49 @@
 	Profiles string
 }
 
-// Quantiles are latencies in microseconds.
+// Quantiles holds the 50th, 95th and 99th percentile of latencies in microseconds.
 type Quantiles struct{ P50, P95, P99 int64 }
 
-// LatencyRound is one round of a latency run.
+// LatencyRound is the result of one round of a latency run. Direct was measured at the engine,
+// Proxied through entry and sidecar.
 type LatencyRound struct {
-	Direct, Product Quantiles
-	// EntryCPU and SidecarCPU are cores per 100 requests/s.
+	Direct, Proxied Quantiles
+	// EntryCPU and SidecarCPU are in cores per 100 requests/s.
 	EntryCPU, SidecarCPU float64
-	// Sent and Failed count the requests through the product. A refusal counts as failed.
+	// Sent and Failed count the requests through entry and sidecar. A refusal counts as failed.
 	Sent, Failed int64
 	FirstError   error
 	Machine      string
 }
 
-// Added returns the latency that the product adds at the three quantiles.
+// Added returns the latency that entry and sidecar add, as the difference of each percentile.
 func (r LatencyRound) Added() Quantiles {
-	return Quantiles{r.Product.P50 - r.Direct.P50, r.Product.P95 - r.Direct.P95, r.Product.P99 - r.Direct.P99}
+	return Quantiles{r.Proxied.P50 - r.Direct.P50, r.Proxied.P95 - r.Direct.P95, r.Proxied.P99 - r.Direct.P99}
 }
 
-// Latency measures one entry, one sidecar and one engine without step time.
+// Latency measures a cluster of one entry, one sidecar and one engine that generates without delay.
+// With cfg.Profiles it writes CPU profiles instead and returns no rounds.
 func Latency(ctx context.Context, cfg LatencyConfig) ([]LatencyRound, error) {
 	c, err := startCluster(ctx, clusterConfig{
 		bin: cfg.Bin, dir: cfg.Dir, size: Size{Entries: 1, Sidecars: 1}, engineArgs: []string{"--instant", "--order-time", "200ms"},
-		profile: cfg.Profiles != "",
+		enableProfiling: cfg.Profiles != "",
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = c.Stop() }()
-	cl := newClient()
-	defer cl.close()
-	warm := Load{Rate: cfg.Rate / 2, Duration: 2 * time.Second, Seed: 99, Send: func(ctx context.Context, n int) error {
-		return cl.complete(ctx, c.Entries[0].Address, model, n)
+	client := newClient()
+	defer client.close()
+	warmUp := Load{Rate: cfg.Rate / 2, Duration: 2 * time.Second, Seed: 99, Send: func(ctx context.Context, n int) error {
+		return client.complete(ctx, c.Entries[0].Address, model, n)
 	}}
-	warm.Run(ctx)
+	warmUp.Run(ctx)
 	if cfg.Profiles != "" {
-		return nil, profileBoth(ctx, cfg, c, warm)
+		return nil, profileUnderLoad(ctx, cfg, c, warmUp)
 	}
 	var rounds []LatencyRound
 	for i := range cfg.Rounds {
-		r, err := latencyRound(ctx, cfg, c, cl, uint64(i+1))
+		r, err := latencyRound(ctx, cfg, c, client, uint64(i+1))
 		if err != nil {
 			return rounds, err
 		}
@@ -79,34 +81,34 @@
 	return rounds, nil
 }
 
-func latencyRound(ctx context.Context, cfg LatencyConfig, c *testcluster.Cluster, cl *client, seed uint64) (LatencyRound, error) {
+func latencyRound(ctx context.Context, cfg LatencyConfig, c *testcluster.Cluster, client *client, seed uint64) (LatencyRound, error) {
 	entry, worker := c.Entries[0], c.Workers[0]
 	load := Load{Rate: cfg.Rate, Duration: cfg.Duration, Seed: seed}
 	r := LatencyRound{Machine: Machine()}
-	load.Send = func(ctx context.Context, n int) error { return cl.generate(ctx, worker.BackendAddress, n) }
+	load.Send = func(ctx context.Context, n int) error { return client.generate(ctx, worker.BackendAddress, n) }
 	direct := load.Run(ctx)
 	addresses := []string{entry.Address, worker.Address}
 	before, err := scrapeAll(ctx, addresses)
 	if err != nil {
 		return r, err
 	}
-	load.Send = func(ctx context.Context, n int) error { return cl.complete(ctx, entry.Address, model, n) }
-	product := load.Run(ctx)
+	load.Send = func(ctx context.Context, n int) error { return client.complete(ctx, entry.Address, model, n) }
+	proxied := load.Run(ctx)
 	after, err := scrapeAll(ctx, addresses)
 	if err != nil {
 		return r, err
 	}
-	for _, res := range []LoadResult{direct, product} {
+	for _, res := range []LoadResult{direct, proxied} {
 		if res.Failed == res.Sent {
 			return r, fmt.Errorf("all %d requests failed: %w", res.Sent, res.FirstError)
 		}
 	}
-	r.Sent, r.Failed, r.FirstError = product.Sent, product.Failed, product.FirstError
-	per100 := func(i int) float64 {
-		return (after[i][metricCPU] - before[i][metricCPU]) / float64(product.Sent) * 100
+	r.Sent, r.Failed, r.FirstError = proxied.Sent, proxied.Failed, proxied.FirstError
+	coresPer100Requests := func(i int) float64 {
+		return (after[i][metricCPU] - before[i][metricCPU]) / float64(proxied.Sent) * 100
 	}
-	r.Direct, r.Product = quantiles(direct.Latency), quantiles(product.Latency)
-	r.EntryCPU, r.SidecarCPU = per100(0), per100(1)
+	r.Direct, r.Proxied = quantiles(direct.Latency), quantiles(proxied.Latency)
+	r.EntryCPU, r.SidecarCPU = coresPer100Requests(0), coresPer100Requests(1)
 	return r, nil
 }
 
@@ -114,25 +116,25 @@
 	return Quantiles{h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99)}
 }
 
-// clusterConfig describes a cluster of one model service with default settings of the product.
+// clusterConfig describes a cluster of one model service with default settings.
 type clusterConfig struct {
 	bin, dir   string
 	size       Size
 	engineArgs []string
 	kvArgs     []string
-	// profile makes entries and sidecars serve CPU profiles.
-	profile bool
+	// enableProfiling makes entries and sidecars serve CPU profiles.
+	enableProfiling bool
 }
 
-// startCluster starts a cluster, applies its document and waits until all entries serve.
+// startCluster starts a cluster, applies its document and waits until all entries answer requests.
 func startCluster(ctx context.Context, cfg clusterConfig) (*testcluster.Cluster, error) {
 	pools := poolSizes(cfg.size.Sidecars)
 	tc := testcluster.Config{
 		Bin: cfg.bin, Dir: cfg.dir, Entries: cfg.size.Entries, EngineArgs: cfg.engineArgs, KVArgs: cfg.kvArgs,
-		// The test cluster shortens these times; the figures must be those of the defaults.
+		// The test cluster shortens these intervals; restore the defaults for the measurement.
 		EntryArgs: []string{"--instances-poll", "2s", "--plan-interval", "5s"},
 	}
-	if cfg.profile {
+	if cfg.enableProfiling {
 		tc.EntryArgs = append(tc.EntryArgs, "--profile")
 		tc.SidecarArgs = append(tc.SidecarArgs, "--profile")
 	}
@@ -159,7 +161,7 @@
 	return c, nil
 }
 
-// Median returns the median of a value over the rounds.
+// Median returns the median of a value over the rounds, or 0 without any round.
 func Median[T int64 | float64](rounds []LatencyRound, value func(LatencyRound) T) T {
 	all := make([]T, 0, len(rounds))
 	for _, r := range rounds {
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// maxLatency bounds the recorded latencies, in microseconds.
-	maxLatency = int64(60 * time.Second / time.Microsecond)
-	// significant is the number of significant figures of a recorded latency.
-	significant = 3
+	// maxLatencyMicros is the highest recorded latency; longer ones are recorded as this.
+	maxLatencyMicros = int64(60 * time.Second / time.Microsecond)
+	// significantFigures is the precision of the recorded latencies.
+	significantFigures = 3
 )
 
-// Load is an open-loop load: the times of the requests do not depend on the answers.
+// Load is an open-loop load: requests are sent at times that do not depend on the answers.
 type Load struct {
-	// Rate is the mean number of requests per second; the intervals are exponential.
+	// Rate is the mean number of requests per second; the intervals between them are exponentially
+	// distributed.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// Send sends request n and reads its whole answer.
+	// Send sends the request with number n and reads its whole answer.
 	Send func(ctx context.Context, n int) error
 }
 
-// LoadResult is the outcome of a load. Latencies are in microseconds, from the intended time of
-// a request to the end of its answer.
+// LoadResult is the result of a load. Latencies are in microseconds, from the scheduled time of a
+// request to the end of its answer; failed requests have none.
 type LoadResult struct {
 	Sent, Failed int64
 	Latency      *hdrhistogram.Histogram
 	Elapsed      time.Duration
-	// FirstError is one of the errors, nil if no request failed.
+	// FirstError is the error of one of the failed requests, nil if there are none.
 	FirstError error
 }
 
-// Run sends the load and waits for all answers.
+// Run sends the requests and waits for all answers.
 func (l Load) Run(ctx context.Context) LoadResult {
 	rng := rand.New(rand.NewPCG(l.Seed, l.Seed)) //nolint:gosec // arrival times need no secrecy
-	res := LoadResult{Latency: hdrhistogram.New(1, maxLatency, significant)}
+	res := LoadResult{Latency: hdrhistogram.New(1, maxLatencyMicros, significantFigures)}
 	var (
 		mu     sync.Mutex
 		wg     sync.WaitGroup
@@ -64,7 +65,7 @@
 				res.FirstError = err
 				return
 			}
-			_ = res.Latency.RecordValue(min(maxLatency, max(1, took.Microseconds())))
+			_ = res.Latency.RecordValue(min(maxLatencyMicros, max(1, took.Microseconds())))
 		})
 	}
 	wg.Wait()
--- a/internal/bench/machine.go
+++ b/internal/bench/machine.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Machine describes the machine of a run: its cores and its load averages over 1, 5 and 15
+// Machine describes this machine by its number of cores and its load averages over 1, 5 and 15
 // minutes.
 func Machine() string {
 	load := "unknown"
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%d cores, load averages %s", runtime.NumCPU(), load)
 }
 
-// ownCPU returns the processor time of this process in seconds.
+// ownCPU returns the user and system CPU time of this process in seconds.
 func ownCPU() (float64, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -7,8 +7,8 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// rates are the counters whose growth per second is reported, by the name of the figure.
-var rates = map[string]string{
+// reportedRates maps the name of a reported rate to the counter whose increase per second it is.
+var reportedRates = map[string]string{
 	"cores":                     metricCPU,
 	"control bytes/s in":        metricControlIn,
 	"control bytes/s out":       metricControlOut,
@@ -19,11 +19,12 @@
 	"key-value calls/s":         metricKVCalls,
 }
 
-// operations are the calls to the key-value service.
-var operations = []string{"get", "list", "watch", "compare_and_swap", "delete", "grant_lease", "keep_alive", "revoke_lease"}
+// kvOperations lists the operations of the key-value service that are reported separately.
+var kvOperations = []string{"get", "list", "watch", "compare_and_swap", "delete", "grant_lease", "keep_alive", "revoke_lease"}
 
-// measure runs do and samples what the processes and the key-value service did meanwhile.
-func (r *capacityRun) measure(ctx context.Context, phase string, do func() error) error {
+// measure runs action and records the rates and the memory of the processes, and the call rates of
+// the key-value service, during that time.
+func (r *capacityRun) measure(ctx context.Context, phase string, action func() error) error {
 	before, err := scrapeAll(ctx, r.addresses)
 	if err != nil {
 		return err
@@ -33,7 +34,7 @@
 		return err
 	}
 	start := time.Now()
-	if err := do(); err != nil {
+	if err := action(); err != nil {
 		return err
 	}
 	if err := r.cluster.KVCalls(ctx, &kvAfter); err != nil {
@@ -44,17 +45,17 @@
 	if err != nil {
 		return err
 	}
-	for name, metric := range rates {
-		r.rate(phase, name, metric, before, after, elapsed)
+	for name, metric := range reportedRates {
+		r.sampleRate(phase, name, metric, before, after, elapsed)
 	}
-	for _, op := range operations {
-		r.rate(phase, "key-value "+op+"/s", metricKVCalls+"/"+op, before, after, elapsed)
+	for _, op := range kvOperations {
+		r.sampleRate(phase, "key-value "+op+"/s", metricKVCalls+"/"+op, before, after, elapsed)
 	}
 	memory := make([]float64, len(after))
 	for i := range after {
 		memory[i] = after[i][metricRSS] / (1 << 20)
 	}
-	e, s := r.split(memory)
+	e, s := r.splitByRole(memory)
 	r.sample(phase, RoleEntry, "MiB resident", e)
 	r.sample(phase, RoleSidecar, "MiB resident", s)
 	for name, d := range map[string]uint64{
@@ -67,12 +68,12 @@
 	return nil
 }
 
-func (r *capacityRun) rate(phase, name, metric string, before, after []values, elapsed float64) {
+func (r *capacityRun) sampleRate(phase, name, metric string, before, after []metricValues, elapsed float64) {
 	all := make([]float64, len(after))
 	for i := range after {
 		all[i] = (after[i][metric] - before[i][metric]) / elapsed
 	}
-	e, s := r.split(all)
+	e, s := r.splitByRole(all)
 	r.sample(phase, RoleEntry, name, e)
 	r.sample(phase, RoleSidecar, name, s)
 }
--- a/internal/bench/profile.go
+++ b/internal/bench/profile.go
@@ -13,8 +13,8 @@
 	"github.com/quetzallug/quetzallug/internal/testcluster"
 )
 
-// profileBoth writes CPU profiles of entry and sidecar under load.
-func profileBoth(ctx context.Context, cfg LatencyConfig, c *testcluster.Cluster, load Load) error {
+// profileUnderLoad writes CPU profiles of entry and sidecar, taken while load runs.
+func profileUnderLoad(ctx context.Context, cfg LatencyConfig, c *testcluster.Cluster, load Load) error {
 	load.Rate, load.Duration = cfg.Rate, cfg.Duration+2*time.Second
 	errs := make(chan error, 2)
 	go func() {
@@ -39,7 +39,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("profile of %s: status %d", address, resp.StatusCode)
+		return fmt.Errorf("CPU profile of %s: status %d", address, resp.StatusCode)
 	}
 	f, err := os.Create(path)
 	if err != nil {
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -10,33 +10,33 @@
 	"text/tabwriter"
 )
 
-// TargetSize is the fleet of the design page.
+// TargetSize is the size of the fleet in the design document.
 var TargetSize = Size{Entries: 340, Sidecars: 640}
 
-// WriteSamples writes the samples as CSV.
+// WriteSamples writes the samples to a CSV file.
 func WriteSamples(path string, samples []Sample) error {
 	rows := [][]string{{"entries", "sidecars", "phase", "role", "metric", "mean", "max", "machine"}}
 	for _, s := range samples {
 		rows = append(rows, []string{
-			strconv.Itoa(s.Entries), strconv.Itoa(s.Sidecars), s.Phase, s.Role, s.Metric, number(s.Mean), number(s.Max), s.Machine,
+			strconv.Itoa(s.Entries), strconv.Itoa(s.Sidecars), s.Phase, s.Role, s.Metric, formatNumber(s.Mean), formatNumber(s.Max), s.Machine,
 		})
 	}
 	return writeCSV(path, rows)
 }
 
-// WriteFits writes the fits as CSV, with the line's value at the target size.
+// WriteFits writes the fits to a CSV file, with the fitted values at the target size.
 func WriteFits(path string, fits []Fit) error {
 	rows := [][]string{{"phase", "role", "metric", "constant", "per entry", "per sidecar", "largest residual", "points", "at 340 entries and 640 sidecars"}}
 	for _, f := range fits {
 		rows = append(rows, []string{
-			f.Phase, f.Role, f.Metric, number(f.Constant), number(f.PerEntry), number(f.PerSidecar),
-			number(f.Residual), strconv.Itoa(f.Points), number(f.At(TargetSize)),
+			f.Phase, f.Role, f.Metric, formatNumber(f.Constant), formatNumber(f.PerEntry), formatNumber(f.PerSidecar),
+			formatNumber(f.Residual), strconv.Itoa(f.Points), formatNumber(f.At(TargetSize)),
 		})
 	}
 	return writeCSV(path, rows)
 }
 
-// WriteLatency writes the rounds of a latency run as CSV.
+// WriteLatency writes the rounds of a latency run to a CSV file.
 func WriteLatency(path string, rounds []LatencyRound) error {
 	rows := [][]string{{
 		"round", "direct p50 us", "direct p95 us", "direct p99 us", "product p50 us", "product p95 us", "product p99 us",
@@ -44,10 +44,10 @@
 	}}
 	for i, r := range rounds {
 		row := []string{strconv.Itoa(i + 1)}
-		for _, v := range []int64{r.Direct.P50, r.Direct.P95, r.Direct.P99, r.Product.P50, r.Product.P95, r.Product.P99, r.Added().P99} {
+		for _, v := range []int64{r.Direct.P50, r.Direct.P95, r.Direct.P99, r.Proxied.P50, r.Proxied.P95, r.Proxied.P99, r.Added().P99} {
 			row = append(row, strconv.FormatInt(v, 10))
 		}
-		rows = append(rows, append(row, number(r.EntryCPU), number(r.SidecarCPU),
+		rows = append(rows, append(row, formatNumber(r.EntryCPU), formatNumber(r.SidecarCPU),
 			strconv.FormatInt(r.Sent, 10), strconv.FormatInt(r.Failed, 10), r.Machine))
 	}
 	return writeCSV(path, rows)
@@ -75,7 +75,7 @@
 	fmt.Fprintln(w, "phase\trole\tfigure\tconstant\tper entry\tper sidecar\tresidual\tat 340+640")
 	for _, f := range fits {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", f.Phase, f.Role, f.Metric,
-			number(f.Constant), number(f.PerEntry), number(f.PerSidecar), number(f.Residual), number(f.At(TargetSize)))
+			formatNumber(f.Constant), formatNumber(f.PerEntry), formatNumber(f.PerSidecar), formatNumber(f.Residual), formatNumber(f.At(TargetSize)))
 	}
 	return w.Flush()
 }
@@ -85,7 +85,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "phase\trole\tfigure\tmean\tmax\tmachine")
 	for _, s := range samples {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", s.Phase, s.Role, s.Metric, number(s.Mean), number(s.Max), s.Machine)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", s.Phase, s.Role, s.Metric, formatNumber(s.Mean), formatNumber(s.Max), s.Machine)
 	}
 	return w.Flush()
 }
@@ -96,7 +96,7 @@
 	fmt.Fprintln(w, "round\tdirect p50/p95/p99 µs\tproduct p50/p95/p99 µs\tadded p99 µs\tentry cores per 100/s\tsidecar cores per 100/s\tfailed\tmachine")
 	for i, r := range rounds {
 		fmt.Fprintf(w, "%d\t%d/%d/%d\t%d/%d/%d\t%d\t%.4f\t%.4f\t%d/%d\t%s\n", i+1, r.Direct.P50, r.Direct.P95, r.Direct.P99,
-			r.Product.P50, r.Product.P95, r.Product.P99, r.Added().P99, r.EntryCPU, r.SidecarCPU, r.Failed, r.Sent, r.Machine)
+			r.Proxied.P50, r.Proxied.P95, r.Proxied.P99, r.Added().P99, r.EntryCPU, r.SidecarCPU, r.Failed, r.Sent, r.Machine)
 	}
 	fmt.Fprintf(w, "median\t\t\t%d\t%.4f\t%.4f\t\n",
 		Median(rounds, func(r LatencyRound) int64 { return r.Added().P99 }),
@@ -105,4 +105,4 @@
 	return w.Flush()
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
--- a/internal/bench/scrape.go
+++ b/internal/bench/scrape.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Names of the metrics that a scrape reads. A counter's series are summed over its labels.
+// Metrics that are read from the processes. The series of a counter are summed over its labels.
 const (
 	metricCPU          = "process_cpu_seconds_total"
 	metricRSS          = "process_resident_memory_bytes"
@@ -25,18 +25,18 @@
 	metricKVCalls      = "quetzallug_kv_calls_total"
 )
 
-// labelOperation is the label of the calls to the key-value service.
-const labelOperation = `operation="`
+// operationLabel precedes the operation in the labels of metricKVCalls.
+const operationLabel = `operation="`
 
-// scrapeTimeout bounds one scrape on a busy machine.
+// scrapeTimeout is long enough for a scrape on a busy machine.
 const scrapeTimeout = 20 * time.Second
 
-// values are the metrics of one process by name, with the calls to the key-value service also by
-// operation as quetzallug_kv_calls_total/get.
-type values map[string]float64
+// metricValues holds the metrics of one process by name. Calls to the key-value service are also
+// kept per operation, under names such as quetzallug_kv_calls_total/get.
+type metricValues map[string]float64
 
 // scrape reads the metrics of one process.
-func scrape(ctx context.Context, address string) (values, error) {
+func scrape(ctx context.Context, address string) (metricValues, error) {
 	ctx, cancel := context.WithTimeout(ctx, scrapeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", http.NoBody)
@@ -54,9 +54,9 @@
 	return parseMetrics(resp.Body)
 }
 
-// parseMetrics reads the Prometheus text format.
-func parseMetrics(r io.Reader) (values, error) {
-	v := values{}
+// parseMetrics parses the Prometheus text format.
+func parseMetrics(r io.Reader) (metricValues, error) {
+	v := metricValues{}
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		line := lines.Text()
@@ -73,7 +73,7 @@
 		if name != metricKVCalls {
 			continue
 		}
-		if _, op, ok := strings.Cut(labels, labelOperation); ok {
+		if _, op, ok := strings.Cut(labels, operationLabel); ok {
 			op, _, _ = strings.Cut(op, `"`)
 			v[name+"/"+op] += n
 		}
@@ -81,9 +81,10 @@
 	return v, lines.Err()
 }
 
-// scrapeAll reads the metrics of all processes at the same time. Its result is in their order.
-func scrapeAll(ctx context.Context, addresses []string) ([]values, error) {
-	all := make([]values, len(addresses))
+// scrapeAll reads the metrics of all processes concurrently and returns them in the order of the
+// addresses.
+func scrapeAll(ctx context.Context, addresses []string) ([]metricValues, error) {
+	all := make([]metricValues, len(addresses))
 	errs := make([]error, len(addresses))
 	var wg sync.WaitGroup
 	for i, a := range addresses {
