--- a/internal/policybench/baselines.go
+++ b/internal/policybench/baselines.go
@@ -7,69 +7,69 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// base has the parts that the baselines share: a queue bound at the engine, and a request that
-// meets a leaving engine is sent elsewhere.
-type base struct {
-	w *world
+// baseline is embedded by the baseline policies. It limits the queue of an engine and always allows
+// retries; the remaining methods do nothing.
+type baseline struct {
+	sim *simulation
 }
 
-func (b *base) accept(_ *request, e *engine) string {
-	if e.queued() >= queueBound {
+func (b *baseline) accept(_ *request, e *engine) string {
+	if e.queued() >= maxQueued {
 		return "queue_full"
 	}
 	return ""
 }
 
-func (b *base) hopeless(*request, *engine) bool { return false }
+func (b *baseline) tooLate(*request, *engine) bool { return false }
 
-func (b *base) retry(*request) bool                                        { return true }
-func (b *base) firstToken(*request)                                        {}
-func (b *base) finished(*request)                                          {}
-func (b *base) cacheEvent(*engine, external.CacheEvent)                    {}
-func (b *base) restarted(*engine)                                          {}
-func (b *base) plan(*offered)                                              {}
-func (b *base) report(*engine, uint64, time.Duration, external.EngineLoad) {}
+func (b *baseline) allowRetry(*request) bool                                   { return true }
+func (b *baseline) firstTokenDelivered(*request)                               {}
+func (b *baseline) finished(*request)                                          {}
+func (b *baseline) cacheEvent(*engine, external.CacheEvent)                    {}
+func (b *baseline) restarted(*engine)                                          {}
+func (b *baseline) plan(*offeredWork)                                          {}
+func (b *baseline) report(*engine, uint64, time.Duration, external.EngineLoad) {}
 
-// roundRobin sends prompts and answers to the engines of their role in turn.
+// roundRobin sends prefill and decode work in turn to the serving engines whose role allows it.
 type roundRobin struct {
-	base
+	baseline
 
-	prefill, decode int
+	prefillPosition, decodePosition int
 }
 
 func (p *roundRobin) choose(*request) (prefill, decode *engine, refusal string) {
-	prefill = p.next(&p.prefill, external.RoleDecode)
-	decode = p.next(&p.decode, external.RolePrefill)
+	prefill = p.nextEngine(&p.prefillPosition, external.RoleDecode)
+	decode = p.nextEngine(&p.decodePosition, external.RolePrefill)
 	if prefill == nil || decode == nil {
 		return nil, nil, "no_worker"
 	}
 	return prefill, decode, ""
 }
 
-func (p *roundRobin) next(at *int, not external.Role) *engine {
-	for range p.w.engines {
-		*at++
-		if e := p.w.engines[*at%len(p.w.engines)]; e.state == serving && e.role != not {
+func (p *roundRobin) nextEngine(position *int, excluded external.Role) *engine {
+	for range p.sim.engines {
+		*position++
+		if e := p.sim.engines[*position%len(p.sim.engines)]; e.state == serving && e.role != excluded {
 			return e
 		}
 	}
 	return nil
 }
 
-// leastLoaded sends to the engine with the least reported load and changes roles by a threshold
-// rule: whenever the split by recent work differs from the current one, engines change at once.
+// leastLoaded routes to the engine with the lowest reported load. It changes roles by a threshold
+// rule: at once whenever the split that recent work calls for differs from the current one.
 type leastLoaded struct {
-	base
+	baseline
 
 	reports []external.EngineLoad
-	recent  []offered
+	recent  []offeredWork
 }
 
-// thresholdWindow is the number of planning rounds over which the rule looks at the work.
+// thresholdWindow is the number of planning rounds over which recent work is summed.
 const thresholdWindow = 10
 
-func newLeastLoaded(w *world) *leastLoaded {
-	return &leastLoaded{base: base{w: w}, reports: make([]external.EngineLoad, len(w.engines))}
+func newLeastLoaded(sim *simulation) *leastLoaded {
+	return &leastLoaded{baseline: baseline{sim: sim}, reports: make([]external.EngineLoad, len(sim.engines))}
 }
 
 func (p *leastLoaded) report(e *engine, _ uint64, _ time.Duration, l external.EngineLoad) {
@@ -77,27 +77,28 @@
 }
 
 func (p *leastLoaded) choose(*request) (prefill, decode *engine, refusal string) {
-	prefill = p.least(external.RoleDecode, func(l *external.EngineLoad) int64 { return l.PrefillTokens })
-	decode = p.least(external.RolePrefill, func(l *external.EngineLoad) int64 { return int64(l.Running + l.Queued) })
+	prefill = p.leastLoadedEngine(external.RoleDecode, func(l *external.EngineLoad) int64 { return l.PrefillTokens })
+	decode = p.leastLoadedEngine(external.RolePrefill, func(l *external.EngineLoad) int64 { return int64(l.Running + l.Queued) })
 	if prefill == nil || decode == nil {
 		return nil, nil, "no_worker"
 	}
 	return prefill, decode, ""
 }
 
-// least breaks ties at random, so that equal reports do not send everything to one engine.
-func (p *leastLoaded) least(not external.Role, load func(*external.EngineLoad) int64) *engine {
+// leastLoadedEngine returns the serving engine with the lowest load among those without the excluded
+// role. It breaks ties at random, so that equal reports do not direct all requests to one engine.
+func (p *leastLoaded) leastLoadedEngine(excluded external.Role, load func(*external.EngineLoad) int64) *engine {
 	var best *engine
-	least, ties := int64(0), 0
-	for _, e := range p.w.engines {
-		if e.state != serving || e.role == not {
+	lowest, ties := int64(0), 0
+	for _, e := range p.sim.engines {
+		if e.state != serving || e.role == excluded {
 			continue
 		}
 		switch v := load(&p.reports[e.index]); {
-		case best == nil || v < least:
-			best, least, ties = e, v, 1
-		case v == least:
-			if ties++; p.w.noise.IntN(ties) == 0 {
+		case best == nil || v < lowest:
+			best, lowest, ties = e, v, 1
+		case v == lowest:
+			if ties++; p.sim.rng.IntN(ties) == 0 {
 				best = e
 			}
 		}
@@ -105,8 +106,8 @@
 	return best
 }
 
-func (p *leastLoaded) plan(o *offered) {
-	p.recent = append(p.recent, *o)
+func (p *leastLoaded) plan(offered *offeredWork) {
+	p.recent = append(p.recent, *offered)
 	if len(p.recent) < thresholdWindow {
 		return
 	}
@@ -114,56 +115,57 @@
 	prefill, decode := 0.0, 0.0
 	for i := range p.recent {
 		for _, k := range []struct {
-			work *offeredKind
+			work *kindWork
 			kind *kind
-		}{{&p.recent[i].long, &p.w.fleet.long}, {&p.recent[i].chat, &p.w.fleet.chat}} {
-			prefill += k.work.prompt * p.w.fleet.prefillToken
-			decode += k.work.requests * p.w.fleet.decodeWork(k.kind)
+		}{{&p.recent[i].long, &p.sim.fleet.long}, {&p.recent[i].chat, &p.sim.fleet.chat}} {
+			prefill += k.work.promptTokens * p.sim.fleet.prefillSecondsPerToken
+			decode += k.work.requests * p.sim.fleet.decodeWork(k.kind)
 		}
 	}
 	if prefill+decode > 0 {
-		p.follow(prefill / (prefill + decode))
+		p.rebalance(prefill / (prefill + decode))
 	}
 }
 
-// follow changes engines towards a share of prefill engines.
-func (p *leastLoaded) follow(share float64) {
-	alive, have := 0, 0
-	for _, e := range p.w.engines {
-		if e.state == dead {
+// rebalance orders role changes towards prefillShare of the engines in the prefill role. It does not
+// take the last serving engine out of a role.
+func (p *leastLoaded) rebalance(prefillShare float64) {
+	alive, current := 0, 0
+	for _, e := range p.sim.engines {
+		if e.state == crashed {
 			continue
 		}
 		alive++
-		if p.target(e) == external.RolePrefill {
-			have++
+		if p.targetRole(e) == external.RolePrefill {
+			current++
 		}
 	}
-	want := min(max(int(math.Round(share*float64(alive))), 1), alive-1)
-	for _, e := range p.w.engines {
-		if have == want {
+	desired := min(max(int(math.Round(prefillShare*float64(alive))), 1), alive-1)
+	for _, e := range p.sim.engines {
+		if current == desired {
 			return
 		}
 		from, to, step := external.RolePrefill, external.RoleDecode, -1
-		if have < want {
+		if current < desired {
 			from, to, step = to, from, 1
 		}
-		if e.state == serving && e.role == from && p.remaining(from) > 1 {
-			p.w.order(e, to)
-			have += step
+		if e.state == serving && e.role == from && p.countServing(from) > 1 {
+			p.sim.orderRoleChange(e, to)
+			current += step
 		}
 	}
 }
 
-func (p *leastLoaded) target(e *engine) external.Role {
+func (p *leastLoaded) targetRole(e *engine) external.Role {
 	if e.state == serving {
 		return e.role
 	}
-	return e.next
+	return e.nextRole
 }
 
-func (p *leastLoaded) remaining(r external.Role) int {
+func (p *leastLoaded) countServing(r external.Role) int {
 	n := 0
-	for _, e := range p.w.engines {
+	for _, e := range p.sim.engines {
 		if e.state == serving && e.role == r {
 			n++
 		}
--- a/internal/policybench/cmd/policybench/main.go
+++ b/internal/policybench/cmd/policybench/main.go
@@ -1,4 +1,5 @@
-// Command policybench measures the decision packages against baselines. See docs/placement.md.
+// Command policybench compares the routing, admission and placement packages with baseline policies in
+// a simulation. See docs/placement.md.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/quetzallug/quetzallug/internal/policybench"
 )
 
-// maxRunTime bounds the whole run on a busy machine.
+// maxRunTime is long enough for a full run on a busy machine.
 const maxRunTime = 4 * time.Minute
 
 func main() {
@@ -36,7 +37,7 @@
 	flag.Parse()
 
 	o := policybench.Options{
-		Seeds: *seeds, Workers: *workers, Overload: *overload,
+		Seeds: *seeds, Parallel: *workers, Overload: *overload,
 		Workloads: list(*workloads), Fleets: list(*fleets), Policies: list(*policies),
 	}
 	for _, v := range list(*lags) {
@@ -44,7 +45,7 @@
 		if err != nil {
 			return fmt.Errorf("parse -ages: %w", err)
 		}
-		o.Lags = append(o.Lags, d)
+		o.ReportAges = append(o.ReportAges, d)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), maxRunTime)
 	defer cancel()
--- a/internal/policybench/data.go
+++ b/internal/policybench/data.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// WriteData writes policybench.csv and one plot per fleet into a directory.
+// WriteData writes policybench.csv and one plot per fleet to a directory.
 func WriteData(dir string, cases []Case, results [][]Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("create data directory: %w", err)
@@ -27,7 +27,7 @@
 		return fmt.Errorf("write CSV file: %w", err)
 	}
 	for _, f := range fleets {
-		if err := plotFleet(filepath.Join(dir, "policybench-"+f.name+".png"), f, &table{cases, results}); err != nil {
+		if err := plotFleet(filepath.Join(dir, "policybench-"+f.name+".png"), f, &resultTable{cases, results}); err != nil {
 			return err
 		}
 	}
@@ -38,12 +38,12 @@
 	color.Gray{Y: 190}, color.Gray{Y: 120}, color.RGBA{R: 20, G: 110, B: 80, A: 255}, color.RGBA{R: 230, G: 160, B: 60, A: 255},
 }
 
-// plotFleet draws the median goodput of each policy per workload, with reports 1 s old.
-func plotFleet(path string, f *fleet, t *table) error {
+// plotFleet plots the median goodput of each policy per workload, for load reports that are 1 s old.
+func plotFleet(path string, f *fleet, t *resultTable) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: goodput, reports 1 s old, median of the seeds", f.name)
 	p.Y.Label.Text = "% of offered requests"
-	p.Y.Min, p.Y.Max = 0, 150 // room for the legend
+	p.Y.Min, p.Y.Max = 0, 150 // space for the legend above the bars
 	p.Legend.Top, p.Legend.Left = true, false
 	const width = 9
 	names := make([]string, len(workloads))
--- a/internal/policybench/engine.go
+++ b/internal/policybench/engine.go
@@ -13,99 +13,100 @@
 	serving engineState = iota
 	draining
 	changing
-	dead
+	crashed
 )
 
 const (
-	// decodeChunk is the prefill per step on an engine that decodes, prefillChunk on one that
-	// does not. 256 tokens keep the step of a loaded mixed engine near the usual 71 ms target.
-	decodeChunk  = 256
-	prefillChunk = 2048
-	prefillBase  = 3 * time.Millisecond
-	enginePieces = 256
-	cachedPrefix = 24
-	// changeTime is how long a role change takes after the drain.
+	// decodeChunk is the number of prompt tokens per step on an engine that also decodes,
+	// prefillChunk on one that does not. 256 tokens keep the step of a loaded mixed engine near
+	// maxTokenInterval.
+	decodeChunk       = 256
+	prefillChunk      = 2048
+	prefillStepBase   = 3 * time.Millisecond
+	piecesPerEngine   = 256
+	maxCachedPrefixes = 24
+	// changeTime is the duration of a role change after the engine has drained.
 	changeTime = 5 * time.Second
-	queueBound = 64
+	maxQueued  = 64
 )
 
-// engine is the model of one engine.
+// engine simulates one engine with continuous batching.
 type engine struct {
-	w     *world
-	index int
-	id    string
-	role  external.Role
-	state engineState
-	since time.Duration
-	// slowness is the engine's speed relative to the fleet's.
-	slowness float64
+	sim       *simulation
+	index     int
+	id        string
+	role      external.Role
+	state     engineState
+	roleSince time.Duration
+	// stepTimeFactor scales the fleet's step times for this engine.
+	stepTimeFactor float64
 
-	queue    [3][]*request // waiting for prefill, by rank
-	waiting  []*request    // prefilled, waiting for pieces
-	batch    []*request
-	incoming int // decode work that is still being prefilled elsewhere
-	free     int
-	busy     bool
-	stepEnd  time.Duration
-	inStep   []*request // prompts that the running step completes
-	epoch    int        // changes when a crash invalidates a running step
+	prefillQueues      [3][]*request // by rank
+	awaitingPieces     []*request    // prefilled, waiting for enough free pieces
+	batch              []*request
+	incomingDecodes    int // requests to decode here that another engine is still prefilling
+	freePieces         int
+	busy               bool
+	stepEnd            time.Duration
+	completingPrefills []*request // requests whose prefill the running step completes
+	epoch              int        // incremented by a crash, which cancels the running step
 
-	prefixes []int // least recently used first
-	events   uint64
-	reports  uint64
+	prefixes           []int // least recently used first
+	cacheEventSequence uint64
+	reportSequence     uint64
 
-	drainFrom time.Duration
-	next      external.Role
+	drainStart time.Duration
+	nextRole   external.Role
 }
 
 func (e *engine) queued() int {
 	n := 0
-	for _, q := range e.queue {
+	for _, q := range e.prefillQueues {
 		n += len(q)
 	}
 	return n
 }
 
-// queuedTokens counts the prefill ahead of a request of the given rank.
+// queuedTokens returns the number of queued prompt tokens ahead of a new request of a rank.
 func (e *engine) queuedTokens(rank int) int {
 	n := 0
 	for r := 0; r <= rank; r++ {
-		for _, q := range e.queue[r] {
-			n += q.prefillLeft
+		for _, q := range e.prefillQueues[r] {
+			n += q.prefillTokensLeft
 		}
 	}
 	return n
 }
 
-// expectedFirst is the engine's own, exact view of the time to first token.
-func (e *engine) expectedFirst(r *request) time.Duration {
-	tokens := float64(e.queuedTokens(r.kind.rank) + r.prefillLeft)
-	perToken := e.w.fleet.prefillToken
+// expectedFirstToken estimates the time to first token from the engine's current state.
+func (e *engine) expectedFirstToken(r *request) time.Duration {
+	tokens := float64(e.queuedTokens(r.kind.rank) + r.prefillTokensLeft)
+	perToken := e.sim.fleet.prefillSecondsPerToken
 	if n := len(e.batch); n > 0 {
 		perToken += e.stepTime(n).Seconds() / decodeChunk
 	}
-	first := seconds(tokens * perToken * e.slowness)
+	firstToken := seconds(tokens * perToken * e.stepTimeFactor)
 	if e.busy {
-		first += e.stepEnd - e.w.At
+		firstToken += e.stepEnd - e.sim.At
 	}
-	return first
+	return firstToken
 }
 
 func (e *engine) stepTime(n int) time.Duration {
-	return e.w.fleet.stepBase + time.Duration(n)*e.w.fleet.stepPerSequence
+	return e.sim.fleet.stepBase + time.Duration(n)*e.sim.fleet.stepPerSequence
 }
 
 func (e *engine) enqueue(r *request) {
-	if !r.cacheChecked && e.touch(r.prefix) {
-		r.prefillLeft = max(1, r.prefillLeft-prefixTokens)
+	if !r.cacheChecked && e.useCachedPrefix(r.prefix) {
+		r.prefillTokensLeft = max(1, r.prefillTokensLeft-prefixTokens)
 	}
 	r.cacheChecked = true
-	e.queue[r.kind.rank] = append(e.queue[r.kind.rank], r)
-	e.start()
+	e.prefillQueues[r.kind.rank] = append(e.prefillQueues[r.kind.rank], r)
+	e.startStep()
 }
 
-// touch reports a cache hit and marks the prefix as used.
-func (e *engine) touch(prefix int) bool {
+// useCachedPrefix reports whether the prefix is cached and, if so, marks it as most recently used.
+func (e *engine) useCachedPrefix(prefix int) bool {
 	i := slices.Index(e.prefixes, prefix)
 	if prefix < 0 || i < 0 {
 		return false
@@ -114,147 +115,147 @@
 	return true
 }
 
-func (e *engine) store(prefix int) {
-	if prefix < 0 || e.touch(prefix) {
+func (e *engine) cachePrefix(prefix int) {
+	if prefix < 0 || e.useCachedPrefix(prefix) {
 		return
 	}
-	if len(e.prefixes) >= cachedPrefix {
-		e.w.cacheEvent(e, e.prefixes[0], true)
+	if len(e.prefixes) >= maxCachedPrefixes {
+		e.sim.cacheEvent(e, e.prefixes[0], true)
 		e.prefixes = slices.Delete(e.prefixes, 0, 1)
 	}
 	e.prefixes = append(e.prefixes, prefix)
-	e.w.cacheEvent(e, prefix, false)
+	e.sim.cacheEvent(e, prefix, false)
 }
 
-func (e *engine) join(r *request) {
-	if r.pieces() > e.free {
-		e.waiting = append(e.waiting, r)
+func (e *engine) joinBatch(r *request) {
+	if r.pieces() > e.freePieces {
+		e.awaitingPieces = append(e.awaitingPieces, r)
 		return
 	}
-	e.free -= r.pieces()
+	e.freePieces -= r.pieces()
 	e.batch = append(e.batch, r)
-	e.start()
+	e.startStep()
 }
 
-func (e *engine) start() {
-	if e.busy || e.state == dead || e.state == changing || len(e.batch) == 0 && e.queued() == 0 {
+func (e *engine) startStep() {
+	if e.busy || e.state == crashed || e.state == changing || len(e.batch) == 0 && e.queued() == 0 {
 		return
 	}
 	e.busy = true
 	budget, duration := decodeChunk, e.stepTime(len(e.batch))
 	if len(e.batch) == 0 {
-		budget, duration = prefillChunk, prefillBase
+		budget, duration = prefillChunk, prefillStepBase
 	}
 	used := 0
-	var done []*request
-	for rank := range e.queue {
-		for len(e.queue[rank]) > 0 && used < budget {
-			r := e.queue[rank][0]
-			if !r.started && e.w.policy.hopeless(r, e) {
-				e.queue[rank] = e.queue[rank][1:]
-				e.w.drop(r)
+	var completed []*request
+	for rank := range e.prefillQueues {
+		for len(e.prefillQueues[rank]) > 0 && used < budget {
+			r := e.prefillQueues[rank][0]
+			if !r.started && e.sim.policy.tooLate(r, e) {
+				e.prefillQueues[rank] = e.prefillQueues[rank][1:]
+				e.sim.drop(r)
 				continue
 			}
 			r.started = true
-			n := min(r.prefillLeft, budget-used)
-			r.prefillLeft -= n
+			n := min(r.prefillTokensLeft, budget-used)
+			r.prefillTokensLeft -= n
 			used += n
-			if r.prefillLeft > 0 {
+			if r.prefillTokensLeft > 0 {
 				break
 			}
-			done = append(done, r)
-			e.queue[rank] = e.queue[rank][1:]
+			completed = append(completed, r)
+			e.prefillQueues[rank] = e.prefillQueues[rank][1:]
 		}
 	}
-	duration += seconds(float64(used) * e.w.fleet.prefillToken)
-	duration = time.Duration(float64(duration) * e.slowness * (0.95 + 0.1*e.w.noise.Float64()))
-	members, life := len(e.batch), e.epoch
-	e.stepEnd = e.w.At + duration
-	e.w.After(duration, func() {
-		if e.epoch == life {
-			e.endStep(members, done)
+	duration += seconds(float64(used) * e.sim.fleet.prefillSecondsPerToken)
+	duration = time.Duration(float64(duration) * e.stepTimeFactor * (0.95 + 0.1*e.sim.rng.Float64()))
+	batchSize, startEpoch := len(e.batch), e.epoch
+	e.stepEnd = e.sim.At + duration
+	e.sim.After(duration, func() {
+		if e.epoch == startEpoch {
+			e.endStep(batchSize, completed)
 		}
 	})
-	e.inStep = done
+	e.completingPrefills = completed
 }
 
-func (e *engine) endStep(members int, done []*request) {
+func (e *engine) endStep(batchSize int, completed []*request) {
 	e.busy = false
-	e.inStep = nil
+	e.completingPrefills = nil
 	running := e.batch[:0]
 	for i, r := range e.batch {
-		if i < members {
-			r.produced++
+		if i < batchSize {
+			r.producedTokens++
 		}
-		if r.produced < r.output {
+		if r.producedTokens < r.outputTokens {
 			running = append(running, r)
 			continue
 		}
-		e.free += r.pieces()
-		e.w.finish(r)
+		e.freePieces += r.pieces()
+		e.sim.finish(r)
 	}
 	clear(e.batch[len(running):])
 	e.batch = running
-	for len(e.waiting) > 0 && e.waiting[0].pieces() <= e.free {
-		r := e.waiting[0]
-		e.waiting = e.waiting[1:]
-		e.join(r)
+	for len(e.awaitingPieces) > 0 && e.awaitingPieces[0].pieces() <= e.freePieces {
+		r := e.awaitingPieces[0]
+		e.awaitingPieces = e.awaitingPieces[1:]
+		e.joinBatch(r)
 	}
-	for _, r := range done {
-		e.store(r.prefix)
-		e.w.prefilled(e, r)
+	for _, r := range completed {
+		e.cachePrefix(r.prefix)
+		e.sim.prefillDone(e, r)
 	}
-	e.start()
-	e.drained()
+	e.startStep()
+	e.finishDrain()
 }
 
-// change drains the engine and then gives it a new role.
-func (e *engine) change(role external.Role) {
-	e.state, e.next, e.drainFrom = draining, role, e.w.At
-	e.w.changed()
-	e.drained()
+// changeRole starts to drain the engine, after which it changes to the role.
+func (e *engine) changeRole(role external.Role) {
+	e.state, e.nextRole, e.drainStart = draining, role, e.sim.At
+	e.sim.fleetChanged()
+	e.finishDrain()
 }
 
-func (e *engine) drained() {
-	if e.state != draining || e.queued() > 0 || len(e.batch)+len(e.waiting)+e.incoming+len(e.inStep) > 0 {
+func (e *engine) finishDrain() {
+	if e.state != draining || e.queued() > 0 || len(e.batch)+len(e.awaitingPieces)+e.incomingDecodes+len(e.completingPrefills) > 0 {
 		return
 	}
 	e.state = changing
-	life := e.epoch
-	e.w.After(changeTime, func() {
-		if e.epoch != life {
+	startEpoch := e.epoch
+	e.sim.After(changeTime, func() {
+		if e.epoch != startEpoch {
 			return
 		}
-		e.w.stats.lost += e.w.At - e.drainFrom
-		e.state, e.role, e.since = serving, e.next, e.w.At
+		e.sim.stats.engineTimeLost += e.sim.At - e.drainStart
+		e.state, e.role, e.roleSince = serving, e.nextRole, e.sim.At
 		e.prefixes = nil
-		e.w.changed()
-		e.w.policy.restarted(e)
+		e.sim.fleetChanged()
+		e.sim.policy.restarted(e)
 	})
 }
 
-// crash loses all requests of the engine. They are sent again by the entries.
+// crash stops the engine for good. Entries send its requests to other engines.
 func (e *engine) crash() {
-	prefilling := slices.Concat(e.queue[0], e.queue[1], e.queue[2], e.inStep)
-	lost := slices.Concat(prefilling, e.waiting, e.batch)
-	e.state, e.busy, e.free = dead, false, enginePieces
-	e.queue, e.waiting, e.batch, e.inStep = [3][]*request{}, nil, nil, nil
+	prefilling := slices.Concat(e.prefillQueues[0], e.prefillQueues[1], e.prefillQueues[2], e.completingPrefills)
+	lost := slices.Concat(prefilling, e.awaitingPieces, e.batch)
+	e.state, e.busy, e.freePieces = crashed, false, piecesPerEngine
+	e.prefillQueues, e.awaitingPieces, e.batch, e.completingPrefills = [3][]*request{}, nil, nil, nil
 	e.epoch++
-	e.w.changed()
-	e.w.policy.restarted(e)
+	e.sim.fleetChanged()
+	e.sim.policy.restarted(e)
 	for _, r := range prefilling {
-		e.w.release(r)
+		e.sim.releaseDecode(r)
 	}
 	for _, r := range lost {
-		e.w.resume(r)
+		e.sim.resume(r)
 	}
 }
 
 func (e *engine) report() external.EngineLoad {
 	return external.EngineLoad{
-		Running: len(e.batch), Queued: e.queued() + len(e.waiting),
-		PrefillTokens: int64(e.queuedTokens(len(e.queue) - 1)),
-		FreePieces:    e.free, TotalPieces: enginePieces,
+		Running: len(e.batch), Queued: e.queued() + len(e.awaitingPieces),
+		PrefillTokens: int64(e.queuedTokens(len(e.prefillQueues) - 1)),
+		FreePieces:    e.freePieces, TotalPieces: piecesPerEngine,
 	}
 }
 
--- a/internal/policybench/project.go
+++ b/internal/policybench/project.go
@@ -12,87 +12,91 @@
 	"github.com/quetzallug/quetzallug/routing"
 )
 
-// entry is one entry process: it knows its own sends and the reports, and nothing of the others.
+// entry is the routing state of one entry. It knows the load reports and the requests that it sent
+// itself, but not those of other entries.
 type entry struct {
-	tracker   *load.Tracker
-	router    *routing.Router
-	admission *admission.Controller
-	retries   *retry.Budget
-	fleet     *routing.Fleet
-	version   int
+	tracker      *load.Tracker
+	router       *routing.Router
+	admission    *admission.Controller
+	retries      *retry.Budget
+	fleet        *routing.Fleet
+	fleetVersion int
 }
 
-// project is this project's policy. A nil planner leaves the roles alone.
-type project struct {
-	w       *world
-	entries [entries]*entry
+// quetzallugPolicy uses Quetzallug's own packages for routing, admission, retries and planning.
+// Without a planner the roles stay as they are.
+type quetzallugPolicy struct {
+	sim     *simulation
+	entries [entryCount]*entry
 	planner *placement.Planner
 	weights placement.Weights
-	// kept is the average share of a long prompt that is not expected to be cached.
-	kept float64
+	// uncachedShare is the moving average of the share of a long prompt that has to be prefilled,
+	// because it is not expected in the prefix cache.
+	uncachedShare float64
 }
 
-// sent is what a policy remembers of a request that is under way.
-type sent struct {
-	prefill, decode load.Ticket
-	to, from        *load.Worker // decode, prefill
-	decision        admission.Decision
-	entry           *entry
+// dispatchState is kept for a request while it runs.
+type dispatchState struct {
+	prefillTicket, decodeTicket load.Ticket
+	decodeWorker, prefillWorker *load.Worker
+	admissionDecision           admission.Decision
+	entry                       *entry
 }
 
-// keptRate averages over about 100 requests.
-const keptRate = 0.01
+// uncachedShareWeight is the weight of one request in uncachedShare: an average over about 100.
+const uncachedShareWeight = 0.01
 
-func newProject(w *world, planner *placement.Planner, weights placement.Weights) *project {
-	p := &project{w: w, planner: planner, weights: weights, kept: 1}
+func newQuetzallugPolicy(sim *simulation, planner *placement.Planner, weights placement.Weights) *quetzallugPolicy {
+	p := &quetzallugPolicy{sim: sim, planner: planner, weights: weights, uncachedShare: 1}
 	initial := load.Speed{
-		PrefillSecondsPerToken: w.fleet.prefillToken, StepSeconds: w.fleet.stepBase.Seconds(),
-		StepSecondsPerSequence: w.fleet.stepPerSequence.Seconds(), ChunkTokens: decodeChunk,
+		PrefillSecondsPerToken: sim.fleet.prefillSecondsPerToken, StepSeconds: sim.fleet.stepBase.Seconds(),
+		StepSecondsPerSequence: sim.fleet.stepPerSequence.Seconds(), ChunkTokens: decodeChunk,
 	}
 	for i := range p.entries {
 		p.entries[i] = &entry{
-			tracker:   load.NewTracker(initial),
-			router:    routing.New(routing.Config{Seed: uint64(i + 1)}),
-			admission: admission.New(admission.Config{}),
-			retries:   retry.NewBudget(retry.Config{}),
-			version:   -1,
+			tracker:      load.NewTracker(initial),
+			router:       routing.New(routing.Config{Seed: uint64(i + 1)}),
+			admission:    admission.New(admission.Config{}),
+			retries:      retry.NewBudget(retry.Config{}),
+			fleetVersion: -1,
 		}
-		p.entries[i].tracker.SetRouters(entries)
+		p.entries[i].tracker.SetRouters(entryCount)
 	}
 	return p
 }
 
-// newFreshProject is the policy without a planner, for reports without any age: what other
-// routers did is in the report, so it is not extrapolated.
-func newFreshProject(w *world, weights placement.Weights) *project {
-	p := newProject(w, nil, weights)
+// newQuetzallugPolicyWithCurrentReports returns the policy without a planner, for load reports that
+// are always current. These include the requests of the other entries, so the tracker does not
+// extrapolate them.
+func newQuetzallugPolicyWithCurrentReports(sim *simulation, weights placement.Weights) *quetzallugPolicy {
+	p := newQuetzallugPolicy(sim, nil, weights)
 	for _, e := range p.entries {
 		e.tracker.SetRouters(1)
 	}
 	return p
 }
 
-// snapshot rebuilds the fleet of an entry after a change of membership or roles.
-func (p *project) snapshot(e *entry) *routing.Fleet {
-	if e.version == p.w.version {
+// fleetSnapshot returns an entry's view of the fleet, rebuilt if membership or roles have changed.
+func (p *quetzallugPolicy) fleetSnapshot(e *entry) *routing.Fleet {
+	if e.fleetVersion == p.sim.fleetVersion {
 		return e.fleet
 	}
-	e.version = p.w.version
-	workers := make([]routing.Worker, 0, len(p.w.engines))
-	for _, g := range p.w.engines {
-		l := e.tracker.Worker(g.id)
-		l.SetRole(g.role)
+	e.fleetVersion = p.sim.fleetVersion
+	workers := make([]routing.Worker, 0, len(p.sim.engines))
+	for _, eng := range p.sim.engines {
+		l := e.tracker.Worker(eng.id)
+		l.SetRole(eng.role)
 		workers = append(workers, routing.Worker{
-			ID: g.id, DataCentre: "dc", Role: g.role, Load: l,
-			Draining: g.state == draining || g.state == changing, Ejected: g.state == dead,
+			ID: eng.id, DataCentre: "dc", Role: eng.role, Load: l,
+			Draining: eng.state == draining || eng.state == changing, Ejected: eng.state == crashed,
 		})
 	}
 	e.fleet = routing.NewFleet(workers)
 	return e.fleet
 }
 
-func (p *project) engine(w *routing.Worker) *engine {
-	for _, e := range p.w.engines {
+func (p *quetzallugPolicy) engine(w *routing.Worker) *engine {
+	for _, e := range p.sim.engines {
 		if e.id == w.ID {
 			return e
 		}
@@ -100,179 +104,182 @@
 	return nil
 }
 
-func (p *project) choose(r *request) (prefill, decode *engine, refusal string) {
-	e, now := p.entries[r.entry], p.w.Now()
-	q := routing.Request{
-		Model: "m", DataCentre: "dc", PromptTokens: r.prompt + r.produced, OutputTokens: r.kind.output, Blocks: r.blocks,
-		FirstToken: r.kind.firstToken, BetweenTokens: r.kind.betweenTokens, Exclude: r.exclude,
+func (p *quetzallugPolicy) choose(r *request) (prefill, decode *engine, refusal string) {
+	e, now := p.entries[r.entry], p.sim.Now()
+	routingRequest := routing.Request{
+		Model: "m", DataCentre: "dc", PromptTokens: r.promptTokens + r.producedTokens, OutputTokens: r.kind.outputTokens, Blocks: r.blocks,
+		FirstToken: r.kind.firstTokenTarget, BetweenTokens: r.kind.betweenTokensTarget, Exclude: r.excludedEngines,
 	}
 	if r.attempts == 0 {
 		e.retries.Fresh(now)
 	}
-	d := e.router.Choose(&q, p.snapshot(e), now)
-	waited := p.w.At - r.arrived
-	a := admission.Request{
-		Rank: r.kind.rank + 1, Deadline: eventsim.Epoch.Add(r.arrived + r.kind.total), BetweenTokens: r.kind.betweenTokens, Waited: waited,
+	decision := e.router.Choose(&routingRequest, p.fleetSnapshot(e), now)
+	waited := p.sim.At - r.arrived
+	admissionRequest := admission.Request{
+		Rank: r.kind.rank + 1, Deadline: eventsim.Epoch.Add(r.arrived + r.kind.totalTarget), BetweenTokens: r.kind.betweenTokensTarget, Waited: waited,
 	}
-	if !r.hasFirst {
-		a.FirstToken = r.kind.firstToken
+	if !r.firstTokenDelivered {
+		admissionRequest.FirstToken = r.kind.firstTokenTarget
 	}
-	ok := e.admission.Admit(&a, &admission.Expectation{
-		NoWorker: d.Prefill == nil, FirstToken: d.FirstToken, BetweenTokens: d.BetweenTokens, Total: d.Total,
+	admissionDecision := e.admission.Admit(&admissionRequest, &admission.Expectation{
+		NoWorker: decision.Prefill == nil, FirstToken: decision.FirstToken, BetweenTokens: decision.BetweenTokens, Total: decision.Total,
 	}, now)
-	if !ok.Admitted() {
-		return nil, nil, string(ok.Reason)
+	if !admissionDecision.Admitted() {
+		return nil, nil, string(admissionDecision.Reason)
 	}
-	e.router.Sent(&q, &d, now)
+	e.router.Sent(&routingRequest, &decision, now)
 	if len(r.blocks) > 0 {
-		p.kept += keptRate * (float64(d.PrefillTokens)/float64(q.PromptTokens) - p.kept)
+		p.uncachedShare += uncachedShareWeight * (float64(decision.PrefillTokens)/float64(routingRequest.PromptTokens) - p.uncachedShare)
 	}
-	s := &sent{decision: ok, entry: e, from: e.tracker.Worker(d.Prefill.ID), to: e.tracker.Worker(d.Decode.ID)}
-	s.prefill = s.from.Sent(load.Work{PrefillTokens: d.PrefillTokens}, now)
-	s.decode = s.to.Sent(load.Work{Decode: true, Pieces: q.Pieces()}, now)
-	r.route = s
-	return p.engine(d.Prefill), p.engine(d.Decode), ""
+	state := &dispatchState{admissionDecision: admissionDecision, entry: e, prefillWorker: e.tracker.Worker(decision.Prefill.ID), decodeWorker: e.tracker.Worker(decision.Decode.ID)}
+	state.prefillTicket = state.prefillWorker.Sent(load.Work{PrefillTokens: decision.PrefillTokens}, now)
+	state.decodeTicket = state.decodeWorker.Sent(load.Work{Decode: true, Pieces: routingRequest.Pieces()}, now)
+	r.policyState = state
+	return p.engine(decision.Prefill), p.engine(decision.Decode), ""
 }
 
-// accept is the sidecar's exact check: queue bound and time to first token by its own state.
-func (p *project) accept(r *request, e *engine) string {
-	if e.queued() >= queueBound {
+// accept is the check of a sidecar on arrival: the limit of the queue, and the time to first token
+// expected from the engine's current state.
+func (p *quetzallugPolicy) accept(r *request, e *engine) string {
+	if e.queued() >= maxQueued {
 		return string(admission.QueueFull)
 	}
-	return p.recheck(r, e.expectedFirst(r))
+	return p.recheckAdmission(r, e.expectedFirstToken(r))
 }
 
-// hopeless is the sidecar's second check, when the engine is ready to take the request: one that
-// cannot be on time any more is refused as not run instead of delaying the others.
-func (p *project) hopeless(r *request, e *engine) bool {
-	return p.recheck(r, seconds(float64(r.prefillLeft)*p.w.fleet.prefillToken*e.slowness)) != ""
+// tooLate is the check of a sidecar when the engine is ready to start the request. A request that
+// can no longer be on time is refused as not run, so that it does not delay others.
+func (p *quetzallugPolicy) tooLate(r *request, e *engine) bool {
+	return p.recheckAdmission(r, seconds(float64(r.prefillTokensLeft)*p.sim.fleet.prefillSecondsPerToken*e.stepTimeFactor)) != ""
 }
 
-func (p *project) recheck(r *request, first time.Duration) string {
-	a := admission.Request{Waited: p.w.At - r.arrived}
-	if !r.hasFirst {
-		a.FirstToken = r.kind.firstToken
+func (p *quetzallugPolicy) recheckAdmission(r *request, firstToken time.Duration) string {
+	admissionRequest := admission.Request{Waited: p.sim.At - r.arrived}
+	if !r.firstTokenDelivered {
+		admissionRequest.FirstToken = r.kind.firstTokenTarget
 	}
-	d := p.entries[r.entry].admission.Recheck(&a, &admission.Expectation{FirstToken: first}, p.w.Now())
-	return string(d.Reason)
+	decision := p.entries[r.entry].admission.Recheck(&admissionRequest, &admission.Expectation{FirstToken: firstToken}, p.sim.Now())
+	return string(decision.Reason)
 }
 
-func (p *project) retry(r *request) bool {
-	return p.entries[r.entry].retries.Take(p.w.Now())
+func (p *quetzallugPolicy) allowRetry(r *request) bool {
+	return p.entries[r.entry].retries.Take(p.sim.Now())
 }
 
-func (p *project) firstToken(r *request) {
-	s := r.route.(*sent)
-	s.from.FirstToken(s.prefill, p.w.Now())
+func (p *quetzallugPolicy) firstTokenDelivered(r *request) {
+	state := r.policyState.(*dispatchState)
+	state.prefillWorker.FirstToken(state.prefillTicket, p.sim.Now())
 }
 
-func (p *project) finished(r *request) {
-	s, ok := r.route.(*sent)
+func (p *quetzallugPolicy) finished(r *request) {
+	state, ok := r.policyState.(*dispatchState)
 	if !ok {
 		return
 	}
-	r.route = nil
-	now := p.w.Now()
-	s.from.Finished(s.prefill, now)
-	s.to.Finished(s.decode, now)
-	s.entry.admission.Release("", s.decision)
-	if r.produced >= r.output && r.output > 8 {
-		s.to.BetweenTokens(r.between(), now)
+	r.policyState = nil
+	now := p.sim.Now()
+	state.prefillWorker.Finished(state.prefillTicket, now)
+	state.decodeWorker.Finished(state.decodeTicket, now)
+	state.entry.admission.Release("", state.admissionDecision)
+	if r.producedTokens >= r.outputTokens && r.outputTokens > 8 {
+		state.decodeWorker.BetweenTokens(r.meanTokenInterval(), now)
 	}
 }
 
-func (p *project) report(e *engine, sequence uint64, age time.Duration, l external.EngineLoad) {
-	for _, n := range p.entries {
-		n.tracker.Worker(e.id).Observe(load.Report{Sequence: sequence, Age: age, Load: l}, p.w.Now())
+func (p *quetzallugPolicy) report(e *engine, sequence uint64, age time.Duration, l external.EngineLoad) {
+	for _, entry := range p.entries {
+		entry.tracker.Worker(e.id).Observe(load.Report{Sequence: sequence, Age: age, Load: l}, p.sim.Now())
 	}
 }
 
-func (p *project) cacheEvent(e *engine, c external.CacheEvent) {
-	for _, n := range p.entries {
-		f := p.snapshot(n)
-		for _, w := range n.router.Candidates("m", f) {
-			if w.ID == e.id {
-				n.router.CacheEvents(w, []external.CacheEvent{c}, p.w.Now())
+func (p *quetzallugPolicy) cacheEvent(e *engine, event external.CacheEvent) {
+	for _, entry := range p.entries {
+		fleet := p.fleetSnapshot(entry)
+		for _, worker := range entry.router.Candidates("m", fleet) {
+			if worker.ID == e.id {
+				entry.router.CacheEvents(worker, []external.CacheEvent{event}, p.sim.Now())
 			}
 		}
 	}
 }
 
-func (p *project) restarted(e *engine) {
-	for _, n := range p.entries {
-		n.tracker.Worker(e.id).Restarted(p.w.Now())
+func (p *quetzallugPolicy) restarted(e *engine) {
+	for _, entry := range p.entries {
+		entry.tracker.Worker(e.id).Restarted(p.sim.Now())
 	}
 }
 
-func (p *project) plan(o *offered) {
+func (p *quetzallugPolicy) plan(offered *offeredWork) {
 	if p.planner == nil {
 		return
 	}
-	now := p.w.Now()
-	s := placement.Snapshot{Interval: planPeriod, BetweenTokens: p.w.fleet.long.betweenTokens}
-	s.Offered = append(s.Offered,
-		placement.KindWork{Rank: 1, Requests: o.long.requests, PromptTokens: o.long.prompt * p.kept, OutputTokens: o.long.output, FirstToken: p.w.fleet.long.firstToken},
-		placement.KindWork{Rank: 2, Requests: o.chat.requests, PromptTokens: o.chat.prompt, OutputTokens: o.chat.output, FirstToken: p.w.fleet.chat.firstToken})
-	for _, e := range p.w.engines {
-		s.Engines = append(s.Engines, p.view(e, now))
+	now := p.sim.Now()
+	snapshot := placement.Snapshot{Interval: planInterval, BetweenTokens: p.sim.fleet.long.betweenTokensTarget}
+	snapshot.Offered = append(snapshot.Offered,
+		placement.KindWork{Rank: 1, Requests: offered.long.requests, PromptTokens: offered.long.promptTokens * p.uncachedShare, OutputTokens: offered.long.outputTokens, FirstToken: p.sim.fleet.long.firstTokenTarget},
+		placement.KindWork{Rank: 2, Requests: offered.chat.requests, PromptTokens: offered.chat.promptTokens, OutputTokens: offered.chat.outputTokens, FirstToken: p.sim.fleet.chat.firstTokenTarget})
+	for _, e := range p.sim.engines {
+		snapshot.Engines = append(snapshot.Engines, p.plannerView(e, now))
 	}
-	s.Speed = load.Speed{
-		PrefillSecondsPerToken: p.w.fleet.prefillToken, StepSeconds: p.w.fleet.stepBase.Seconds(),
-		StepSecondsPerSequence: p.w.fleet.stepPerSequence.Seconds(), ChunkTokens: decodeChunk,
+	snapshot.Speed = load.Speed{
+		PrefillSecondsPerToken: p.sim.fleet.prefillSecondsPerToken, StepSeconds: p.sim.fleet.stepBase.Seconds(),
+		StepSecondsPerSequence: p.sim.fleet.stepPerSequence.Seconds(), ChunkTokens: decodeChunk,
 	}
-	for _, c := range p.planner.Plan(now, &s, p.weights) {
-		for _, e := range p.w.engines {
-			if e.id == c.Engine {
-				p.w.order(e, c.Config.Role)
+	for _, change := range p.planner.Plan(now, &snapshot, p.weights) {
+		for _, e := range p.sim.engines {
+			if e.id == change.Engine {
+				p.sim.orderRoleChange(e, change.Config.Role)
 			}
 		}
 	}
 }
 
-// view is the planner's view of an engine, from the entry that holds the pool.
-func (p *project) view(e *engine, now time.Time) placement.Engine {
-	l := p.entries[0].tracker.Worker(e.id).Estimate(now)
-	v := placement.Engine{
-		ID: e.id, State: placement.Serving, Config: external.EngineConfig{Role: e.role}, Since: eventsim.Epoch.Add(e.since),
-		Sequences: l.Sequences, PrefillTokens: l.PrefillTokens,
+// plannerView returns an engine as the planner sees it, from the load tracker of the entry that
+// holds the pool, which is the first one.
+func (p *quetzallugPolicy) plannerView(e *engine, now time.Time) placement.Engine {
+	estimate := p.entries[0].tracker.Worker(e.id).Estimate(now)
+	view := placement.Engine{
+		ID: e.id, State: placement.Serving, Config: external.EngineConfig{Role: e.role}, Since: eventsim.Epoch.Add(e.roleSince),
+		Sequences: estimate.Sequences, PrefillTokens: estimate.PrefillTokens,
 	}
 	switch e.state {
 	case draining, changing:
-		v.State, v.Config.Role = placement.Changing, e.next
-	case dead:
-		v.State = placement.Crashed
+		view.State, view.Config.Role = placement.Changing, e.nextRole
+	case crashed:
+		view.State = placement.Crashed
 	}
-	return v
+	return view
 }
 
-// hindsight routes as the project does, and sets the best split of each phase without any cost.
+// hindsight is the upper bound for the other policies. It routes like quetzallugPolicy and switches to
+// the best split of each phase instantly and at no cost.
 type hindsight struct {
-	*project
+	*quetzallugPolicy
 
-	splits func(t time.Duration, alive int) platformSplit
-	last   platformSplit
-	alive  int
+	bestSplit func(t time.Duration, alive int) roleSplit
+	lastSplit roleSplit
+	lastAlive int
 }
 
-func (p *hindsight) plan(*offered) {
+func (p *hindsight) plan(*offeredWork) {
 	alive := 0
-	for _, e := range p.w.engines {
-		if e.state != dead {
+	for _, e := range p.sim.engines {
+		if e.state != crashed {
 			alive++
 		}
 	}
-	want := p.splits(p.w.At, alive)
-	if want == p.last && alive == p.alive {
+	split := p.bestSplit(p.sim.At, alive)
+	if split == p.lastSplit && alive == p.lastAlive {
 		return
 	}
-	p.last, p.alive = want, alive
+	p.lastSplit, p.lastAlive = split, alive
 	i := 0
-	for _, e := range p.w.engines {
-		if e.state == dead {
+	for _, e := range p.sim.engines {
+		if e.state == crashed {
 			continue
 		}
-		e.role = want.role(i)
+		e.role = split.role(i)
 		i++
 	}
-	p.w.changed()
+	p.sim.fleetChanged()
 }
--- a/internal/policybench/report.go
+++ b/internal/policybench/report.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// spread is the median and the range over the seeds.
-type spread struct{ median, least, most float64 }
+// spread is the median and the range of a value over the seeds.
+type spread struct{ median, lowest, highest float64 }
 
 func spreadOf(results []Result, value func(*Result) float64) spread {
 	v := make([]float64, len(results))
@@ -22,30 +22,30 @@
 		v[i] = value(&results[i])
 	}
 	slices.Sort(v)
-	return spread{median: v[len(v)/2], least: v[0], most: v[len(v)-1]}
+	return spread{median: v[len(v)/2], lowest: v[0], highest: v[len(v)-1]}
 }
 
 func (s spread) percent() string {
-	return fmt.Sprintf("%.1f (%.1f-%.1f)", 100*s.median, 100*s.least, 100*s.most)
+	return fmt.Sprintf("%.1f (%.1f-%.1f)", 100*s.median, 100*s.lowest, 100*s.highest)
 }
 
-func (s spread) count() string { return fmt.Sprintf("%.0f (%.0f-%.0f)", s.median, s.least, s.most) }
+func (s spread) count() string { return fmt.Sprintf("%.0f (%.0f-%.0f)", s.median, s.lowest, s.highest) }
 
-// WriteTable prints one line per case.
+// WriteTable prints a table with one line per case.
 func WriteTable(out io.Writer, cases []Case, results [][]Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "fleet\tworkload\treports\tpolicy\tweights\tgoodput %\tlong %\tchat %\tfirst p95 ms\tbetween p95 ms\tchanges\tengine-s lost\trefused or late per 1000")
 	for i := range cases {
 		c, r := &cases[i], results[i]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%.1f\t%.0f\t%.1f\t%s\t%s\t%s\n",
-			c.Fleet, c.Workload, c.Lag, c.Policy, c.Weights,
+			c.Fleet, c.Workload, c.ReportAge, c.Policy, c.Weights,
 			spreadOf(r, func(r *Result) float64 { return r.Goodput }).percent(),
-			100*spreadOf(r, func(r *Result) float64 { return r.Long }).median,
-			100*spreadOf(r, func(r *Result) float64 { return r.Chat }).median,
-			spreadOf(r, func(r *Result) float64 { return milliseconds(r.FirstP95) }).median,
-			spreadOf(r, func(r *Result) float64 { return milliseconds(r.BetweenP95) }).median,
-			spreadOf(r, func(r *Result) float64 { return float64(r.Changes) }).count(),
-			spreadOf(r, func(r *Result) float64 { return r.Lost.Seconds() }).count(),
+			100*spreadOf(r, func(r *Result) float64 { return r.LongGoodput }).median,
+			100*spreadOf(r, func(r *Result) float64 { return r.ChatGoodput }).median,
+			spreadOf(r, func(r *Result) float64 { return milliseconds(r.FirstTokenP95) }).median,
+			spreadOf(r, func(r *Result) float64 { return milliseconds(r.BetweenTokensP95) }).median,
+			spreadOf(r, func(r *Result) float64 { return float64(r.RoleChanges) }).count(),
+			spreadOf(r, func(r *Result) float64 { return r.EngineTimeLost.Seconds() }).count(),
 			refusals(r))
 	}
 	return t.Flush()
@@ -53,7 +53,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// refusals gives, per 1,000 requests of all seeds, why they were not useful.
+// refusals lists the reasons for which requests were refused or missed a target, each with its number
+// per 1,000 requests over all seeds.
 func refusals(results []Result) string {
 	sum, offered := map[string]int{}, 0
 	for i := range results {
@@ -69,7 +70,7 @@
 	return cmp.Or(strings.Join(parts, ", "), "-")
 }
 
-// WriteCSV writes one record per run.
+// WriteCSV writes the results as CSV, with one record per run.
 func WriteCSV(out io.Writer, cases []Case, results [][]Result) error {
 	w := csv.NewWriter(out)
 	rows := [][]string{{
@@ -87,10 +88,10 @@
 				}
 			}
 			rows = append(rows, []string{
-				c.Fleet, c.Workload, number(c.Lag.Seconds(), 0), c.Policy, c.Weights, strconv.Itoa(r.Seed),
-				number(r.Goodput, 4), number(r.Long, 4), number(r.Chat, 4), number(r.GoodPerSecond, 2),
-				number(milliseconds(r.FirstP95), 0), number(milliseconds(r.BetweenP95), 1),
-				strconv.Itoa(r.Changes), number(r.Lost.Seconds(), 0), strconv.Itoa(refused),
+				c.Fleet, c.Workload, formatNumber(c.ReportAge.Seconds(), 0), c.Policy, c.Weights, strconv.Itoa(r.Seed),
+				formatNumber(r.Goodput, 4), formatNumber(r.LongGoodput, 4), formatNumber(r.ChatGoodput, 4), formatNumber(r.GoodPerSecond, 2),
+				formatNumber(milliseconds(r.FirstTokenP95), 0), formatNumber(milliseconds(r.BetweenTokensP95), 1),
+				strconv.Itoa(r.RoleChanges), formatNumber(r.EngineTimeLost.Seconds(), 0), strconv.Itoa(refused),
 			})
 		}
 	}
@@ -100,4 +101,4 @@
 	return nil
 }
 
-func number(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
+func formatNumber(v float64, digits int) string { return strconv.FormatFloat(v, 'f', digits, 64) }
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -18,63 +18,64 @@
 const (
 	RoundRobin  = "round-robin"
 	LeastLoaded = "threshold"
-	Project     = "quetzallug"
+	Quetzallug  = "quetzallug"
 	Hindsight   = "hindsight"
 )
 
-// Policies are all policies in the order of the tables.
-var Policies = []string{RoundRobin, LeastLoaded, Project, Hindsight}
+// Policies lists all policies in the order of the tables and plots.
+var Policies = []string{RoundRobin, LeastLoaded, Quetzallug, Hindsight}
 
-// Options select what is run. Empty lists mean all.
+// Options selects what is run. Empty lists of workloads, fleets and policies mean all.
 type Options struct {
-	Seeds     int
-	Workers   int
-	Workloads []string
-	Fleets    []string
-	Policies  []string
-	Lags      []time.Duration
-	// Overload adds the sweep over multiples of the capacity.
+	Seeds      int
+	Parallel   int
+	Workloads  []string
+	Fleets     []string
+	Policies   []string
+	ReportAges []time.Duration
+	// Overload adds runs at several multiples of the nominal capacity.
 	Overload bool
 }
 
-// Case is one cell of the result: a policy on a workload.
+// Case is a policy on a workload of a fleet, with load reports of a given age.
 type Case struct {
 	Fleet, Workload, Policy string
-	Lag                     time.Duration
-	// Weights tells which document's weights the planner used.
+	ReportAge               time.Duration
+	// Weights is the name of the fleet whose weights the planner uses.
 	Weights string
 
-	fleet   *fleet
-	load    workload
-	weights placement.Weights
+	fleet    *fleet
+	workload workload
+	weights  placement.Weights
 }
 
-func (c *Case) id() string {
-	return fmt.Sprint(c.Fleet, " ", c.Workload, " ", c.Policy, " ", c.Weights, " ", c.Lag)
+func (c *Case) key() string {
+	return fmt.Sprint(c.Fleet, " ", c.Workload, " ", c.Policy, " ", c.Weights, " ", c.ReportAge)
 }
 
-// Result has the figures of one run of a case.
+// Result holds the measurements of one run of a case.
 type Result struct {
-	Seed                 int
-	Goodput, Long, Chat  float64
-	GoodPerSecond        float64
-	FirstP95, BetweenP95 time.Duration
-	Changes              int
-	Lost                 time.Duration
-	Refusals             map[string]int
-	Offered              int
+	Seed                              int
+	Goodput, LongGoodput, ChatGoodput float64
+	GoodPerSecond                     float64
+	FirstTokenP95, BetweenTokensP95   time.Duration
+	RoleChanges                       int
+	EngineTimeLost                    time.Duration
+	Refusals                          map[string]int
+	Offered                           int
 }
 
-// Run plays all cases for all seeds. The order of the results is that of the cases and does not
-// depend on scheduling.
+// Run simulates all cases with all seeds. Results are in the order of the cases and the seeds and do
+// not depend on scheduling.
 func Run(ctx context.Context, o Options) ([]Case, [][]Result, error) {
 	cases := o.cases()
 	results := make([][]Result, len(cases))
-	// The upper bound and round robin do not look at reports, so one run serves all their ages.
+	// The results of Hindsight and RoundRobin do not depend on the age of load reports, so one run
+	// serves all ages.
 	shared := make(map[string][]Result)
-	h := &hindsightTable{splits: make(map[hindsightKey]*hindsightEntry)}
+	table := &hindsightTable{splits: make(map[hindsightKey]*hindsightEntry)}
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(max(1, o.Workers))
+	g.SetLimit(max(1, o.Parallel))
 	for i := range cases {
 		if c := &cases[i]; c.Policy == Hindsight || c.Policy == RoundRobin {
 			key := c.Fleet + " " + c.Workload + " " + c.Policy
@@ -92,7 +93,7 @@
 				if err := ctx.Err(); err != nil {
 					return err
 				}
-				results[i][s] = cases[i].run(s, h)
+				results[i][s] = cases[i].run(s, table)
 				return nil
 			})
 		}
@@ -103,7 +104,7 @@
 	return cases, results, nil
 }
 
-func wanted(list []string, name string) bool {
+func selected(list []string, name string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -118,21 +119,21 @@
 func (o *Options) cases() []Case {
 	var out []Case
 	for _, f := range fleets {
-		if !wanted(o.Fleets, f.name) {
+		if !selected(o.Fleets, f.name) {
 			continue
 		}
 		for _, l := range workloads {
-			if !wanted(o.Workloads, l.name) {
+			if !selected(o.Workloads, l.name) {
 				continue
 			}
-			for _, lag := range o.Lags {
-				out = append(out, o.policies(f, l, lag)...)
+			for _, reportAge := range o.ReportAges {
+				out = append(out, o.policies(f, l, reportAge)...)
 			}
 		}
 		if o.Overload {
-			for _, use := range []float64{0.6, 0.8, 1, 1.2, 1.5, 2} {
-				l := overload(use)
-				l.name = fmt.Sprintf("load-%.1fx", use)
+			for _, utilisation := range []float64{0.6, 0.8, 1, 1.2, 1.5, 2} {
+				l := overload(utilisation)
+				l.name = fmt.Sprintf("load-%.1fx", utilisation)
 				out = append(out, o.policies(f, l, time.Second)...)
 			}
 		}
@@ -140,86 +141,88 @@
 	return out
 }
 
-func (o *Options) policies(f *fleet, l workload, lag time.Duration) []Case {
+func (o *Options) policies(f *fleet, l workload, reportAge time.Duration) []Case {
 	var out []Case
 	for _, p := range Policies {
-		if !wanted(o.Policies, p) {
+		if !selected(o.Policies, p) {
 			continue
 		}
-		out = append(out, Case{Fleet: f.name, Workload: l.name, Policy: p, Lag: lag, Weights: f.name, fleet: f, load: l, weights: f.weights})
-		if p != Project || !l.shifts {
+		out = append(out, Case{Fleet: f.name, Workload: l.name, Policy: p, ReportAge: reportAge, Weights: f.name, fleet: f, workload: l, weights: f.weights})
+		if p != Quetzallug || !l.mixShifts {
 			continue
 		}
 		for _, other := range fleets {
 			if other != f {
-				out = append(out, Case{Fleet: f.name, Workload: l.name, Policy: p, Lag: lag, Weights: other.name, fleet: f, load: l, weights: other.weights})
+				out = append(out, Case{Fleet: f.name, Workload: l.name, Policy: p, ReportAge: reportAge, Weights: other.name, fleet: f, workload: l, weights: other.weights})
 			}
 		}
 	}
 	return out
 }
 
-func (c *Case) run(seed int, h *hindsightTable) Result {
+func (c *Case) run(seed int, table *hindsightTable) Result {
 	s := uint64(seed + 1)
-	initial := c.fleet.split(c.load.meanShare())
-	lag := c.Lag
+	initial := c.fleet.split(c.workload.meanShare())
+	reportAge := c.ReportAge
 	if c.Policy == Hindsight {
-		// The upper bound sees the load as it is.
-		lag = 0
+		// The upper bound gets current load reports.
+		reportAge = 0
 	}
-	w := newWorld(c.fleet, &c.load, lag, s, initial)
-	var p policy
+	sim := newSimulation(c.fleet, &c.workload, reportAge, s, initial)
+	var policy policy
 	switch c.Policy {
 	case RoundRobin:
-		p = &roundRobin{base: base{w: w}}
+		policy = &roundRobin{baseline: baseline{sim: sim}}
 	case LeastLoaded:
-		p = newLeastLoaded(w)
-	case Project:
-		p = newProject(w, placement.New(placement.Config{Change: changeTime}), c.weights)
+		policy = newLeastLoaded(sim)
+	case Quetzallug:
+		policy = newQuetzallugPolicy(sim, placement.New(placement.Config{Change: changeTime}), c.weights)
 	default:
-		b := &hindsight{project: newFreshProject(w, c.weights), splits: h.schedule(c.fleet, &c.load)}
-		w.After(0, func() { b.plan(nil) })
-		p = b
+		b := &hindsight{quetzallugPolicy: newQuetzallugPolicyWithCurrentReports(sim, c.weights), bestSplit: table.schedule(c.fleet, &c.workload)}
+		sim.After(0, func() { b.plan(nil) })
+		policy = b
 	}
-	st := w.run(p, s)
+	stats := sim.run(policy, s)
 	offered := 0
-	for _, n := range st.offered {
+	for _, n := range stats.offeredByKind {
 		offered += n
 	}
 	return Result{
-		Seed: seed + 1, Goodput: st.goodput(""), Long: st.goodput(c.fleet.long.name), Chat: st.goodput(c.fleet.chat.name),
-		GoodPerSecond: st.goodput("") * float64(offered) / st.duration.Seconds(),
-		FirstP95:      percentile(st.first, 0.95), BetweenP95: percentile(st.between, 0.95),
-		Changes: st.changes, Lost: st.lost, Refusals: st.refusals, Offered: offered,
+		Seed: seed + 1, Goodput: stats.goodput(""), LongGoodput: stats.goodput(c.fleet.long.name), ChatGoodput: stats.goodput(c.fleet.chat.name),
+		GoodPerSecond: stats.goodput("") * float64(offered) / stats.duration.Seconds(),
+		FirstTokenP95: percentile(stats.firstTokenLatencies, 0.95), BetweenTokensP95: percentile(stats.tokenIntervals, 0.95),
+		RoleChanges: stats.roleChanges, EngineTimeLost: stats.engineTimeLost, Refusals: stats.refusals, Offered: offered,
 	}
 }
 
-// hindsightTable finds, per mix, the split with the best goodput by trying all of them.
+// hindsightTable caches, for each mix and load, the split with the best goodput, which it finds by
+// simulating all splits.
 type hindsightTable struct {
 	mu     sync.Mutex
 	splits map[hindsightKey]*hindsightEntry
 }
 
 type hindsightKey struct {
-	fleet         string
-	alive         int
-	share         int // in twentieths
-	useTwentieths int
+	fleet                 string
+	alive                 int
+	shareTwentieths       int
+	utilisationTwentieths int
 }
 
 type hindsightEntry struct {
 	once  sync.Once
-	split platformSplit
+	split roleSplit
 }
 
-// schedule returns the best split for the phase that contains a time.
-func (h *hindsightTable) schedule(f *fleet, l *workload) func(time.Duration, int) platformSplit {
-	return func(t time.Duration, alive int) platformSplit {
-		from := t / l.phase * l.phase
-		middle := min(from+l.phase/2, l.duration)
+// schedule returns a function that gives the best split for the phase that contains a time and for a
+// number of engines that are alive.
+func (h *hindsightTable) schedule(fleet *fleet, workload *workload) func(time.Duration, int) roleSplit {
+	return func(t time.Duration, alive int) roleSplit {
+		phaseStart := t / workload.phase * workload.phase
+		middle := min(phaseStart+workload.phase/2, workload.duration)
 		key := hindsightKey{
-			fleet: f.name, alive: alive,
-			share: int(math.Round(20 * l.share(middle))), useTwentieths: int(math.Round(20 * l.use(middle))),
+			fleet: fleet.name, alive: alive,
+			shareTwentieths: int(math.Round(20 * workload.longShare(middle))), utilisationTwentieths: int(math.Round(20 * workload.utilisation(middle))),
 		}
 		h.mu.Lock()
 		e := h.splits[key]
@@ -228,60 +231,60 @@
 			h.splits[key] = e
 		}
 		h.mu.Unlock()
-		e.once.Do(func() { e.split = search(f, key) })
+		e.once.Do(func() { e.split = bestSplitFor(fleet, key) })
 		return e.split
 	}
 }
 
-// The search tries all splits for a short time, and the best of them longer with several seeds,
-// because many splits differ by less than the noise of a short run.
+// The search simulates all splits for a short time, and then the best of them for longer and with
+// several seeds, because many splits differ by less than the noise of a short run.
 const (
-	searchWarmUp   = 10 * time.Second
-	searchShort    = 50 * time.Second
-	searchLong     = 100 * time.Second
-	searchFinal    = 6
-	searchSeeds    = 3
-	searchSeedBase = 100 // differs from the seeds of the cases
+	searchWarmUp    = 10 * time.Second
+	searchShort     = 50 * time.Second
+	searchLong      = 100 * time.Second
+	searchFinalists = 6
+	searchSeeds     = 3
+	searchSeedBase  = 100 // above the seeds of the cases
 )
 
-func search(f *fleet, key hindsightKey) platformSplit {
+func bestSplitFor(fleet *fleet, key hindsightKey) roleSplit {
 	type candidate struct {
-		split   platformSplit
+		split   roleSplit
 		goodput float64
 	}
-	var all []candidate
+	var candidates []candidate
 	for prefill := 0; prefill <= key.alive; prefill++ {
 		for mixed := 0; mixed <= key.alive-prefill; mixed++ {
-			s := platformSplit{prefill, mixed, key.alive - prefill - mixed}
-			if mixed == 0 && (prefill == 0 || s.decode == 0) {
+			split := roleSplit{prefill, mixed, key.alive - prefill - mixed}
+			if mixed == 0 && (prefill == 0 || split.decode == 0) {
 				continue
 			}
-			all = append(all, candidate{s, trial(f, key, s, searchShort, searchSeedBase)})
+			candidates = append(candidates, candidate{split, trial(fleet, key, split, searchShort, searchSeedBase)})
 		}
 	}
-	better := func(a, b candidate) int { return cmp.Compare(b.goodput, a.goodput) }
-	slices.SortStableFunc(all, better)
-	all = all[:min(len(all), searchFinal)]
-	for i := range all {
-		all[i].goodput = 0
+	byGoodputDescending := func(a, b candidate) int { return cmp.Compare(b.goodput, a.goodput) }
+	slices.SortStableFunc(candidates, byGoodputDescending)
+	candidates = candidates[:min(len(candidates), searchFinalists)]
+	for i := range candidates {
+		candidates[i].goodput = 0
 		for seed := range uint64(searchSeeds) {
-			all[i].goodput += trial(f, key, all[i].split, searchLong, searchSeedBase+1+seed)
+			candidates[i].goodput += trial(fleet, key, candidates[i].split, searchLong, searchSeedBase+1+seed)
 		}
 	}
-	slices.SortStableFunc(all, better)
-	return all[0].split
+	slices.SortStableFunc(candidates, byGoodputDescending)
+	return candidates[0].split
 }
 
-// trial is the goodput of a fixed split on a constant mix.
-func trial(f *fleet, key hindsightKey, s platformSplit, duration time.Duration, seed uint64) float64 {
-	l := workload{
+// trial simulates a fixed split on a constant mix and returns its goodput.
+func trial(fleet *fleet, key hindsightKey, split roleSplit, duration time.Duration, seed uint64) float64 {
+	workload := workload{
 		duration: duration, phase: duration,
-		share: constant(float64(key.share) / 20), use: constant(float64(key.useTwentieths) / 20),
+		longShare: constant(float64(key.shareTwentieths) / 20), utilisation: constant(float64(key.utilisationTwentieths) / 20),
 	}
-	w := newWorld(f, &l, 0, seed, s)
-	w.stats.warmUp = searchWarmUp
-	for _, e := range w.engines[key.alive:] {
-		e.state = dead
+	sim := newSimulation(fleet, &workload, 0, seed, split)
+	sim.stats.warmUp = searchWarmUp
+	for _, e := range sim.engines[key.alive:] {
+		e.state = crashed
 	}
-	return w.run(newFreshProject(w, f.weights), seed).goodput("")
+	return sim.run(newQuetzallugPolicyWithCurrentReports(sim, fleet.weights), seed).goodput("")
 }
--- a/internal/policybench/stats.go
+++ b/internal/policybench/stats.go
@@ -5,62 +5,64 @@
 	"time"
 )
 
-// stats are the figures of one run, counted for requests that arrive after the warm-up.
+// stats holds the measurements of one run. Requests that arrive during the warm-up are not counted.
 type stats struct {
-	warmUp   time.Duration
-	duration time.Duration
-	offered  map[string]int
-	good     map[string]int
-	first    []time.Duration
-	between  []time.Duration
-	// refusals also counts answers that were complete but not on time, in parentheses.
-	refusals  map[string]int
-	changes   int
-	lost      time.Duration
-	completed int
+	warmUp              time.Duration
+	duration            time.Duration
+	offeredByKind       map[string]int
+	goodByKind          map[string]int
+	firstTokenLatencies []time.Duration
+	tokenIntervals      []time.Duration
+	// refusals counts refused requests by reason. Keys in parentheses count complete answers that
+	// missed a target.
+	refusals       map[string]int
+	roleChanges    int
+	engineTimeLost time.Duration
+	completed      int
 }
 
-func (s *stats) offer(r *request) {
-	if s.offered == nil {
-		s.offered, s.good = make(map[string]int), make(map[string]int)
+func (s *stats) recordOffered(r *request) {
+	if s.offeredByKind == nil {
+		s.offeredByKind, s.goodByKind = make(map[string]int), make(map[string]int)
 	}
 	if r.arrived >= s.warmUp {
-		s.offered[r.kind.name]++
+		s.offeredByKind[r.kind.name]++
 	}
 }
 
-func (s *stats) refuse(r *request, reason string) {
+func (s *stats) recordRefused(r *request, reason string) {
 	if r.arrived >= s.warmUp {
 		s.refusals[reason]++
 	}
 }
 
-func (s *stats) finish(r *request) {
+func (s *stats) recordCompleted(r *request) {
 	if r.arrived < s.warmUp {
 		return
 	}
 	s.completed++
-	s.first = append(s.first, r.first-r.arrived)
-	s.between = append(s.between, r.between())
+	s.firstTokenLatencies = append(s.firstTokenLatencies, r.firstTokenAt-r.arrived)
+	s.tokenIntervals = append(s.tokenIntervals, r.meanTokenInterval())
 	switch {
-	case r.good():
-		s.good[r.kind.name]++
-	case r.first-r.arrived > r.kind.firstToken:
+	case r.metTargets():
+		s.goodByKind[r.kind.name]++
+	case r.firstTokenAt-r.arrived > r.kind.firstTokenTarget:
 		s.refusals["(ran, first token late)"]++
-	case r.between() > r.kind.betweenTokens:
+	case r.meanTokenInterval() > r.kind.betweenTokensTarget:
 		s.refusals["(ran, tokens slow)"]++
 	default:
 		s.refusals["(ran, total late)"]++
 	}
 }
 
-// goodput is the share of the offered requests that were answered within all targets.
+// goodput returns the share of the offered requests of a kind, or of all kinds if it is empty, that
+// were answered within all targets.
 func (s *stats) goodput(kind string) float64 {
 	good, offered := 0, 0
-	for name, n := range s.offered {
+	for name, n := range s.offeredByKind {
 		if kind == "" || name == kind {
 			offered += n
-			good += s.good[name]
+			good += s.goodByKind[name]
 		}
 	}
 	if offered == 0 {
--- a/internal/policybench/targets.go
+++ b/internal/policybench/targets.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Targets of docs/design.md section 14.
+// Targets from docs/design.md section 14.
 const (
-	targetFresh    = 0.95 // of hindsight, reports up to 1 s old
-	targetOld      = 0.90 // of hindsight, reports 5 s old
-	targetChanges  = 1.0 / 3
-	targetOverload = 0.90
+	minGoodputShareFresh = 0.95    // of the goodput of Hindsight, load reports up to 1 s old
+	minGoodputShareOld   = 0.90    // of the goodput of Hindsight, older load reports
+	maxRoleChangeShare   = 1.0 / 3 // of the role changes of LeastLoaded
+	minOverloadShare     = 0.90    // of the highest goodput per second, at twice the capacity
 )
 
-// Check is one target on one workload.
+// Check is the comparison of a measurement with a target on one workload.
 type Check struct {
 	Target, Fleet, Workload string
-	Lag                     time.Duration
-	Measured, Wanted        float64
-	Reached                 bool
+	ReportAge               time.Duration
+	Measured, Required      float64
+	Met                     bool
 }
 
-type table struct {
+type resultTable struct {
 	cases   []Case
 	results [][]Result
 }
 
-func (t *table) median(f *fleet, workload, policy, weights string, lag time.Duration, value func(*Result) float64) (float64, bool) {
+func (t *resultTable) median(f *fleet, workload, policy, weights string, reportAge time.Duration, value func(*Result) float64) (float64, bool) {
 	for i := range t.cases {
 		c := &t.cases[i]
-		if c.fleet == f && c.Workload == workload && c.Policy == policy && c.Weights == weights && c.Lag == lag {
+		if c.fleet == f && c.Workload == workload && c.Policy == policy && c.Weights == weights && c.ReportAge == reportAge {
 			return spreadOf(t.results[i], value).median, true
 		}
 	}
@@ -41,15 +41,15 @@
 
 func goodput(r *Result) float64 { return r.Goodput }
 
-func changes(r *Result) float64 { return float64(r.Changes) }
+func roleChanges(r *Result) float64 { return float64(r.RoleChanges) }
 
-// Targets compares the medians with the targets.
+// Targets compares the medians over the seeds with the targets.
 func Targets(cases []Case, results [][]Result) []Check {
-	t := &table{cases, results}
+	t := &resultTable{cases, results}
 	var out []Check
 	for i := range cases {
 		c := &cases[i]
-		if c.Policy == Project && c.Weights == c.Fleet && !strings.HasPrefix(c.Workload, "load-") {
+		if c.Policy == Quetzallug && c.Weights == c.Fleet && !strings.HasPrefix(c.Workload, "load-") {
 			out = append(out, t.checks(c)...)
 		}
 	}
@@ -59,101 +59,103 @@
 	return out
 }
 
-func (t *table) checks(c *Case) []Check {
+func (t *resultTable) checks(c *Case) []Check {
 	var out []Check
-	add := func(target string, measured, wanted float64, reached bool) {
-		out = append(out, Check{Target: target, Fleet: c.Fleet, Workload: c.Workload, Lag: c.Lag, Measured: measured, Wanted: wanted, Reached: reached})
+	add := func(target string, measured, required float64, met bool) {
+		out = append(out, Check{Target: target, Fleet: c.Fleet, Workload: c.Workload, ReportAge: c.ReportAge, Measured: measured, Required: required, Met: met})
 	}
 	value := func(policy, weights string, v func(*Result) float64) (float64, bool) {
-		return t.median(c.fleet, c.Workload, policy, weights, c.Lag, v)
+		return t.median(c.fleet, c.Workload, policy, weights, c.ReportAge, v)
 	}
-	own, _ := value(Project, c.Fleet, goodput)
-	ownChanges, _ := value(Project, c.Fleet, changes)
+	ownGoodput, _ := value(Quetzallug, c.Fleet, goodput)
+	ownChanges, _ := value(Quetzallug, c.Fleet, roleChanges)
 	if best, ok := value(Hindsight, c.Fleet, goodput); ok {
-		wanted := targetFresh
-		if c.Lag > time.Second {
-			wanted = targetOld
+		required := minGoodputShareFresh
+		if c.ReportAge > time.Second {
+			required = minGoodputShareOld
 		}
-		add("goodput of hindsight", own/best, wanted, own >= wanted*best)
+		add("goodput of hindsight", ownGoodput/best, required, ownGoodput >= required*best)
 	}
 	for _, other := range []string{RoundRobin, LeastLoaded} {
-		if v, ok := value(other, c.Fleet, goodput); ok && c.load.shifts {
-			add("goodput above "+other, own, v, own > v)
+		if v, ok := value(other, c.Fleet, goodput); ok && c.workload.mixShifts {
+			add("goodput above "+other, ownGoodput, v, ownGoodput > v)
 		}
 	}
-	if v, ok := value(LeastLoaded, c.Fleet, changes); ok && strings.HasPrefix(c.Workload, "swing") {
-		add("role changes of threshold", ownChanges, v*targetChanges, ownChanges <= v*targetChanges)
+	if v, ok := value(LeastLoaded, c.Fleet, roleChanges); ok && strings.HasPrefix(c.Workload, "swing") {
+		add("role changes of threshold", ownChanges, v*maxRoleChangeShare, ownChanges <= v*maxRoleChangeShare)
 	}
 	if c.Workload == "steady" {
-		most := t.mostChanges(c)
+		most := t.maxRoleChanges(c)
 		add("no role changes", most, 0, most == 0)
 	}
-	if c.load.shifts {
+	if c.workload.mixShifts {
 		checkWeights(value, add)
 	}
 	return out
 }
 
-// mostChanges is that of the seed with the most role changes: one seed is enough to miss "none".
-func (t *table) mostChanges(c *Case) float64 {
+// maxRoleChanges returns the highest number of role changes over the seeds of a case. A target of no
+// role changes is missed if any seed has one.
+func (t *resultTable) maxRoleChanges(c *Case) float64 {
 	for i := range t.cases {
-		if t.cases[i].id() == c.id() {
-			return spreadOf(t.results[i], changes).most
+		if t.cases[i].key() == c.key() {
+			return spreadOf(t.results[i], roleChanges).highest
 		}
 	}
 	return 0
 }
 
-// checkWeights checks that the goodput-heavy document gets at least the goodput, and the document that
-// is heavy on role changes at most the changes, of the other.
+// checkWeights checks the effect of the planner's weights: those that favour goodput must reach at
+// least the goodput of those that penalise role changes, and these must need at most as many role
+// changes as the former.
 func checkWeights(
 	value func(policy, weights string, v func(*Result) float64) (float64, bool),
-	add func(target string, measured, wanted float64, reached bool),
+	add func(target string, measured, required float64, met bool),
 ) {
-	heavy, light := fleets[0].name, fleets[1].name
-	g1, ok1 := value(Project, heavy, goodput)
-	g2, ok2 := value(Project, light, goodput)
+	goodputWeights, changeWeights := fleets[0].name, fleets[1].name
+	goodputWithGoodputWeights, ok1 := value(Quetzallug, goodputWeights, goodput)
+	goodputWithChangeWeights, ok2 := value(Quetzallug, changeWeights, goodput)
 	if !ok1 || !ok2 {
 		return
 	}
-	c1, _ := value(Project, heavy, changes)
-	c2, _ := value(Project, light, changes)
-	add("goodput-heavy weights: goodput", g1, g2, g1 >= g2)
-	add("change-heavy weights: changes", c2, c1, c2 <= c1)
+	changesWithGoodputWeights, _ := value(Quetzallug, goodputWeights, roleChanges)
+	changesWithChangeWeights, _ := value(Quetzallug, changeWeights, roleChanges)
+	add("goodput-heavy weights: goodput", goodputWithGoodputWeights, goodputWithChangeWeights, goodputWithGoodputWeights >= goodputWithChangeWeights)
+	add("change-heavy weights: changes", changesWithChangeWeights, changesWithGoodputWeights, changesWithChangeWeights <= changesWithGoodputWeights)
 }
 
-func (t *table) overload(f *fleet) []Check {
-	peak, last, found := 0.0, 0.0, false
+func (t *resultTable) overload(f *fleet) []Check {
+	peakGoodput, lastGoodput, found := 0.0, 0.0, false
 	for i := range t.cases {
 		c := &t.cases[i]
-		if c.fleet != f || c.Policy != Project || !strings.HasPrefix(c.Workload, "load-") {
+		if c.fleet != f || c.Policy != Quetzallug || !strings.HasPrefix(c.Workload, "load-") {
 			continue
 		}
 		found = true
-		last = spreadOf(t.results[i], func(r *Result) float64 { return r.GoodPerSecond }).median
-		peak = max(peak, last)
+		lastGoodput = spreadOf(t.results[i], func(r *Result) float64 { return r.GoodPerSecond }).median
+		peakGoodput = max(peakGoodput, lastGoodput)
 	}
 	if !found {
 		return nil
 	}
 	return []Check{{
-		Target: "goodput at 2x of peak", Fleet: f.name, Workload: "load", Lag: time.Second,
-		Measured: last / peak, Wanted: targetOverload, Reached: last >= targetOverload*peak,
+		Target: "goodput at 2x of peak", Fleet: f.name, Workload: "load", ReportAge: time.Second,
+		Measured: lastGoodput / peakGoodput, Required: minOverloadShare, Met: lastGoodput >= minOverloadShare*peakGoodput,
 	}}
 }
 
-// WriteTargets prints the targets; with all, also those that are reached.
+// WriteTargets prints the missed targets, or with all every target, and a summary.
 func WriteTargets(out io.Writer, checks []Check, all bool) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	missed := 0
 	for _, c := range checks {
-		state := "reached"
-		if !c.Reached {
-			state = "MISSED"
+		status := "reached"
+		if !c.Met {
+			status = "MISSED"
 			missed++
 		}
-		if all || !c.Reached {
-			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%.3f\twanted %.3f\n", state, c.Target, c.Fleet, c.Workload, c.Lag, c.Measured, c.Wanted)
+		if all || !c.Met {
+			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%.3f\twanted %.3f\n", status, c.Target, c.Fleet, c.Workload, c.ReportAge, c.Measured, c.Required)
 		}
 	}
 	fmt.Fprintf(t, "targets: %d reached, %d missed\n", len(checks)-missed, missed)
