--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -63,7 +63,7 @@
 
 func (*tokenStream) Close() error { return nil }
 
-// fixedDocument implements entry.Documents with a single document.
+// fixedDocument implements entry.Documents and sidecar.Documents with a single document.
 type fixedDocument struct{ service *document.Service }
 
 func (d fixedDocument) Lookup(string) (*document.Service, uint64) { return d.service, 1 }
@@ -160,6 +160,7 @@
 	return peerauth.NewInterceptor(peerauth.Credentials{Cluster: "bench", Key: "k"}, log)
 }
 
+// relayRequest returns a streaming request for relayTokens tokens of benchModel.
 func relayRequest(b *testing.B) *http.Request {
 	body := `{"model":"halte-verdict","prompt":"when does the next bus come","max_tokens":2000,"stream":true}`
 	r, err := http.NewRequestWithContext(b.Context(), http.MethodPost, "/v1/completions", strings.NewReader(body))
--- a/entry/run_internal_test.go
+++ b/entry/run_internal_test.go
@@ -21,19 +21,19 @@
 	"github.com/quetzallug/quetzallug/membership"
 )
 
-// scriptedWorker ends each attempt with the next final frame of its script. Unless the outcome is "not
-// run", it sends one data frame first.
-type scriptedWorker struct {
+// finalsWorker ends each attempt with the next of its final frames, and cannot handle more attempts
+// than it has frames. Unless the outcome is "not run", it sends one data frame first.
+type finalsWorker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 
 	mu     sync.Mutex
-	script []*v1.Final
+	finals []*v1.Final
 }
 
-func (w *scriptedWorker) Execute(_ context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
+func (w *finalsWorker) Execute(_ context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
 	w.mu.Lock()
-	f := w.script[0]
-	w.script = w.script[1:]
+	f := w.finals[0]
+	w.finals = w.finals[1:]
 	w.mu.Unlock()
 	m := r.Msg
 	offset := m.GetOffset()
@@ -51,21 +51,21 @@
 // never picks a worker for a request with excluded instances.
 type intermittentPicker struct {
 	worker Worker
-	// unavailableAfter is the number of picks without a worker after each attempt.
-	unavailableAfter int
-	// unavailable is the number of picks without a worker that are left.
-	unavailable int
+	// failsPerAttempt is the number of picks without a worker after each attempt.
+	failsPerAttempt int
+	// failsLeft is the number of picks without a worker that are left.
+	failsLeft int
 	// picks is the number of picks that returned the worker.
 	picks int
 }
 
 func (p *intermittentPicker) Pick(r PickRequest) (Worker, string, error) {
-	if p.unavailable > 0 || len(r.Tried) > 0 {
-		p.unavailable--
+	if p.failsLeft > 0 || len(r.Tried) > 0 {
+		p.failsLeft--
 		return Worker{}, "", errNoWorker
 	}
 	p.picks++
-	p.unavailable = p.unavailableAfter
+	p.failsLeft = p.failsPerAttempt
 	return p.worker, "", nil
 }
 func (*intermittentPicker) Sent(Worker, PickRequest)         {}
@@ -91,11 +91,12 @@
 func (noDocuments) Services() []*document.Service             { return nil }
 func (noDocuments) Observe(string, uint64)                    {}
 
-// runScript runs a repeatable chat request on a scripted worker. It returns the text and the error.
-func runScript(t *testing.T, p *intermittentPicker, script ...*v1.Final) (string, *Error) {
+// runWithFinals runs a repeatable chat request on a worker with the given final frames. It returns the
+// text and the error.
+func runWithFinals(t *testing.T, p *intermittentPicker, finals ...*v1.Final) (string, *Error) {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(&scriptedWorker{script: script}))
+	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(&finalsWorker{finals: finals}))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	srv := rpc.NewServer(mux)
@@ -125,8 +126,8 @@
 // usable for a short time, the retry budget is exhausted and the only worker was tried before.
 func TestPlannedChangeMovesAnAnswer(t *testing.T) {
 	interrupted := func() *v1.Final { return finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING) }
-	p := &intermittentPicker{unavailableAfter: 3}
-	text, err := runScript(t, p, interrupted(), interrupted(),
+	p := &intermittentPicker{failsPerAttempt: 3}
+	text, err := runWithFinals(t, p, interrupted(), interrupted(),
 		finalOf(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_MODEL_NOT_LOADED),
 		finalOf(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_WRONG_INCARNATION),
 		finalOf(v1.Outcome_OUTCOME_COMPLETE, 0))
@@ -142,26 +143,26 @@
 		finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_BACKEND_FAILED),
 		finalOf(v1.Outcome_OUTCOME_NOT_RUN, v1.Reason_REASON_QUEUE_FULL),
 	} {
-		_, err := runScript(t, &intermittentPicker{}, f)
+		_, err := runWithFinals(t, &intermittentPicker{}, f)
 		require.Equal(t, ReasonRetryBudget, err.Reason)
 	}
-	_, err := runScript(t, &intermittentPicker{unavailableAfter: 1 << 20}, finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING))
+	_, err := runWithFinals(t, &intermittentPicker{failsPerAttempt: 1 << 20}, finalOf(v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DRAINING))
 	require.Equal(t, ReasonNoWorker, err.Reason)
 	require.Equal(t, OutcomeUnknown, err.Outcome)
 
 	// Before the first attempt there is no wait, because another entry may have a usable worker.
-	started := &intermittentPicker{unavailable: 1 << 20}
-	_, err = runScript(t, started)
+	noWorker := &intermittentPicker{failsLeft: 1 << 20}
+	_, err = runWithFinals(t, noWorker)
 	require.Equal(t, OutcomeNotRun, err.Outcome)
-	require.Equal(t, 1<<20-1, started.unavailable)
+	require.Equal(t, 1<<20-1, noWorker.failsLeft)
 }
 
-// An engine that has no models or does not answer must not be offered to the router, which would take
-// it for a plain backend server without load and send it all requests.
+// An engine that has no models or does not answer must not be passed to the router as usable. The router
+// would take it for a plain backend server without load and send it all requests.
 func TestEngineWithoutModelsIsNotOffered(t *testing.T) {
 	require.True(t, hasNoModels(&v1.LoadReport{Role: "mixed"}))
 	require.False(t, hasNoModels(&v1.LoadReport{Role: "mixed", Models: []string{"m"}}))
-	require.True(t, hasNoModels(&v1.LoadReport{}), "an engine that does not answer has neither")
+	require.True(t, hasNoModels(&v1.LoadReport{}), "an engine that does not answer reports neither role nor models")
 	require.False(t, hasNoModels(&v1.LoadReport{Plain: true}))
 }
 
@@ -215,7 +216,7 @@
 }
 
 // Probe implements WorkerService. It reports a worker that is no longer draining.
-func (*scriptedWorker) Probe(context.Context, *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
+func (*finalsWorker) Probe(context.Context, *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
 	return connect.NewResponse(&v1.ProbeResponse{Load: &v1.LoadReport{Instance: "a", Incarnation: "1", Models: []string{"m"}}}), nil
 }
 
@@ -223,7 +224,7 @@
 // change, because the probes of membership itself have backed off.
 func TestRefreshEndsADrainInMembership(t *testing.T) {
 	mux := http.NewServeMux()
-	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(&scriptedWorker{}))
+	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(&finalsWorker{}))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	srv := rpc.NewServer(mux)
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -157,6 +157,7 @@
 			Deadlines: document.Deadlines{Total: document.Duration(20 * time.Second)},
 		}
 	}
+	// Requests of kind "again" are repeatable, those of kind "once" are not.
 	kinds := []document.Kind{kind("again", true), kind("once", false)}
 	e := entry.New(entry.Config{Cluster: "c", MaxBodyBytes: 1 << 10, WriteTimeout: time.Second}, entry.Options{
 		Documents: documents{[]*document.Service{
@@ -170,9 +171,10 @@
 	return e.Handler()
 }
 
-// An answer with missing, repeated or foreign parts must not be presented as complete. A non-repeatable
-// request that may have run must not be retried, and no request that may have run must be reported as
-// "not run".
+// An answer must not be presented as complete if parts of it are missing or repeated, or belong to
+// another request or attempt. A non-repeatable request that may have run must not be retried, and a
+// request that may have run must not be reported as "not run". In the names of the cases, "whole" is a
+// complete answer and "cut" is one without a final frame.
 func TestAttempts(t *testing.T) {
 	tests := []struct {
 		name     string
