--- a/entry/admit.go
+++ b/entry/admit.go
@@ -66,8 +66,9 @@
 	c := a.controller(r.Service)
 	expected := a.fleet.Predict(r.Pick)
 	e := &admission.Expectation{NoWorker: expected.Decode == nil}
-	// No worker can serve a request earlier than an idle one, and only traffic corrects a wrong
-	// estimate of a worker's speed. To refuse requests for an idle worker could leave it idle forever.
+	// The estimates are left out for an idle worker, because no worker can serve the request earlier. If
+	// a wrong estimate caused its requests to be refused, it would stay idle and the estimate would never
+	// be corrected, because only traffic corrects it.
 	if !e.NoWorker && !idle(&expected, r.Now) {
 		e.FirstToken, e.BetweenTokens, e.Total = expected.FirstToken, expected.BetweenTokens, expected.Total
 	}
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -36,13 +36,13 @@
 }
 
 func newEventSink(c *gin.Context, call *call, chat bool, timeout time.Duration) *eventSink {
-	head, tail := eventFrame(call, chat)
+	head, tail := eventAffixes(call, chat)
 	return &eventSink{w: c.Writer, rc: http.NewResponseController(c.Writer), timeout: timeout, head: head, tail: tail}
 }
 
-// eventFrame returns the parts of an event before and after its text, which are the same for all
+// eventAffixes returns the parts of an event before and after its text, which are the same for all
 // events of a call.
-func eventFrame(call *call, chat bool) (head, tail []byte) {
+func eventAffixes(call *call, chat bool) (head, tail []byte) {
 	object, open, end := "text_completion", `"text":`, `,"finish_reason":`
 	if chat {
 		object, open, end = "chat.completion.chunk", `"delta":{"content":`, `},"finish_reason":`
@@ -119,7 +119,7 @@
 	return s.send([]byte("data: [DONE]\n\n"))
 }
 
-// fail ends a stream that has already started with an error event.
+// fail sends an error event, which ends a stream that has already started.
 func (s *eventSink) fail(requestID string, e *Error) error {
 	body, err := json.Marshal(e.body(requestID))
 	if err != nil {
@@ -180,10 +180,10 @@
 	} else {
 		ch.Text = text
 	}
-	prompt, out := int(call.model.GetPromptTokens()), int(f.GetTotal())
+	promptTokens, completionTokens := int(call.model.GetPromptTokens()), int(f.GetTotal())
 	return completion{
 		ID: call.id, Object: object, Created: call.started.Unix(), Model: modelName(call.model),
 		Choices: []choice{ch},
-		Usage:   usage{PromptTokens: prompt, CompletionTokens: out, TotalTokens: prompt + out},
+		Usage:   usage{PromptTokens: promptTokens, CompletionTokens: completionTokens, TotalTokens: promptTokens + completionTokens},
 	}
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -25,8 +25,8 @@
 	started  time.Time
 }
 
-// request builds the message to the worker for one attempt. offset is the position at which the
-// answer resumes.
+// request builds the message to the worker for one attempt. offset is the number of tokens already
+// delivered, at which the answer resumes.
 func (c *call) request(cluster string, w Worker, attempt uint32, offset uint64, now time.Time) *v1.ExecuteRequest {
 	remaining := c.deadline.Sub(now).Milliseconds()
 	r := &v1.ExecuteRequest{
--- a/entry/decisions.go
+++ b/entry/decisions.go
@@ -20,10 +20,12 @@
 	return &DecisionLog{ring: make([]*v1.Decision, size)}
 }
 
-// Add records a decision and overwrites the oldest one if the log is full.
-func (l *DecisionLog) Add(subject, choice, reason string, candidates []string) {
+// Add records a decision about a request or a pool, which subject names. choice is the chosen worker,
+// or empty. tried lists the workers of earlier attempts of the request, which were excluded. The oldest
+// decision is overwritten if the log is full.
+func (l *DecisionLog) Add(subject, choice, reason string, tried []string) {
 	d := &v1.Decision{
-		AtUnixMs: time.Now().UnixMilli(), Subject: subject, Choice: choice, Reason: reason, Candidates: candidates,
+		AtUnixMs: time.Now().UnixMilli(), Subject: subject, Choice: choice, Reason: reason, Candidates: tried,
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,14 +33,14 @@
 	l.next = (l.next + 1) % len(l.ring)
 }
 
-// Find returns the decisions whose subject or choice is the given one, oldest first.
-func (l *DecisionLog) Find(subject string) []*v1.Decision {
+// Find returns the decisions with the given subject or choice, oldest first.
+func (l *DecisionLog) Find(name string) []*v1.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []*v1.Decision
 	for i := range l.ring {
 		d := l.ring[(l.next+i)%len(l.ring)]
-		if d != nil && (d.GetSubject() == subject || d.GetChoice() == subject) {
+		if d != nil && (d.GetSubject() == name || d.GetChoice() == name) {
 			found = append(found, d)
 		}
 	}
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -16,29 +16,29 @@
 
 // Lookup implements Documents.
 func (d *DocumentsInForce) Lookup(service string) (*document.Service, uint64) {
-	f := d.Store.Snapshot().Service(service)
-	if f == nil {
+	state := d.Store.Snapshot().Service(service)
+	if state == nil {
 		return nil, 0
 	}
-	return f.Parsed, f.Revision
+	return state.Parsed, state.Revision
 }
 
 // Services implements Documents.
 func (d *DocumentsInForce) Services() []*document.Service {
 	var all []*document.Service
-	for _, f := range d.Store.Snapshot() {
-		if f.Parsed != nil {
-			all = append(all, f.Parsed)
+	for _, state := range d.Store.Snapshot() {
+		if state.Parsed != nil {
+			all = append(all, state.Parsed)
 		}
 	}
 	return all
 }
 
 // Revision returns the highest revision of a service's document that this process has received, or
-// 0 if it has none.
+// 0 if it has none. It may be higher than the active one, which Lookup returns.
 func (d *DocumentsInForce) Revision(service string) uint64 {
-	if f := d.Store.Snapshot()[service]; f != nil {
-		return f.Highest()
+	if state := d.Store.Snapshot()[service]; state != nil {
+		return state.Highest()
 	}
 	return 0
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -17,9 +17,11 @@
 
 // Config configures one entry.
 type Config struct {
-	Cluster     string
-	Instance    string
-	DataCentre  string
+	Cluster string
+	// Instance is the ID of this entry.
+	Instance   string
+	DataCentre string
+	// Incarnation identifies this start of the process.
 	Incarnation string
 	// MaxBodyBytes bounds a request body independently of the limit of its service, which is only
 	// known after parsing.
@@ -41,8 +43,10 @@
 
 // Worker is the target of an attempt.
 type Worker struct {
-	Instance    string
-	Address     string
+	// Instance is the ID of the worker.
+	Instance string
+	Address  string
+	// Incarnation identifies one start of the worker's process.
 	Incarnation string
 	// Prefill is the worker that runs the prefill phase, or nil if this worker runs both phases.
 	Prefill *Worker
@@ -60,10 +64,11 @@
 
 // PickRequest holds the properties of a request that affect the choice of a worker.
 type PickRequest struct {
-	RequestID    string
-	Service      string
-	Model        string
-	Adapter      string
+	RequestID string
+	Service   string
+	Model     string
+	Adapter   string
+	// Prefix holds the hashes of the leading blocks of the prompt.
 	Prefix       []uint64
 	PromptTokens int
 	MaxTokens    int
@@ -80,19 +85,28 @@
 	Outcome           v1.Outcome
 	Reason            v1.Reason
 	ConnectionRefused bool // no connection could be established
-	TimedOut          bool // no frame arrived in time
-	ConnectionBroken  bool // the connection broke before the final frame
+	TimedOut          bool // the next frame did not arrive in time, or the deadline passed
+	ConnectionBroken  bool // the stream ended before the final frame for another reason
 	Load              *v1.LoadReport
-	FirstToken        time.Duration
-	Tokens            uint64
-	Elapsed           time.Duration
+	// FirstToken is the time from the start of the attempt to its first token.
+	FirstToken time.Duration
+	// Tokens is the number of tokens that the attempt delivered.
+	Tokens uint64
+	// Elapsed is the duration of the attempt, or 0 if an invalid frame or a failed write to the caller
+	// ended it.
+	Elapsed time.Duration
 }
 
 // Metrics records measurements of requests.
 type Metrics interface {
+	// Request records a finished request. onTime is true if it was completed within its total
+	// deadline.
 	Request(service, kind string, outcome string, reason Reason, onTime bool, elapsed time.Duration)
+	// FirstToken records the time from the acceptance of a request to its first token.
 	FirstToken(service, kind string, d time.Duration)
+	// BetweenTokens records the time since the previous frame, divided by the tokens of this frame.
 	BetweenTokens(service, kind string, d time.Duration)
+	// Retry records a retry. cause is the reason why the previous attempt failed.
 	Retry(service string, cause v1.Reason)
 }
 
@@ -112,8 +126,8 @@
 
 // Admitter decides whether a request may start.
 type Admitter interface {
-	// Admit returns the engine priority of the request and a function to call when it ends, or the
-	// error to return to the caller.
+	// Admit returns a function to call when the request ends and the engine priority of the request,
+	// or the error to return to the caller. Engines serve lower priority numbers first.
 	Admit(a AdmitRequest) (release func(), priority int, err *Error)
 }
 
@@ -133,7 +147,8 @@
 	Fresh(now time.Time)
 	// Take reports whether the budget allows a retry, and counts it if so.
 	Take(now time.Time) bool
-	// Backoff returns the wait before a retry. The first retry is number 1.
+	// Backoff returns the wait before a retry. The first retry is number 1. The wait is at least
+	// retryAfter, which the worker asked for, or 0 if it asked for none.
 	Backoff(retry int, retryAfter time.Duration, rnd *rand.Rand) time.Duration
 }
 
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -100,7 +100,7 @@
 	return errorBody{Error: errorDetail{Type: e.Outcome, Code: e.Reason, Message: e.Detail, RequestID: requestID}}
 }
 
-// writeError sends an error response. Nothing may have been sent of the response before.
+// writeError sends an error response. It must be called before any part of the response is sent.
 func writeError(c *gin.Context, requestID string, e *Error) {
 	if e.RetryAfter > 0 && e.Outcome == OutcomeNotRun {
 		seconds := int((e.RetryAfter + time.Second - 1) / time.Second)
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -22,8 +22,8 @@
 	// probeTimeout bounds a probe of a worker for its current load.
 	probeTimeout = time.Second
 	// decisionProbesPerSecond and decisionProbeBurst limit the probes that routing decisions start.
-	// Without the limit, an entry with 35 requests/s over subsets of 8 models would send up to 70
-	// probes/s of 190 bytes, three times its budget of 4 KB/s for control traffic.
+	// Each decision may start two. Without the limit, 35 requests/s for 8 models would start up to 70
+	// probes/s, each of 190 bytes, three times the entry's budget of 4 KB/s for control traffic.
 	decisionProbesPerSecond = 6
 	decisionProbeBurst      = 12
 )
@@ -44,14 +44,19 @@
 
 	mu          sync.RWMutex
 	viewVersion uint64
-	reports     map[string]*v1.LoadReport
-	reportedAt  map[string]time.Time
-	// lastCacheEvent is the sequence number of the last cache event that was applied, by worker.
+	// reports holds the last load report of each worker, by worker ID. reportedAt holds the time at which
+	// it arrived, or an earlier time if it came from another entry.
+	reports    map[string]*v1.LoadReport
+	reportedAt map[string]time.Time
+	// lastCacheEvent is the sequence number of the last cache event that was applied, by worker ID.
 	lastCacheEvent map[string]uint64
-	services       map[string]*serviceFleet
-	routers        map[string]*routing.Router
+	// services and routers are keyed by service name.
+	services map[string]*serviceWorkers
+	routers  map[string]*routing.Router
+	// probesInFlight holds the IDs of the workers that are being probed.
 	probesInFlight map[string]bool
-	tickets        map[ticketKey]load.Ticket
+	// tickets holds what the tracker returned for each attempt in flight, to report its end.
+	tickets map[ticketKey]load.Ticket
 }
 
 // ticketKey identifies an attempt in flight. It is unique because a request has at most one attempt
@@ -61,11 +66,12 @@
 	request string
 }
 
-// serviceFleet is an immutable snapshot of the workers of one service. Changes of membership or of
+// serviceWorkers holds the workers of one service. It is immutable: changes of membership or of
 // reports replace it.
-type serviceFleet struct {
-	router  *routing.Router
-	fleet   *routing.Fleet
+type serviceWorkers struct {
+	router     *routing.Router
+	candidates *routing.Fleet
+	// members holds the members of the service by ID.
 	members map[string]membership.Member
 }
 
@@ -76,14 +82,14 @@
 		cluster: cluster, dataCentre: dataCentre, view: view, clients: clients,
 		tracker: load.NewTracker(load.Speed{}), routerConfig: routing.Config{Seed: seed},
 		probeLimiter: rate.NewLimiter(decisionProbesPerSecond, decisionProbeBurst),
-		reports:      map[string]*v1.LoadReport{}, reportedAt: map[string]time.Time{}, lastCacheEvent: map[string]uint64{}, services: map[string]*serviceFleet{}, routers: map[string]*routing.Router{},
+		reports:      map[string]*v1.LoadReport{}, reportedAt: map[string]time.Time{}, lastCacheEvent: map[string]uint64{}, services: map[string]*serviceWorkers{}, routers: map[string]*routing.Router{},
 		probesInFlight: map[string]bool{}, tickets: map[ticketKey]load.Ticket{},
 	}
 }
 
-// service returns the current workers of a service. A change of membership discards the snapshots of
-// all services.
-func (f *Fleet) service(name string) *serviceFleet {
+// service returns the current workers of a service. A change of membership discards the workers of
+// all services, which are then built again when they are needed.
+func (f *Fleet) service(name string) *serviceWorkers {
 	snapshot := f.view.Snapshot()
 	f.mu.RLock()
 	s := f.services[name]
@@ -122,8 +128,8 @@
 	return float64(len(s.Entries())) * float64(used) / float64(all)
 }
 
-// buildLocked returns the snapshot of a service and builds it if there is none. The caller holds mu.
-func (f *Fleet) buildLocked(name string, snapshot *membership.Snapshot) *serviceFleet {
+// buildLocked returns the workers of a service and builds them if there are none. The caller holds mu.
+func (f *Fleet) buildLocked(name string, snapshot *membership.Snapshot) *serviceWorkers {
 	if s := f.services[name]; s != nil {
 		return s
 	}
@@ -132,19 +138,20 @@
 		r = routing.New(f.routerConfig)
 		f.routers[name] = r
 	}
-	s := &serviceFleet{router: r, members: map[string]membership.Member{}}
+	s := &serviceWorkers{router: r, members: map[string]membership.Member{}}
 	var workers []routing.Worker
 	for _, m := range snapshot.Usable(name) {
 		s.members[m.ID] = m
 		workers = append(workers, f.routingWorker(m))
 	}
-	s.fleet = routing.NewFleet(workers)
+	s.candidates = routing.NewFleet(workers)
 	f.services[name] = s
 	return s
 }
 
 // routingWorker converts a member to a worker of the router. A worker without a report is marked as
-// draining, because its models are unknown. Its first report arrives with a membership probe.
+// draining, because its models are unknown. It becomes usable with its first report, which comes from
+// a refresh or from another entry.
 func (f *Fleet) routingWorker(m membership.Member) routing.Worker {
 	w := routing.Worker{ID: m.ID, DataCentre: m.DataCentre, Role: external.RoleMixed, Load: f.tracker.Worker(m.ID)}
 	r := f.reports[m.ID]
@@ -161,6 +168,6 @@
 }
 
 // hasNoModels reports whether a worker is an engine that has no model loaded or that does not answer.
-// Such a worker must not be offered: the router takes a worker without models for a plain backend
-// server, which accepts any request.
+// Such a worker must not be passed to the router as usable: the router takes a worker without models
+// for a plain backend server, which accepts any request.
 func hasNoModels(r *v1.LoadReport) bool { return !r.GetPlain() && len(r.GetModels()) == 0 }
--- a/entry/http.go
+++ b/entry/http.go
@@ -91,7 +91,7 @@
 	switch {
 	case err == nil:
 		if err := out.end(final); err != nil {
-			e.log.WithField("request_id", call.id).WithError(err).Debug("caller disconnected before the end of the stream")
+			e.log.WithField("request_id", call.id).WithError(err).Debug("failed to write the end of the stream")
 		}
 	case out.started:
 		_ = out.fail(call.id, err)
--- a/entry/newcall.go
+++ b/entry/newcall.go
@@ -46,8 +46,8 @@
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// countTokens estimates the number of tokens of a prompt by its number of words.
-func countTokens(s string) int {
+// estimateTokens estimates the number of tokens of a prompt by its number of words.
+func estimateTokens(s string) int {
 	n, inWord := 0, false
 	for i := range len(s) {
 		space := s[i] == ' ' || s[i] == '\n' || s[i] == '\t' || s[i] == '\r'
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -26,7 +26,7 @@
 const (
 	defaultMaxTokens = 256
 	maxTokensLimit   = 1 << 20
-	// maxKeyBytes bounds an idempotency key.
+	// maxIdempotencyKeyBytes is the longest accepted idempotency key.
 	maxIdempotencyKeyBytes = 255
 )
 
@@ -50,7 +50,7 @@
 // bodyTimeout is the time within which a caller must send the request body.
 const bodyTimeout = 15 * time.Second
 
-// readBody reads the request body, up to limit bytes.
+// readBody reads the request body. A body of more than limit bytes is an error.
 func readBody(c *gin.Context, limit int64) ([]byte, *Error) {
 	// The error is ignored: the response writers of the HTTP server support deadlines, but others, such
 	// as httptest.ResponseRecorder, may not.
@@ -120,7 +120,7 @@
 		return nil, invalidError(http.StatusBadRequest, ReasonUnknownKind, "no kind of service %s matches the request", s.Service)
 	}
 	m := &v1.ModelRequest{
-		Model: base, Adapter: adapter, Prompt: r.Prompt, PromptTokens: uint32(countTokens(r.Prompt)),
+		Model: base, Adapter: adapter, Prompt: r.Prompt, PromptTokens: uint32(estimateTokens(r.Prompt)),
 		MaxTokens: uint32(r.MaxTokens), Seed: r.Seed,
 	}
 	return e.newCall(c, s, kind, r.User, func(call *call) {
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -22,7 +22,7 @@
 	store     *dissemination.Store
 	claims    once.Claimer
 	workers   func() []*v1.WorkerStatus
-	pools     func() []string
+	heldPools func() []string
 	decisions *DecisionLog
 }
 
@@ -32,15 +32,17 @@
 type PeerOptions struct {
 	Store *dissemination.Store
 	// Claims commits claims in this process. It must not forward them again.
-	Claims    once.Claimer
-	Workers   func() []*v1.WorkerStatus
+	Claims once.Claimer
+	// Workers returns the status of all workers that this process knows.
+	Workers func() []*v1.WorkerStatus
+	// Pools returns the names of the pools whose lease this process holds.
 	Pools     func() []string
 	Decisions *DecisionLog
 }
 
 // NewPeer returns the peer service of an entry with the given dependencies.
 func NewPeer(cfg Config, o PeerOptions) *Peer {
-	return &Peer{cfg: cfg, store: o.Store, claims: o.Claims, workers: o.Workers, pools: o.Pools, decisions: o.Decisions}
+	return &Peer{cfg: cfg, store: o.Store, claims: o.Claims, workers: o.Workers, heldPools: o.Pools, decisions: o.Decisions}
 }
 
 // FetchDocuments implements PeerService.
@@ -69,11 +71,11 @@
 func (p *Peer) Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
 	resp := &v1.StatusResponse{
 		Instance: p.cfg.Instance, DataCentre: p.cfg.DataCentre, Incarnation: p.cfg.Incarnation,
-		Confirmed: p.store.Confirmed(), Workers: p.workers(), PoolsHeld: p.pools(),
+		Confirmed: p.store.Confirmed(), Workers: p.workers(), PoolsHeld: p.heldPools(),
 	}
-	for name, f := range p.store.Snapshot() {
+	for name, state := range p.store.Snapshot() {
 		resp.Documents = append(resp.Documents, &v1.DocumentStatus{
-			Service: name, Revision: f.Revision, InForceSinceUnixMs: f.Since.UnixMilli(), Deleted: f.Deleted,
+			Service: name, Revision: state.Revision, InForceSinceUnixMs: state.Since.UnixMilli(), Deleted: state.Deleted,
 		})
 	}
 	return connect.NewResponse(resp), nil
--- a/entry/picker.go
+++ b/entry/picker.go
@@ -14,23 +14,25 @@
 func (f *Fleet) Pick(p PickRequest) (Worker, string, error) {
 	s := f.service(p.Service)
 	q := f.routingRequest(p)
-	d := s.router.Choose(&q, s.fleet, time.Now())
+	d := s.router.Choose(&q, s.candidates, time.Now())
 	f.probeStale(s, &d)
 	if d.Decode == nil {
 		return Worker{}, "", fmt.Errorf("%w: %d considered", errNoWorker, d.Considered)
 	}
 	s.router.Sent(&q, &d, time.Now())
-	w := s.member(d.Decode)
+	w := s.target(d.Decode)
+	// With a separate prefill worker, a refusal by the decode worker leaves the outcome unknown, because
+	// the prompt may have run. A non-repeatable request could then not be retried.
 	if !d.Single() && p.Repeatable {
-		prefill := s.member(d.Prefill)
+		prefill := s.target(d.Prefill)
 		w.Prefill = &prefill
 	}
 	return w, fmt.Sprintf("%s; %d considered, expected first token %s, total %s",
 		d.Reason, d.Considered, d.FirstToken.Round(time.Millisecond), d.Total.Round(time.Millisecond)), nil
 }
 
-// member converts a worker of the router to the target of an attempt.
-func (s *serviceFleet) member(w *routing.Worker) Worker {
+// target converts a worker of the router to the target of an attempt.
+func (s *serviceWorkers) target(w *routing.Worker) Worker {
 	m := s.members[w.ID]
 	return Worker{Instance: m.ID, Address: m.Address, Incarnation: m.Incarnation}
 }
@@ -40,7 +42,7 @@
 func (f *Fleet) Predict(p PickRequest) routing.Decision {
 	s := f.service(p.Service)
 	q := f.routingRequest(p)
-	return s.router.Choose(&q, s.fleet, time.Now())
+	return s.router.Choose(&q, s.candidates, time.Now())
 }
 
 // routingRequest converts a request to one of the router.
@@ -93,10 +95,12 @@
 	ticket := f.removeTicket(w.Instance, p.RequestID)
 	worker.Finished(ticket, now)
 	if w.Prefill != nil {
+		// A separate prefill worker determined the time to the first token.
 		worker, ticket = f.tracker.Worker(w.Prefill.Instance), f.removeTicket(w.Prefill.Instance, p.RequestID)
 		worker.Finished(ticket, now)
 	}
 	if r.Tokens > 0 {
+		// The attempt started at now-r.Elapsed, and its first token arrived r.FirstToken later.
 		worker.FirstToken(ticket, now.Add(r.FirstToken-r.Elapsed))
 	}
 	if r.Tokens > 1 && r.FirstToken > 0 {
--- a/entry/refresh.go
+++ b/entry/refresh.go
@@ -26,17 +26,18 @@
 	maxReportAgeUnready = time.Second
 	maxReportAgeReady   = 10 * time.Second
 	// peerReportThreshold is the number of workers without a report above which an entry fetches the
-	// reports of a peer. With probes alone, an entry would need 107 s for 640 workers, and would send
-	// all requests to the first ones meanwhile.
+	// reports of a peer. With probes alone, an entry would need 107 s to learn the models of 640
+	// workers, and until then would send all requests to those that it probed first.
 	peerReportThreshold = 2 * maxRefreshProbes
 	// peerReportInterval is the shortest interval between such fetches. A response for 640 workers has
-	// about 20 KB, which keeps the entry near its budget of 4 KB/s for control traffic.
+	// about 20 KB, so the interval limits fetches to about 4 KB/s, the budget for control traffic.
 	peerReportInterval = 5 * time.Second
 	peerReportTimeout  = 2 * time.Second
 )
 
 // Run refreshes the reports of workers that receive no requests, such as those that are draining or
-// have no model loaded. It returns when ctx is done.
+// have no model loaded. While many workers have no report, it also fetches reports from another entry.
+// It returns when ctx is done.
 func (f *Fleet) Run(ctx context.Context) {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
@@ -47,7 +48,7 @@
 			return
 		case <-t.C:
 		}
-		if peers := f.reportPeers(); len(peers) > 0 && time.Since(lastFetch) >= peerReportInterval {
+		if peers := f.reportSources(); len(peers) > 0 && time.Since(lastFetch) >= peerReportInterval {
 			lastFetch = time.Now()
 			f.fetchPeerReports(ctx, peers[rand.IntN(len(peers))]) //nolint:gosec // not security-sensitive
 		}
@@ -103,9 +104,9 @@
 	return due
 }
 
-// reportPeers returns the entries to fetch reports from. It returns none unless many workers have no
+// reportSources returns the entries to fetch reports from. It returns none unless many workers have no
 // report yet.
-func (f *Fleet) reportPeers() []external.Instance {
+func (f *Fleet) reportSources() []external.Instance {
 	snapshot := f.view.Snapshot()
 	unreported := 0
 	f.mu.RLock()
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -19,8 +19,8 @@
 )
 
 // Report applies a load report. A report that arrives out of order does not replace a newer one of
-// the same incarnation. All service snapshots are discarded if the role, the models or the drain
-// state of the worker has changed.
+// the same incarnation. If the role, the models or the drain state of the worker has changed, the
+// workers of all services are discarded and built again when they are needed.
 func (f *Fleet) Report(r *v1.LoadReport, now time.Time) {
 	f.tracker.Worker(r.GetInstance()).Observe(load.Report{
 		Sequence: r.GetSequence(), Age: time.Duration(r.GetAgeMs()) * time.Millisecond,
@@ -70,14 +70,14 @@
 		return
 	}
 	for _, s := range f.services {
-		if w := s.fleet.Worker(r.GetInstance()); w != nil {
+		if w := s.candidates.Worker(r.GetInstance()); w != nil {
 			s.router.CacheEvents(w, fresh, now)
 		}
 	}
 }
 
 // Reported returns true if every service in the membership list has a worker with a report. The
-// router offers no worker of a service without reports.
+// router chooses no worker of a service without reports. Reported is false while the list is empty.
 func (f *Fleet) Reported() bool {
 	snapshot := f.view.Snapshot()
 	f.mu.RLock()
@@ -97,7 +97,7 @@
 }
 
 // probeStale probes the workers of a decision whose reports are out of date, in the background.
-func (f *Fleet) probeStale(s *serviceFleet, d *routing.Decision) {
+func (f *Fleet) probeStale(s *serviceWorkers, d *routing.Decision) {
 	for _, w := range d.Probe {
 		if w == nil {
 			return
@@ -144,7 +144,7 @@
 	return membership.ProbeResult{Incarnation: r.GetIncarnation(), Draining: r.GetDraining()}, nil
 }
 
-// probeEntry probes an entry through its status.
+// probeEntry probes an entry by a Status call.
 func (f *Fleet) probeEntry(ctx context.Context, m membership.Member) (membership.ProbeResult, error) {
 	resp, err := f.clients.Peer(m.Address).Status(ctx, connect.NewRequest(&v1.StatusRequest{Cluster: f.cluster}))
 	if err != nil {
--- a/entry/run.go
+++ b/entry/run.go
@@ -65,12 +65,14 @@
 	// mayHaveRun is true once any attempt may have run.
 	mayHaveRun bool
 	attempts   int
-	last       Result
+	// last is the result of the latest attempt. Nothing reads it.
+	last Result
 	// waited is the time spent waiting for a usable worker.
 	waited time.Duration
 }
 
-// step makes one attempt. It returns nil, nil if another attempt should follow.
+// step makes one attempt, or waits for one poll interval if no worker is usable. It returns nil, nil
+// if another step should follow.
 func (r *runner) step(ctx context.Context) (*v1.Final, *Error) {
 	p := r.call.pickRequest()
 	p.Tried = r.tried
@@ -111,13 +113,13 @@
 	detail := res.Reason.String()
 	switch {
 	case r.mayHaveRun && !r.call.kind.Repeatable:
-		return r.finalError(callerReason(res.Reason), detail)
+		return r.requestError(callerReason(res.Reason), detail)
 	case ctx.Err() != nil || !time.Now().Before(r.call.deadline):
-		return r.finalError(ReasonDeadline, "deadline passed")
+		return r.requestError(ReasonDeadline, "deadline passed")
 	case r.attempts >= maxAttempts:
-		return r.finalError(callerReason(res.Reason), detail)
+		return r.requestError(callerReason(res.Reason), detail)
 	case !plannedChange(res) && !r.budget.Take(time.Now()):
-		return r.finalError(ReasonRetryBudget, "retry budget is spent after "+detail)
+		return r.requestError(ReasonRetryBudget, "retry budget is spent after "+detail)
 	}
 	r.metrics.Retry(r.call.service.Service, res.Reason)
 	if !plannedChange(res) {
@@ -127,7 +129,8 @@
 }
 
 // backOff waits for a random time before a retry, so that requests that failed at the same time do
-// not retry at the same time. The next attempt checks the deadline.
+// not retry at the same time. If the deadline passes meanwhile, the next step fails at once and
+// returns the error.
 func (r *runner) backOff(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // jitter is not security-sensitive
 	t := time.NewTimer(r.budget.Backoff(r.attempts, 0, rnd))
@@ -152,19 +155,19 @@
 	return false
 }
 
-// waitForWorker waits for one poll interval if a worker has already refused or interrupted the
-// request: several engines may be reconfigured at once, and one that is ready again may still be
-// reported as draining. The next attempt may use workers that were already tried. Without an earlier
-// attempt, or after maxWorkerWait, it returns an error.
+// waitForWorker waits for one poll interval and clears the tried workers: several engines may be
+// reconfigured at once, and one that is ready again may still be reported as draining. It returns an
+// error if the request has already waited for maxWorkerWait, if its context ends, or if there was no
+// attempt yet, because another entry may have a usable worker.
 func (r *runner) waitForWorker(ctx context.Context, cause error) *Error {
 	if r.attempts == 0 || r.waited >= maxWorkerWait {
-		return r.finalError(ReasonNoWorker, cause.Error())
+		return r.requestError(ReasonNoWorker, cause.Error())
 	}
 	t := time.NewTimer(workerPollInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return r.finalError(ReasonDeadline, cause.Error())
+		return r.requestError(ReasonDeadline, cause.Error())
 	case <-t.C:
 	}
 	r.waited += workerPollInterval
@@ -172,9 +175,9 @@
 	return nil
 }
 
-// finalError returns the error for the caller: "not run" only if no attempt can have run, otherwise
+// requestError returns the error for the caller: "not run" only if no attempt can have run, otherwise
 // "unknown".
-func (r *runner) finalError(reason Reason, detail string) *Error {
+func (r *runner) requestError(reason Reason, detail string) *Error {
 	if r.mayHaveRun {
 		return unknownError(reason, "%s", detail)
 	}
@@ -213,12 +216,12 @@
 	for s.Receive() {
 		timer.Reset(between)
 		f := s.Msg()
-		verdict, err := r.assembler.Accept(f)
+		action, err := r.assembler.Accept(f)
 		if err != nil {
-			r.log.WithField("request_id", r.call.id).WithError(err).Warn("invalid frame from worker")
+			r.log.WithField("request_id", r.call.id).WithError(err).Warn("invalid frame from worker; attempt failed")
 			return nil, res
 		}
-		switch verdict {
+		switch action {
 		case stream.Drop:
 		case stream.Deliver:
 			now := time.Now()
@@ -249,7 +252,8 @@
 	res.Tokens += uint64(f.GetTokens())
 }
 
-// applyFinal completes the result of an attempt from its final frame.
+// applyFinal completes the result of an attempt from its final frame, and reports the configuration
+// revision that the frame carries.
 func (r *runner) applyFinal(f *v1.Final, res Result, started time.Time) (*v1.Final, Result) {
 	r.docs.Observe(r.call.service.Service, f.GetConfigRevision())
 	res.Outcome, res.Reason, res.Load = f.GetOutcome(), f.GetReason(), f.GetLoad()
@@ -257,8 +261,9 @@
 	return f, res
 }
 
-// classifyFailure returns the result of an attempt that ended without a final frame. The request
-// certainly did not run only if no connection was established or the peer rejected the credentials.
+// classifyFailure returns the result of an attempt that ended without a final frame. The outcome is
+// "not run" if no connection was established or the worker rejected the credentials, and otherwise
+// "unknown".
 func classifyFailure(ctx context.Context, err error, started time.Time) Result {
 	res := Result{Outcome: v1.Outcome_OUTCOME_UNKNOWN, Reason: v1.Reason_REASON_BACKEND_FAILED, Elapsed: time.Since(started)}
 	var op *net.OpError
@@ -278,9 +283,10 @@
 	return res
 }
 
-// stallTimeouts returns the timeouts of an attempt for its first frame and between frames.
-// Non-repeatable requests wait until their deadline, because another attempt would not be allowed.
-// Plain requests wait until their deadline too.
+// stallTimeouts returns the timeouts of an attempt for its first frame and between frames. Both are at
+// most one second longer than the time to the deadline, so that the deadline, not the stall timeout,
+// ends the attempt. Non-repeatable requests wait that long because another attempt would not be
+// allowed, and plain requests because they have no latency targets to derive timeouts from.
 func (r *runner) stallTimeouts() (first, between time.Duration) {
 	remaining := time.Until(r.call.deadline) + time.Second
 	if !r.call.kind.Repeatable || r.call.model == nil {
