--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -38,8 +38,7 @@
 func (noMetrics) Attempt(string, string)                        {}
 
 // Guards against forwarding requests whose callers have disconnected. A process without free file
-// descriptors read requests a second after their arrival and forwarded four of them after their
-// callers' deadlines (randomised run mix-turns-in-flood, seed 572537457078).
+// descriptors may read a request a second after its arrival, when the caller's deadline has passed.
 func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	var arrivals atomic.Int64
 	listen := func() net.Listener {
--- a/gateway/feed.go
+++ b/gateway/feed.go
@@ -27,11 +27,12 @@
 	ConfigKey() string
 	// ServersPrefix returns the common prefix of the registrations' keys.
 	ServersPrefix() string
+	// Table decodes the configuration.
 	Table(value []byte) (*route.Table, error)
 	// Registration decodes a registration. It returns an error if the entry is not a usable backend
 	// server.
 	Registration(key string, value []byte) (Registration, error)
-	// RegistrationID returns the ID of the backend server in a key.
+	// RegistrationID returns the backend server's ID that the key of a registration contains.
 	RegistrationID(key string) string
 }
 
@@ -130,7 +131,7 @@
 		events, next, err := f.source.Watch(ctx, allKeys, revision)
 		switch {
 		case errors.Is(err, external.ErrCompacted):
-			f.log.WithField("revision", revision).Info("history compacted; list again")
+			f.log.WithField("revision", revision).Info("history compacted; listing again")
 			return
 		case err != nil:
 			if ctx.Err() == nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,7 +25,7 @@
 
 // RequestMetadata holds the metadata that a caller sends with its request.
 type RequestMetadata struct {
-	// ID identifies one attempt of one caller.
+	// ID identifies the request. A caller that retries sends a new one.
 	ID string
 	// Remaining is the time that the caller is still willing to wait; zero if it did not say.
 	Remaining    time.Duration
@@ -41,17 +41,20 @@
 type ForwardedRequest struct {
 	Server    *Server
 	Remaining time.Duration
-	Priority  int
+	// Priority is the rank of the request's route. 0 is the most urgent.
+	Priority int
 	// Prefill asks the backend server only to prefill the prompt, without generating an answer.
 	Prefill bool
-	// Source is the address of the backend server that prefilled the prompt and the handle of the
-	// result there; empty if the prompt was not prefilled elsewhere.
+	// Source is <address>/<handle> of the prefilled prompt: the address of the backend server that
+	// prefilled it and the handle of the result there. It is empty if the prompt was not prefilled
+	// elsewhere.
 	Source string
 	// After is the ID of the event after which the stream resumes.
 	After string
 }
 
-// Load is the load that a backend server reports with a response.
+// Load is the load that a backend server reports with a response. Running counts the requests in
+// slots and Waiting those that wait for one; Slots is the capacity in requests.
 type Load struct {
 	Running, Waiting, Slots int
 }
@@ -60,7 +63,8 @@
 type ResponseMetadata struct {
 	// ID is the ID of the request that the response answers; empty if the response has none.
 	ID string
-	// Signed is true if the response was made by a backend server that processed the request.
+	// Signed is true if the response carries the header with which backend servers mark their own
+	// responses. Its value is not verified.
 	Signed bool
 	// NotRun is true if the backend server guarantees that it did not run the request.
 	NotRun bool
@@ -101,8 +105,8 @@
 
 // Gateway forwards callers' requests to backend servers. It is safe for concurrent use.
 //
-// Lock order: Gateway.mu or Roster.mu before serverState.mu of a single backend server. Decider.mu
-// and prefixTable.mu are never held together with another lock.
+// Lock order: Roster.mu before serverState.mu of a single backend server. The other locks are never
+// held together with another one.
 type Gateway struct {
 	cfg     Config
 	codec   Codec
@@ -119,21 +123,28 @@
 
 // Metrics records request metrics.
 type Metrics interface {
+	// Request records the outcome of a request and the time from its arrival to its end.
 	Request(service, kind, outcome string, elapsed time.Duration)
+	// Refusal records a request that was refused or rejected as invalid.
 	Refusal(service, reason string)
+	// FirstEvent records the time from a request's arrival to its first event.
 	FirstEvent(service, kind string, d time.Duration)
 	// EventGap records the time between two consecutive events of a stream.
 	EventGap(service string, d time.Duration)
+	// Attempt records the result of sending a request to one backend server.
 	Attempt(service, outcome string)
+	// Prompt records the origin of the tokens of a prompt.
 	Prompt(service string, p PromptTokens)
+	// RoleOrder records the outcome of an order to change to a role.
 	RoleOrder(service, role, outcome string)
 }
 
 // PromptTokens counts the tokens of a prompt by origin, as expected when the backend servers were
 // selected.
 type PromptTokens struct {
-	// Cached tokens were in the cache of the backend server that prefilled the prompt, Prefilled tokens
-	// were processed by it, and Transferred tokens went to another one that generated the answer.
+	// Cached tokens were in the cache of the backend server that prefilled the prompt, Prefilled
+	// tokens were processed by it, and Transferred tokens were transferred from it to the one that
+	// generated the answer.
 	Cached, Prefilled, Transferred float64
 }
 
@@ -157,8 +168,8 @@
 }
 
 // retryBudgetFraction is the fraction of the configured retry budget that is used. The rest is a
-// margin: requests are counted here when they arrive but by callers when they are sent, and a
-// restarted process loses its counts.
+// margin for the difference from a count made by callers, who count requests when they send them and
+// not when they arrive here, and for counts lost in a restart.
 const retryBudgetFraction = 0.9
 
 func (g *Gateway) retryBudget(service string) *retry.Window {
--- a/gateway/prefix.go
+++ b/gateway/prefix.go
@@ -9,7 +9,7 @@
 
 const (
 	// prefixLifetime is how long a prefilled prompt part is expected to stay in a backend server's
-	// cache. It must exceed the time between two uses of a part that is worth caching.
+	// cache. It must be longer than the usual time between two requests with the same prefix.
 	prefixLifetime = 20 * time.Second
 	// serversPerPrefix is the number of backend servers remembered per prefix.
 	serversPerPrefix = 4
@@ -28,13 +28,15 @@
 	return keys
 }
 
+// prefixUse is the last request with a prefix that was sent to one backend server.
 type prefixUse struct {
 	serverKey uint64
-	usedAt    int64
+	// usedAt is in Unix nanoseconds.
+	usedAt int64
 }
 
-// prefixTable remembers which backend servers recently prefilled which prefixes. It holds two
-// generations; entries that are not used while a generation is filled are dropped.
+// prefixTable remembers to which backend servers requests with which prefixes were sent recently. It
+// holds two generations; entries that are not used while a generation is filled are dropped.
 type prefixTable struct {
 	mu                sync.Mutex
 	current, previous map[uint64]*[serversPerPrefix]prefixUse
@@ -44,7 +46,9 @@
 	return &prefixTable{current: make(map[uint64]*[serversPerPrefix]prefixUse)}
 }
 
-func (p *prefixTable) get(key uint64) *[serversPerPrefix]prefixUse {
+// lookup returns the entry of a key, or nil, and moves it to the current generation. The caller must
+// hold p.mu.
+func (p *prefixTable) lookup(key uint64) *[serversPerPrefix]prefixUse {
 	if e := p.current[key]; e != nil {
 		return e
 	}
@@ -55,7 +59,8 @@
 	return e
 }
 
-// record stores that the backend server has prefilled the prefixes.
+// record records that a request with the prefixes was sent to the backend server, which will have
+// them cached.
 func (p *prefixTable) record(keys []uint64, serverKey uint64, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +69,7 @@
 	}
 	at := now.UnixNano()
 	for _, k := range keys {
-		e := p.get(k)
+		e := p.lookup(k)
 		if e == nil {
 			e = &[serversPerPrefix]prefixUse{}
 			p.current[k] = e
@@ -92,7 +97,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, k := range keys {
-		e := p.get(k)
+		e := p.lookup(k)
 		if e == nil {
 			return out
 		}
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -19,7 +19,7 @@
 	Routes int    `json:"routes"`
 	// StoreAgeMS is the age of the configuration and the registrations in milliseconds: the time
 	// since the store last confirmed that all changes are known. It is negative if that never
-	// happened. A store without changes is queried every few seconds.
+	// happened. It reaches a few seconds while nothing changes.
 	StoreAgeMS int64 `json:"store_age_ms"`
 	// Orders is true if this process may currently give orders to engines.
 	Orders   bool            `json:"orders"`
@@ -115,6 +115,7 @@
 // ageNever is the age of an event that has not happened.
 const ageNever = -1
 
+// age returns the age of an event in milliseconds, or ageNever.
 func age(at, now time.Time) int64 {
 	if at.IsZero() {
 		return ageNever
