--- a/gateway/offer.go
+++ b/gateway/attempt.go
@@ -13,13 +13,13 @@
 
 // attempt is one request sent to one backend server.
 type attempt struct {
-	q              *request
-	server         *Server
-	send           *ForwardedRequest
-	uncachedTokens float64
-	tokensAhead    float64
-	sentAt         time.Time
-	prefillCounted bool
+	q               *request
+	server          *Server
+	forwarded       *ForwardedRequest
+	uncachedTokens  float64
+	tokensAhead     float64
+	sentAt          time.Time
+	pendingReleased bool
 	// transferFrom has prefilled the prompt, which is transferred to server; nil if there is no
 	// transfer, or after it was recorded.
 	transferFrom *Server
@@ -27,12 +27,12 @@
 	expectedDelay time.Duration
 }
 
-// do executes the attempt and records its end. The deferred calls also run when a broken stream
-// ends in a panic with http.ErrAbortHandler.
-func (a *attempt) do() attemptResult {
+// sendAndRecord sends the request, handles the response and records the end of the attempt. The
+// deferred calls also run when a broken stream ends in a panic with http.ErrAbortHandler.
+func (a *attempt) sendAndRecord() attemptResult {
 	defer a.server.recordEnded()
-	defer a.prefillDone()
-	res := a.execute()
+	defer a.releasePendingTokens()
+	res := a.sendAndHandle()
 	if now := time.Now(); a.transferFrom != nil && res != resultNotRun && res != resultNotSent {
 		recordAbandonedTransfer(a.transferFrom, a.server, a.excessTransferTime(now), a.sentAt, now)
 	}
@@ -55,47 +55,50 @@
 	return now.Sub(a.sentAt) - transferTime - a.expectedDelay
 }
 
-// prefillDone records that the backend server has prefilled the prompt. Only the first call has an
-// effect.
-func (a *attempt) prefillDone() {
-	if !a.prefillCounted {
-		a.prefillCounted = true
-		a.server.recordPrefilled(a.uncachedTokens)
+// releasePendingTokens subtracts the attempt's tokens from the pending ones of the backend server,
+// whether they were prefilled or not. Only the first call has an effect.
+func (a *attempt) releasePendingTokens() {
+	if !a.pendingReleased {
+		a.pendingReleased = true
+		a.server.subtractPendingTokens(a.uncachedTokens)
 	}
 }
 
-func (a *attempt) execute() attemptResult {
-	resp, mark, res := a.roundTrip()
+// sendAndHandle sends the request and handles the response, which it forwards unless the attempt has
+// failed.
+func (a *attempt) sendAndHandle() attemptResult {
+	resp, m, res := a.roundTrip()
 	if resp == nil {
 		return res
 	}
 	defer resp.Close(a.q.g.pool)
 	switch {
-	case mark.NotRun || mark.AddressReused:
-		return a.handleRefusal(resp, mark)
+	case m.NotRun || m.AddressReused:
+		return a.handleRefusal(resp, m)
 	case resp.StatusCode/100 == 2:
-		if !mark.Signed || resp.Header.Get("Content-Encoding") != "" {
-			return a.recordBroken("not_a_servers_answer")
+		if !m.Signed || resp.Header.Get("Content-Encoding") != "" {
+			return a.failUnknown("not_a_servers_answer")
 		}
 		// The backend server has fetched the prompt.
-		a.q.prefilled = ""
+		a.q.prefillSource = ""
 		if a.q.route.Stream {
 			return a.relayStream(resp)
 		}
 		return a.forwardWhole(resp)
 	default:
-		return a.handleErrorStatus(resp, mark)
+		return a.handleErrorStatus(resp, m)
 	}
 }
 
-// roundTrip sends the request and waits for the response header.
+// roundTrip sends the request and waits for the response header. If the response is nil, the attempt
+// has ended with the returned result; otherwise the result is meaningless.
 func (a *attempt) roundTrip() (*upstream.Response, ResponseMetadata, attemptResult) {
 	q := a.q
-	a.send.Remaining = time.Until(q.deadline)
+	a.forwarded.Remaining = time.Until(q.deadline)
 	codec := q.g.codec
 	resp, err := q.g.pool.Do(q.ctx, a.server.Address, &upstream.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
-		Header: codec.Header(q.r.Header, a.send), Body: q.body,
+		Header: codec.Header(q.r.Header, a.forwarded), Body: q.body,
 	}, q.isResponseToRequest)
 	now := time.Now()
 	switch {
@@ -118,7 +121,7 @@
 		q.cause = "deadline"
 		return nil, ResponseMetadata{}, resultUnknown
 	default:
-		return nil, ResponseMetadata{}, a.recordBroken(err.Error())
+		return nil, ResponseMetadata{}, a.failUnknown(err.Error())
 	}
 }
 
@@ -126,10 +129,12 @@
 // is accepted only if it is a refusal or if the connection was used for nothing else.
 func (q *request) isResponseToRequest(resp *http.Response, fresh bool) bool {
 	m := q.g.codec.ResponseMetadata(resp.StatusCode, resp.Header)
-	return m.ID == q.call.ID || (m.ID == "" && (fresh || m.NotRun || m.AddressReused))
+	return m.ID == q.metadata.ID || (m.ID == "" && (fresh || m.NotRun || m.AddressReused))
 }
 
-func (a *attempt) recordBroken(cause string) attemptResult {
+// failUnknown records a failure of the backend server and its cause. It returns resultUnknown,
+// because the request may have run.
+func (a *attempt) failUnknown(cause string) attemptResult {
 	a.server.recordResult(1, time.Now())
 	a.q.cause = cause
 	return resultUnknown
@@ -159,7 +164,7 @@
 		a.q.finish(outcomeGone, "")
 		return resultFinished
 	case err != nil || len(body) > maxResponseBody:
-		return a.recordBroken("answer_not_whole")
+		return a.failUnknown("answer_not_whole")
 	}
 	a.server.recordResult(0, time.Now())
 	a.q.timeToFirst = time.Since(a.q.started)
@@ -179,7 +184,7 @@
 		a.q.finish(outcomeGone, "")
 		return resultFinished
 	case err != nil || len(body) > maxResponseBody || !m.Signed:
-		return a.recordBroken(fmt.Sprintf("status_%d_not_whole", resp.StatusCode))
+		return a.failUnknown(fmt.Sprintf("status_%d_not_whole", resp.StatusCode))
 	}
 	full := &response{resp.StatusCode, resp.Header, body}
 	if resp.StatusCode < http.StatusInternalServerError {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// prefillWeight is the weight of the time that a backend server spends on prefilling, relative
-	// to the time that this request waits. Above 1, a request waits a little longer rather than
-	// make another backend server prefill what one has cached already.
+	// prefillWeight is the factor by which a second of prefilling counts in the cost compared with
+	// a second of waiting. Above 1 it favours backend servers that have the prompt cached, even if
+	// the request waits a little longer there.
 	prefillWeight = 2
 	// decodePrefillWeight replaces prefillWeight on decode engines, where a prefill slows down
 	// every step of the answers being generated.
@@ -31,8 +31,9 @@
 	// maxQueueDelay limits the expected queueing delay: engines admit urgent requests first, and
 	// requests with long prompts are the urgent ones.
 	maxQueueDelay = 100 * time.Millisecond
-	// crossDataCentreDelay is the cost of using another data centre, where bandwidth is scarce.
-	crossDataCentreDelay = 3 * time.Millisecond
+	// crossDataCentreTransferCost is the cost of transferring a prompt between data centres, where
+	// bandwidth is scarce. Forwarding a request to another data centre costs a third of it.
+	crossDataCentreTransferCost = 3 * time.Millisecond
 	// failurePenalty is the cost of a backend server on which all requests fail; it is scaled by
 	// the failure rate.
 	failurePenalty = 2 * time.Second
@@ -43,11 +44,11 @@
 
 // Reasons for a choice, as logged.
 const (
-	reasonNoServer      = "no_server"
-	reasonLeastLoad     = "least_load"
-	reasonReadElsewhere = "read_elsewhere"
-	reasonOneServer     = "one_server"
-	reasonReadBefore    = "read_before"
+	reasonNoServer         = "no_server"
+	reasonLeastLoad        = "least_load"
+	reasonPrefillElsewhere = "read_elsewhere"
+	reasonOneServer        = "one_server"
+	reasonAlreadyPrefilled = "read_before"
 )
 
 // choice holds the backend servers selected for a request.
@@ -70,8 +71,9 @@
 	considered int
 }
 
-// prefillSpeed estimates the prefill speed of a service's engines from observed requests.
-type prefillSpeed struct {
+// prefillEstimator estimates, from observed requests, the prefill time per token of a service's
+// engines and the number of uncached tokens per request.
+type prefillEstimator struct {
 	mu sync.Mutex
 	// secondsPerToken is the time to prefill one prompt token, by role.
 	secondsPerToken map[external.Role]float64
@@ -84,22 +86,25 @@
 	// millisecond, typical of an engine with eight accelerators.
 	initialSecondsPerToken = 1e-5
 	initialMeanUncached    = 1000
-	speedWeight            = 0.05
-	// minObservedTokens is the size of the smallest prefill that updates the speed; fixed costs
-	// dominate below it.
+	// estimateWeight is the weight of one observation in both estimates.
+	estimateWeight = 0.05
+	// minObservedTokens is the size of the smallest prefill that updates the time per token; fixed
+	// costs dominate below it.
 	minObservedTokens = 512
-	// maxSpeedRatio limits the ratio between one observation and the current estimate.
-	maxSpeedRatio = 4
+	// maxObservationRatio limits the ratio between one observation and the current estimate.
+	maxObservationRatio = 4
 )
 
-func newPrefillSpeed() *prefillSpeed {
-	return &prefillSpeed{secondsPerToken: map[external.Role]float64{}, meanUncached: initialMeanUncached}
+func newPrefillEstimator() *prefillEstimator {
+	return &prefillEstimator{secondsPerToken: map[external.Role]float64{}, meanUncached: initialMeanUncached}
 }
 
-func (p *prefillSpeed) values() (secondsPerToken func(external.Role) float64, meanUncached float64) {
+// estimates returns the current estimates. secondsPerToken gives the prefill estimate for
+// RolePrefill and the decode estimate for every other role.
+func (p *prefillEstimator) estimates() (secondsPerToken func(external.Role) float64, meanUncached float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	prefill, decode := p.estimate(external.RolePrefill), p.estimate(external.RoleDecode)
+	prefill, decode := p.roleEstimate(external.RolePrefill), p.roleEstimate(external.RoleDecode)
 	return func(r external.Role) float64 {
 		if r == external.RolePrefill {
 			return prefill
@@ -108,27 +113,30 @@
 	}, p.meanUncached
 }
 
-func (p *prefillSpeed) estimate(r external.Role) float64 {
+// roleEstimate returns the seconds per token of a role, which is RolePrefill or RoleDecode. The
+// caller must hold p.mu.
+func (p *prefillEstimator) roleEstimate(r external.Role) float64 {
 	if v, ok := p.secondsPerToken[r]; ok {
 		return v
 	}
 	return initialSecondsPerToken
 }
 
-// observe updates the estimates with a prompt that was prefilled after tokensAhead queued tokens.
-func (p *prefillSpeed) observe(r external.Role, tokens, tokensAhead float64, elapsed time.Duration) {
+// observe updates the estimates with a prompt of which the given number of uncached tokens was
+// prefilled after tokensAhead queued ones.
+func (p *prefillEstimator) observe(r external.Role, tokens, tokensAhead float64, elapsed time.Duration) {
 	if r != external.RolePrefill {
 		r = external.RoleDecode
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.meanUncached += speedWeight * (tokens - p.meanUncached)
+	p.meanUncached += estimateWeight * (tokens - p.meanUncached)
 	if tokens < minObservedTokens {
 		return
 	}
-	old := p.estimate(r)
+	old := p.roleEstimate(r)
 	measured := elapsed.Seconds() / (tokens + tokensAhead)
-	p.secondsPerToken[r] = old + speedWeight*(min(max(measured, old/maxSpeedRatio), old*maxSpeedRatio)-old)
+	p.secondsPerToken[r] = old + estimateWeight*(min(max(measured, old/maxObservationRatio), old*maxObservationRatio)-old)
 }
 
 // candidates returns the servers that were not tried yet: the usable ones, or all of them if
@@ -147,7 +155,9 @@
 	return out, views
 }
 
-// chooseLeastLoaded returns the server with the lowest load relative to its size.
+// chooseLeastLoaded chooses the server with the lowest load per slot, with penalties for failures and
+// other data centres. Prefill engines are not considered; if there are no others, the choice has no
+// server.
 func chooseLeastLoaded(servers []*Server, views []view, dataCentre string, random Random) choice {
 	best, cost := -1, math.Inf(1)
 	for i, s := range servers {
@@ -170,10 +180,11 @@
 	return choice{server: servers[best], reason: reasonLeastLoad, considered: len(servers)}
 }
 
-// prompt holds what is needed to choose servers for a request with a prompt.
-type prompt struct {
-	call       *RequestMetadata
+// promptRequest holds what is needed to choose servers for a request with a prompt.
+type promptRequest struct {
+	metadata   *RequestMetadata
 	prefixKeys []uint64
+	// dataCentre is the data centre of this process.
 	dataCentre string
 	random     Random
 }
@@ -183,8 +194,9 @@
 type Random func() float64
 
 // affinityKey returns the key that sends prompts with a common prefix to the same backend servers:
-// the key of the prompt without its last part.
-func (p *prompt) affinityKey() uint64 {
+// the key of the prompt without its last part. A prompt of one part has the key of that part, one
+// without parts a random key.
+func (p *promptRequest) affinityKey() uint64 {
 	if n := len(p.prefixKeys); n > 1 {
 		return p.prefixKeys[n-2]
 	} else if n == 1 {
@@ -195,7 +207,7 @@
 
 // choosePrompt returns the servers with the lowest cost: the expected time to the first event, plus
 // a weight for prefill work and penalties for failures and other data centres.
-func choosePrompt(servers []*Server, views []view, cachedTokens []float64, p *prompt, secondsPerToken func(external.Role) float64, meanUncached float64, selector *decodeSelector) choice {
+func choosePrompt(servers []*Server, views []view, cachedTokens []float64, p *promptRequest, secondsPerToken func(external.Role) float64, meanUncached float64, selector *decodeSelector) choice {
 	if selector.best(p.dataCentre) < 0 {
 		return choice{reason: reasonNoServer}
 	}
@@ -204,18 +216,18 @@
 	for i, s := range servers {
 		v := views[i]
 		tokenSeconds := secondsPerToken(s.Role)
-		uncachedTokens := max(1, float64(p.call.PromptTokens)-cachedTokens[i])
+		uncachedTokens := max(1, float64(p.metadata.PromptTokens)-cachedTokens[i])
 		wait := (v.pendingTokens + float64(v.otherRequests)*meanUncached) * tokenSeconds
 		prefillTime := uncachedTokens * tokenSeconds
 		c := choice{server: s, uncachedTokens: uncachedTokens, reason: reasonOneServer}
 		timeToFirst := wait + prefillTime
 		penalty := v.failureRate * failurePenalty.Seconds()
 		if s.Role == external.RolePrefill {
-			if uncachedTokens < shortPromptTokens && float64(p.call.PromptTokens) < 2*shortPromptTokens {
+			if uncachedTokens < shortPromptTokens && float64(p.metadata.PromptTokens) < 2*shortPromptTokens {
 				continue
 			}
 			d := selector.best(s.DataCentre)
-			c.prefillServer, c.server, c.reason = s, servers[d], reasonReadElsewhere
+			c.prefillServer, c.server, c.reason = s, servers[d], reasonPrefillElsewhere
 			timeToFirst += transferTime.Seconds() + max(v.transferExcess, views[d].transferExcess) + decodeDelay(servers[d], views[d])
 			penalty += views[d].failureRate * failurePenalty.Seconds()
 		} else {
@@ -224,7 +236,7 @@
 			penalty += p.random() * delayPerRequest.Seconds()
 		}
 		if s.DataCentre != p.dataCentre {
-			penalty += crossDataCentreDelay.Seconds() / 3
+			penalty += crossDataCentreTransferCost.Seconds() / 3
 		}
 		if s.Role == external.RoleDecode {
 			penalty += (decodePrefillWeight - prefillWeight) * prefillTime
@@ -242,14 +254,14 @@
 	return best
 }
 
-// chooseDecoder returns the server that generates the answer to a prompt prefilled by
+// chooseDecodeServer returns the server that generates the answer to a prompt prefilled by
 // prefillServer.
-func chooseDecoder(servers []*Server, prefillServer *Server, selector *decodeSelector) choice {
+func chooseDecodeServer(servers []*Server, prefillServer *Server, selector *decodeSelector) choice {
 	best := selector.best(prefillServer.DataCentre)
 	if best < 0 {
 		return choice{reason: reasonNoServer}
 	}
-	return choice{server: servers[best], reason: reasonReadBefore, considered: len(servers)}
+	return choice{server: servers[best], reason: reasonAlreadyPrefilled, considered: len(servers)}
 }
 
 // decodeDelay returns the expected delay of the first event, in seconds, from other requests that
@@ -278,8 +290,8 @@
 }
 
 // best returns the index of the best server for a prompt in a data centre, or -1 if there is none.
-// It prefers that data centre, because transferring a prompt between data centres costs twice as
-// much, and then the data centre of this process.
+// It prefers that data centre, because transferring a prompt between data centres costs three times
+// as much as forwarding a request to another one, and then the data centre of this process.
 func (d *decodeSelector) best(promptDataCentre string) int {
 	if i, ok := d.bestByDataCentre[promptDataCentre]; ok {
 		return i
@@ -292,7 +304,7 @@
 		}
 		c := decodeCost(s, d.views[i], promptDataCentre) + d.views[i].transferExcess + d.random()*delayPerRequest.Seconds()
 		if s.DataCentre != d.dataCentre {
-			c += crossDataCentreDelay.Seconds() / 3
+			c += crossDataCentreTransferCost.Seconds() / 3
 		}
 		if c < cost {
 			best, cost = i, c
@@ -302,20 +314,23 @@
 	return best
 }
 
+// decodeCost returns the cost of generating, on the server, the answer to a prompt in a data centre,
+// in seconds. Pending prefills count at a tenth of their estimated time.
 func decodeCost(s *Server, v view, dataCentre string) float64 {
 	c := decodeDelay(s, v) + v.pendingTokens*initialSecondsPerToken/10 + v.failureRate*failurePenalty.Seconds()
 	if s.DataCentre != dataCentre {
-		c += crossDataCentreDelay.Seconds()
+		c += crossDataCentreTransferCost.Seconds()
 	}
 	return c
 }
 
 // creditAffinity raises the expected number of cached tokens on the affinity servers of the
 // prompt's shared parts. An instance knows only the prompts that it has sent itself, but all
-// instances compute the same affinity servers.
-func creditAffinity(servers []*Server, cachedTokens []float64, p *prompt) {
+// instances compute the same affinity servers. A prefix that this instance has not sent is therefore
+// probably cached there, because another instance has sent it.
+func creditAffinity(servers []*Server, cachedTokens []float64, p *promptRequest) {
 	shared := 0
-	for _, part := range p.call.Parts[:max(0, len(p.call.Parts)-1)] {
+	for _, part := range p.metadata.Parts[:max(0, len(p.metadata.Parts)-1)] {
 		shared += part.Tokens
 	}
 	for rank, i := range affinityServers(servers, p.affinityKey()) {
@@ -330,8 +345,9 @@
 var affinityCredit = [...]float64{0.75, 0.35}
 
 // affinityServers selects two servers by rendezvous hashing, from the prefill engines or, if there
-// are none, from all servers. The result depends on no locally learned state, so that all gateway
-// instances agree on it.
+// are none, from all servers. It returns the indexes of the servers with the highest and the second
+// highest score; -1 stands for a missing one. The result depends on no locally learned state, so
+// that all gateway instances agree on it.
 func affinityServers(servers []*Server, key uint64) [len(affinityCredit)]int {
 	first, second := -1, -1
 	var top, next uint64
--- a/gateway/decider.go
+++ b/gateway/decider.go
@@ -17,14 +17,14 @@
 	prefixes   *prefixTable
 	random     Random
 
-	mu            sync.Mutex
-	prefillSpeeds map[string]*prefillSpeed
-	refusalRates  map[string]*refusalRate
+	mu                sync.Mutex
+	prefillEstimators map[string]*prefillEstimator
+	refusalCounters   map[string]*refusalCounter
 }
 
 // NewDecider returns a Decider for a process in a data centre.
 func NewDecider(dataCentre string, r *Roster, random Random) *Decider {
-	return &Decider{dataCentre: dataCentre, roster: r, prefixes: newPrefixTable(), random: random, prefillSpeeds: make(map[string]*prefillSpeed), refusalRates: make(map[string]*refusalRate)}
+	return &Decider{dataCentre: dataCentre, roster: r, prefixes: newPrefixTable(), random: random, prefillEstimators: make(map[string]*prefillEstimator), refusalCounters: make(map[string]*refusalCounter)}
 }
 
 // Query is a request for which backend servers are to be selected.
@@ -82,7 +82,8 @@
 	return out
 }
 
-// RecordSent records that a request was sent to a backend server that has uncachedTokens to prefill.
+// RecordSent records that a request was sent to a backend server, which has to prefill uncachedTokens
+// tokens of its prompt.
 func (d *Decider) RecordSent(q *Query, s *Server, uncachedTokens float64, now time.Time) {
 	s.recordSent(uncachedTokens, now)
 	d.prefixes.record(q.prefixKeys, s.key, now)
@@ -90,13 +91,13 @@
 
 // RecordPrefillDropped removes a prompt that will not be prefilled from the pending tokens of a
 // backend server.
-func (d *Decider) RecordPrefillDropped(s *Server, tokens float64) { s.recordPrefilled(tokens) }
+func (d *Decider) RecordPrefillDropped(s *Server, tokens float64) { s.subtractPendingTokens(tokens) }
 
 // RecordPrefilled records that a prompt was prefilled. tokensAhead is the number of tokens that were
 // queued before it at sentAt.
 func (d *Decider) RecordPrefilled(q *Query, s *Server, uncachedTokens, tokensAhead float64, sentAt, now time.Time) {
-	s.recordPrefilled(uncachedTokens)
-	d.prefillSpeed(q.Service).observe(s.Role, uncachedTokens, tokensAhead, now.Sub(sentAt))
+	s.subtractPendingTokens(uncachedTokens)
+	d.prefillEstimator(q.Service).observe(s.Role, uncachedTokens, tokensAhead, now.Sub(sentAt))
 }
 
 // PendingTokens returns the number of prompt tokens that this process has sent to a backend server
@@ -149,24 +150,24 @@
 	}
 	selector := newDecodeSelector(servers, views, d.dataCentre, d.random)
 	if q.prefillServer != nil {
-		return chooseDecoder(servers, q.prefillServer, selector)
+		return chooseDecodeServer(servers, q.prefillServer, selector)
 	}
 	serverKeys := make([]uint64, len(servers))
 	for i, s := range servers {
 		serverKeys[i] = s.key
 	}
-	secondsPerToken, meanUncached := d.prefillSpeed(q.Service).values()
+	secondsPerToken, meanUncached := d.prefillEstimator(q.Service).estimates()
 	cachedTokens := d.prefixes.cachedTokens(q.prefixKeys, q.Metadata.Parts, serverKeys, now)
-	return choosePrompt(servers, views, cachedTokens, &prompt{call: q.Metadata, prefixKeys: q.prefixKeys, dataCentre: d.dataCentre, random: d.random}, secondsPerToken, meanUncached, selector)
+	return choosePrompt(servers, views, cachedTokens, &promptRequest{metadata: q.Metadata, prefixKeys: q.prefixKeys, dataCentre: d.dataCentre, random: d.random}, secondsPerToken, meanUncached, selector)
 }
 
-func (d *Decider) prefillSpeed(service string) *prefillSpeed {
+func (d *Decider) prefillEstimator(service string) *prefillEstimator {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := d.prefillSpeeds[service]
+	p := d.prefillEstimators[service]
 	if p == nil {
-		p = newPrefillSpeed()
-		d.prefillSpeeds[service] = p
+		p = newPrefillEstimator()
+		d.prefillEstimators[service] = p
 	}
 	return p
 }
@@ -177,27 +178,28 @@
 	if c.server == nil {
 		return true
 	}
-	r := d.refusalRate(q.Service)
-	late := tooLate(q, c, r.fraction(now), now)
+	r := d.refusalCounter(q.Service)
+	late := shouldRefuse(q, c, r.fraction(now), now)
 	if q.Route.Prompt && c.uncachedTokens >= shortPromptTokens {
 		r.record(late, now)
 	}
 	return !late
 }
 
-func (d *Decider) refusalRate(service string) *refusalRate {
+func (d *Decider) refusalCounter(service string) *refusalCounter {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	r := d.refusalRates[service]
+	r := d.refusalCounters[service]
 	if r == nil {
-		r = &refusalRate{}
-		d.refusalRates[service] = r
+		r = &refusalCounter{}
+		d.refusalCounters[service] = r
 	}
 	return r
 }
 
-// refusalRate holds exponentially decaying counts of requests.
-type refusalRate struct {
+// refusalCounter holds exponentially decaying counts of the requests that were offered and of those
+// that were refused.
+type refusalCounter struct {
 	mu               sync.Mutex
 	offered, refused float64
 	updatedAt        time.Time
@@ -212,14 +214,14 @@
 	minOfferedRequests = 5
 )
 
-func (r *refusalRate) decay(now time.Time) {
+func (r *refusalCounter) decay(now time.Time) {
 	if age := now.Sub(r.updatedAt); age > 0 {
 		f := math.Exp(-age.Seconds() / refusalDecayTime.Seconds())
 		r.offered, r.refused, r.updatedAt = r.offered*f, r.refused*f, now
 	}
 }
 
-func (r *refusalRate) record(refused bool, now time.Time) {
+func (r *refusalCounter) record(refused bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
@@ -230,7 +232,7 @@
 }
 
 // fraction returns the fraction of recent requests that were refused.
-func (r *refusalRate) fraction(now time.Time) float64 {
+func (r *refusalCounter) fraction(now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
@@ -240,9 +242,10 @@
 	return r.refused / r.offered
 }
 
-// tooLate reports whether a request that was not sent yet should be refused: its answer would start
-// so late that serving it delays requests that can still meet their target.
-func tooLate(q *Query, c *choice, refusedFraction float64, now time.Time) bool {
+// shouldRefuse reports whether a request that was not sent yet should be refused: because its answer
+// would start so late that serving it delays requests that can still meet their target, or because
+// its answer would be long and the engine is nearly full.
+func shouldRefuse(q *Query, c *choice, refusedFraction float64, now time.Time) bool {
 	if !q.Route.Prompt || q.Route.Target <= 0 {
 		return false
 	}
@@ -261,32 +264,33 @@
 }
 
 const (
-	// longOutputTokens is the number of events from which an answer occupies its slot for a second
-	// or more.
+	// longOutputTokens is the number of output tokens, one event each, from which an answer occupies
+	// its slot for a second or more.
 	longOutputTokens = 25
 	// longOutputUtilisation is the fraction of an engine's slots in use from which it gets no
-	// further long answers. Decode steps get longer with each request: on full engines with 64
-	// slots, the longest answers of the known deployments (211 events) exceeded their callers'
-	// deadlines, and a tenth of all answers was generated for nothing.
+	// further long answers. Decode steps get longer with each request, so that long answers on full
+	// engines exceed their callers' deadlines. With 64 slots this applies to answers of 211 events,
+	// the longest of the known deployments, and a tenth of all answers is generated for nothing.
 	longOutputUtilisation = 0.9
 	// sizeAllowance is the fraction of a large prompt's excess prefill time that is ignored under
-	// heavy overload. Without it, the largest tenth of the requests was served less than half as
-	// often as requests overall. The allowance grows with the fraction of refused requests up to
-	// fullAllowanceFraction: in a lesser overload few large requests are refused anyway, and the
-	// full allowance delayed the requests behind them, which cost 0.12 of the score of the
-	// benchmark grown irt-verde quiet-1.
+	// heavy overload. Without it, large requests are refused for their own size: the largest tenth
+	// of the requests is served less than half as often as requests overall. The allowance grows
+	// with the fraction of refused requests up to fullAllowanceFraction, because in a lesser
+	// overload few large requests are refused anyway, and the full allowance would delay the
+	// requests behind them.
 	sizeAllowance         = 0.75
 	fullAllowanceFraction = 0.7
 )
 
 // lateFactor is the multiple of the target for the time to the first event above which a request is
-// refused. Answers beyond the target are late; with a limit of twice the target, half of all
-// answers under overload were late and no more were served.
+// refused. A higher limit admits requests whose answers are late: at twice the target, half of all
+// answers under overload are late and no more are served.
 const lateFactor = 1.0
 
-// retryAfter returns when a refused caller should retry. An overload outlasts a short pause, so the
-// time is late in the remaining time of the caller, but leaves room for another attempt. The jitter
-// keeps callers from returning together.
+// retryAfter returns how long a refused caller should wait before it retries: between a fifth and a
+// third of its remaining time, but at least minRetryAfter and at most maxRetryAfter. An overload
+// outlasts a shorter pause, and a longer one would leave no room for another attempt. The jitter keeps
+// callers from returning together.
 func (d *Decider) retryAfter(deadline, now time.Time) time.Duration {
 	window := deadline.Sub(now) / 3
 	return min(max(window*3/5+time.Duration(d.random()*float64(window)*2/5), minRetryAfter), maxRetryAfter)
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -69,32 +69,34 @@
 	deadline   time.Time
 	route      *route.Route
 	service    string
-	call       RequestMetadata
+	metadata   RequestMetadata
 	prefixKeys []uint64
 	body       []byte
 
 	tried []*serverState
-	// sends counts the attempts that reached a backend server, runs those that may have run the
-	// request.
+	// sends counts the attempts, except those that could not connect to a backend server.
 	sends int
 	// prefills counts the prefills requested from other backend servers.
 	prefills int
-	// prefilled is the address and handle of a prompt that prefillServer has prefilled and that was
-	// not fetched yet.
-	prefilled       string
+	// prefillSource is <address>/<handle> of a prompt that prefillServer has prefilled and that was
+	// not fetched yet; empty if there is none.
+	prefillSource   string
 	prefillServer   *Server
 	unusedPrefills  []unusedPrefill
 	connectFailures int
-	runs            int
+	// runs counts the sends that may have run the request.
+	runs int
 	// serverError is a backend server's error response. It is forwarded if no other attempt
 	// succeeds.
 	serverError *response
 	// headerSent is true once the response header was sent to the caller.
-	headerSent    bool
-	lastEvent     string
-	events        int
-	timeToFirst   time.Duration
-	lastChoice    choice
+	headerSent bool
+	// lastEventID is the ID of the last event sent to the caller.
+	lastEventID string
+	events      int
+	timeToFirst time.Duration
+	lastChoice  choice
+	// cause is the cause of the last failed attempt.
 	cause         string
 	configVersion uint64
 }
@@ -121,17 +123,17 @@
 		q.replyError(http.StatusNotFound, outcomeInvalid, "no_route")
 		return
 	}
-	q.call = g.codec.RequestMetadata(r)
-	q.service = q.route.Service(q.call.ID)
+	q.metadata = g.codec.RequestMetadata(r)
+	q.service = q.route.Service(q.metadata.ID)
 	q.deadline = q.started.Add(q.route.Timeout)
-	if q.call.Remaining > 0 && q.call.Remaining < q.route.Timeout {
-		q.deadline = q.started.Add(q.call.Remaining)
+	if q.metadata.Remaining > 0 && q.metadata.Remaining < q.route.Timeout {
+		q.deadline = q.started.Add(q.metadata.Remaining)
 	}
 	if !q.readBody(table.Limits.MaxBodyBytes) {
 		return
 	}
 	if q.route.Prompt {
-		q.prefixKeys = prefixKeys(q.call.Parts)
+		q.prefixKeys = prefixKeys(q.metadata.Parts)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
@@ -145,7 +147,8 @@
 // defaultMaxBody limits request bodies if the configuration sets no limit, in bytes.
 const defaultMaxBody = 8 << 20
 
-// readBody reads the whole request body, at most until the deadline.
+// readBody reads the whole request body, at most until the deadline. It reports whether it
+// succeeded; if not, the caller has been answered.
 func (q *request) readBody(limit int64) bool {
 	if limit <= 0 {
 		limit = defaultMaxBody
@@ -242,8 +245,8 @@
 }
 
 func (q *request) query() *Query {
-	out := &Query{Route: q.route, Service: q.service, Metadata: &q.call, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
-	if q.prefilled != "" {
+	out := &Query{Route: q.route, Service: q.service, Metadata: &q.metadata, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
+	if q.prefillSource != "" {
 		out.prefillServer = q.prefillServer
 	}
 	return out
@@ -255,7 +258,7 @@
 }
 
 // takeRetryBudget charges the retry budget for everything that the next attempt sends beyond the
-// first run and the first prefill. It returns false if the budget is exhausted.
+// first send and the first prefill. It returns false if the budget is exhausted.
 func (q *request) takeRetryBudget(c *choice, now time.Time) bool {
 	budget := q.g.retryBudget(q.service)
 	if c.prefillServer != nil && q.prefills > 0 && !budget.Take(now) {
@@ -264,9 +267,10 @@
 	return q.sends == 0 || budget.Take(now)
 }
 
-// attempt sends the request to the chosen backend servers.
+// attempt makes one attempt: it has the prompt prefilled, if the choice says so, and sends the
+// request to the chosen backend server.
 func (q *request) attempt(c *choice, now time.Time) attemptResult {
-	s := &ForwardedRequest{Server: c.server, Priority: q.route.Priority, After: q.resumeAfter()}
+	s := &ForwardedRequest{Server: c.server, Priority: q.route.Priority, After: q.lastReceivedEventID()}
 	if c.prefillServer != nil {
 		q.prefills++
 		source, res, ok := q.prefill(c)
@@ -276,9 +280,9 @@
 			}
 			return res
 		}
-		q.prefilled, q.prefillServer = source, c.prefillServer
+		q.prefillSource, q.prefillServer = source, c.prefillServer
 	}
-	s.Source = q.prefilled
+	s.Source = q.prefillSource
 	q.tried = append(q.tried, c.server.state)
 	uncachedTokens := c.uncachedTokens
 	if s.Source != "" {
@@ -289,11 +293,11 @@
 	sentAt := time.Now()
 	c.server.recordSent(uncachedTokens, sentAt)
 	q.g.decider.prefixes.record(q.prefixKeys, c.server.key, sentAt)
-	a := &attempt{q: q, server: c.server, send: s, uncachedTokens: uncachedTokens, tokensAhead: tokensAhead, sentAt: sentAt}
+	a := &attempt{q: q, server: c.server, forwarded: s, uncachedTokens: uncachedTokens, tokensAhead: tokensAhead, sentAt: sentAt}
 	if s.Source != "" {
 		a.transferFrom, a.expectedDelay = q.prefillServer, delay
 	}
-	res := a.do()
+	res := a.sendAndRecord()
 	q.g.metrics.Attempt(q.service, res.String())
 	q.recordPromptTokens(c)
 	if res != resultFinished {
@@ -310,8 +314,8 @@
 	if !q.route.Prompt {
 		return
 	}
-	total := float64(q.call.PromptTokens)
-	if c.reason == reasonReadBefore {
+	total := float64(q.metadata.PromptTokens)
+	if c.reason == reasonAlreadyPrefilled {
 		q.g.metrics.Prompt(q.service, PromptTokens{Transferred: total})
 		return
 	}
@@ -322,14 +326,17 @@
 	q.g.metrics.Prompt(q.service, p)
 }
 
-func (q *request) resumeAfter() string {
-	if q.lastEvent != "" {
-		return q.lastEvent
+// lastReceivedEventID returns the ID of the last event that the caller has received, or an empty
+// string.
+func (q *request) lastReceivedEventID() string {
+	if q.lastEventID != "" {
+		return q.lastEventID
 	}
-	return q.call.After
+	return q.metadata.After
 }
 
-// giveUp ends a request that was not answered.
+// giveUp ends a request that was not answered. It panics with http.ErrAbortHandler if a part of the
+// response was sent.
 func (q *request) giveUp(cause string) {
 	switch {
 	case q.headerSent:
@@ -386,7 +393,7 @@
 // finish only.
 func (q *request) logAttempt(c *choice, res attemptResult, sentAt time.Time) {
 	f := logrus.Fields{
-		"request": q.call.ID, "route": q.route.Name, "service": q.service, "config": q.configVersion, "attempt": q.sends + q.connectFailures + 1,
+		"request": q.metadata.ID, "route": q.route.Name, "service": q.service, "config": q.configVersion, "attempt": q.sends + q.connectFailures + 1,
 		"result": res.String(), "cause": q.cause, "took_ms": time.Since(sentAt).Milliseconds(), "choice": c.reason,
 		"events": q.events, "left_ms": time.Until(q.deadline).Milliseconds(), "budget_left": int(q.g.retryBudget(q.service).Left(time.Now())),
 	}
@@ -412,7 +419,7 @@
 		q.g.metrics.FirstEvent(q.service, kind, q.timeToFirst)
 	}
 	f := logrus.Fields{
-		"request": q.call.ID, "route": name, "service": q.service, "config": q.configVersion, "outcome": outcome,
+		"request": q.metadata.ID, "route": name, "service": q.service, "config": q.configVersion, "outcome": outcome,
 		"elapsed_ms": elapsed.Milliseconds(), "first_ms": q.timeToFirst.Milliseconds(), "sends": q.sends, "runs": q.runs,
 		"expected_ms": q.lastChoice.timeToFirst.Milliseconds(), "unread": int(q.lastChoice.uncachedTokens), "choice": q.lastChoice.reason, "considered": q.lastChoice.considered,
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -31,16 +31,16 @@
 	return out
 }
 
-func newPrompt(parts ...PromptPart) *prompt {
+func newPromptRequest(parts ...PromptPart) *promptRequest {
 	tokens := 0
 	for _, p := range parts {
 		tokens += p.Tokens
 	}
-	return &prompt{call: &RequestMetadata{PromptTokens: tokens, Parts: parts}, prefixKeys: prefixKeys(parts), dataCentre: "z", random: rand.Float64}
+	return &promptRequest{metadata: &RequestMetadata{PromptTokens: tokens, Parts: parts}, prefixKeys: prefixKeys(parts), dataCentre: "z", random: rand.Float64}
 }
 
 // choose chooses servers for a prompt of which nothing is known to be cached.
-func choose(servers []*Server, p *prompt) choice {
+func choose(servers []*Server, p *promptRequest) choice {
 	vs := views(servers)
 	return choosePrompt(servers, vs, make([]float64, len(servers)), p, secondsPerToken, 3000, newDecodeSelector(servers, vs, p.dataCentre, rand.Float64))
 }
@@ -74,7 +74,7 @@
 // Guards against requests that queue for a busy affinity server while another engine is idle.
 func TestBusyAffinityServersAreAvoided(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("b", external.RolePrefill), newServer("d", external.RoleDecode)}
-	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
+	p := newPromptRequest(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
 	require.NotNil(t, c.prefillServer)
 	busy := c.prefillServer
@@ -89,7 +89,7 @@
 func TestShortPromptsStayOnOneEngine(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)}
 	servers[1].recordSent(0, start)
-	c := choose(servers, newPrompt(PromptPart{1, 80}, PromptPart{2, 140}))
+	c := choose(servers, newPromptRequest(PromptPart{1, 80}, PromptPart{2, 140}))
 	require.Nil(t, c.prefillServer)
 	require.Equal(t, "e", c.server.ID)
 }
@@ -97,7 +97,7 @@
 // Guards against requests sent to engines that cannot generate.
 func TestNoDecodeEngineIsNoServer(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill)}
-	require.Nil(t, choose(servers, newPrompt(PromptPart{1, 5000}, PromptPart{2, 10})).server)
+	require.Nil(t, choose(servers, newPromptRequest(PromptPart{1, 5000}, PromptPart{2, 10})).server)
 }
 
 // Guards against requests without prompt parts being sent to prefill engines.
@@ -172,8 +172,8 @@
 		return out
 	}
 	newPlan := NewRolePlan
-	change := func(st *RolePlan, servers []*Server, at time.Time) int {
-		return st.requiredChange(newSplit(servers, st, at), at)
+	change := func(rp *RolePlan, servers []*Server, at time.Time) int {
+		return rp.requiredChange(newSplit(servers, rp, at), at)
 	}
 
 	t.Run("idle fleet is split at once", func(t *testing.T) {
@@ -184,65 +184,65 @@
 		require.Zero(t, change(newPlan(), engines(0, 2), start))
 	})
 	t.Run("orders that do not show yet count", func(t *testing.T) {
-		st, servers := newPlan(), engines(3, 8)
+		rp, servers := newPlan(), engines(3, 8)
 		for _, e := range servers[3:8] {
-			st.pendingOrders[e.state] = pendingOrder{role: external.RolePrefill, until: start.Add(time.Second)}
+			rp.pendingOrders[e.state] = pendingOrder{role: external.RolePrefill, until: start.Add(time.Second)}
 		}
-		require.Zero(t, change(st, servers, start))
-		require.Equal(t, 5, change(st, servers, start.Add(2*time.Second)))
+		require.Zero(t, change(rp, servers, start))
+		require.Equal(t, 5, change(rp, servers, start.Add(2*time.Second)))
 	})
 	t.Run("load must last and changes are few at a time", func(t *testing.T) {
-		st, servers := newPlan(), engines(8, 3)
+		rp, servers := newPlan(), engines(8, 3)
 		for range 25 {
 			for _, e := range servers[8:] {
 				e.recordSent(0, start)
 			}
 		}
-		require.Zero(t, change(st, servers, start))
-		n := change(st, servers, start.Add(persistTime))
+		require.Zero(t, change(rp, servers, start))
+		n := change(rp, servers, start.Add(persistTime))
 		require.Negative(t, n)
 		require.GreaterOrEqual(t, n, -int(maxChangeShare*float64(len(servers))))
 	})
-	// Guards against hundreds of orders to a large fleet with little load: in a benchmark with 300
-	// gateway instances they cost six times as much as all requests were worth.
+	// Guards against hundreds of orders to a large fleet with little load. Orders are billed, and so
+	// many can cost six times as much as all requests are worth.
 	t.Run("a large idle fleet is split by a few orders", func(t *testing.T) {
-		st, servers := newPlan(), engines(20, 2980)
-		require.Equal(t, maxIdleEngines-20, change(st, servers, start))
-		require.Zero(t, change(st, engines(maxIdleEngines, 2000), start))
-		require.Zero(t, change(st, engines(2000, maxIdleEngines), start))
-		require.Equal(t, -2, change(st, engines(2000, maxIdleEngines-2), start))
+		rp, servers := newPlan(), engines(20, 2980)
+		require.Equal(t, maxRoleSizeWithoutLoad-20, change(rp, servers, start))
+		require.Zero(t, change(rp, engines(maxRoleSizeWithoutLoad, 2000), start))
+		require.Zero(t, change(rp, engines(2000, maxRoleSizeWithoutLoad), start))
+		require.Equal(t, -2, change(rp, engines(2000, maxRoleSizeWithoutLoad-2), start))
 	})
 	t.Run("ample engines stay as they are", func(t *testing.T) {
-		st, servers := newPlan(), engines(10, 30)
+		rp, servers := newPlan(), engines(10, 30)
 		for _, e := range servers[:5] {
 			e.recordSent(0, start)
 		}
-		require.Zero(t, change(st, servers, start))
-		require.Zero(t, change(st, servers, start.Add(persistTime)))
+		require.Zero(t, change(rp, servers, start))
+		require.Zero(t, change(rp, servers, start.Add(persistTime)))
 		for range 2 * targetPrefillQueue {
 			for _, e := range servers[:10] {
 				e.recordSent(0, start)
 			}
 		}
-		require.Positive(t, change(st, servers, start.Add(persistTime)))
+		require.Positive(t, change(rp, servers, start.Add(persistTime)))
 	})
 	t.Run("no change in the other direction within the dwell time", func(t *testing.T) {
-		st, servers := newPlan(), engines(3, 8)
+		rp, servers := newPlan(), engines(3, 8)
 		for range 5 * targetPrefillQueue {
 			servers[0].recordSent(0, start)
 		}
-		st.lastDirection, st.changedAt = -1, start
-		require.Zero(t, change(st, servers, start.Add(persistTime)))
-		require.Zero(t, change(st, servers, start.Add(dwellTime-time.Second)))
-		require.Positive(t, change(st, servers, start.Add(dwellTime+time.Second)))
+		rp.lastDirection, rp.changedAt = -1, start
+		require.Zero(t, change(rp, servers, start.Add(persistTime)))
+		require.Zero(t, change(rp, servers, start.Add(dwellTime-time.Second)))
+		require.Positive(t, change(rp, servers, start.Add(dwellTime+time.Second)))
 	})
 }
 
 // Guards against a wrong split that persists for the dwell time after engines were replaced,
-// because new engines come with their own initial roles. In the benchmark halte-boards trouble-2, 3
-// of 11 engines stayed prefill engines for 30 s.
+// because new engines come with their own initial roles. In a fleet of 11 engines, 3 can then stay
+// prefill engines for 30 s.
 func TestReplacedEnginesEndTheDwellTime(t *testing.T) {
-	st := NewRolePlan()
+	rp := NewRolePlan()
 	var servers []*Server
 	for i := range 10 {
 		role := external.RoleDecode
@@ -255,9 +255,9 @@
 		servers[0].recordSent(0, start)
 		servers[1].recordSent(0, start)
 	}
-	st.recordChange(external.RoleDecode, start)
+	rp.recordDirection(external.RoleDecode, start)
 	next := func(after time.Duration) int {
-		_, selected := st.Next(servers, start.Add(after))
+		_, selected := rp.Next(servers, start.Add(after))
 		return len(selected)
 	}
 	var at time.Duration
@@ -265,14 +265,14 @@
 		servers[0].recordActivity(nil, start.Add(at))
 		servers[1].recordActivity(nil, start.Add(at))
 		if at == 0 {
-			st.listHash = 0 // the list counts as changed in the first round
+			rp.listHash = 0 // the list counts as changed in the first round
 			next(at)
-			st.recordChange(external.RoleDecode, start)
+			rp.recordDirection(external.RoleDecode, start)
 			continue
 		}
 		require.Zero(t, next(at), "the last change was in the other direction")
 	}
-	require.Equal(t, planChangedLately, st.Decision.Reason)
+	require.Equal(t, planChangedLately, rp.Decision.Reason)
 	servers[9] = newServer("i-new", external.RoleDecode)
 	changed := 0
 	for end := at + settleTime + persistTime + PlanInterval; at <= end; at += PlanInterval {
@@ -313,11 +313,11 @@
 	require.Equal(t, "data: rest", string(e))
 }
 
-// Guards against links between engines that become slow and still carry all long prompts: with all
-// links at a fiftieth of their speed, half of the long prompts timed out.
+// Guards against links between engines that become slow and still carry all long prompts. With all
+// links at a fiftieth of their speed, half of the long prompts then time out.
 func TestSlowLinksAreAvoided(t *testing.T) {
 	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)}
-	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
+	p := newPromptRequest(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
 	require.Equal(t, "a", c.prefillServer.ID)
 	slow, other := c.server, servers[1]
@@ -370,23 +370,23 @@
 		return &Query{Route: r, Metadata: &RequestMetadata{OutputTokens: events}, Deadline: start.Add(2 * time.Second)}
 	}
 	queued := choice{uncachedTokens: 4000, timeToFirst: 160 * time.Millisecond}
-	require.True(t, tooLate(query(2), &queued, 0, start))
+	require.True(t, shouldRefuse(query(2), &queued, 0, start))
 	large := choice{uncachedTokens: 40_000, timeToFirst: 160 * time.Millisecond, excessPrefill: 100 * time.Millisecond}
-	require.False(t, tooLate(query(2), &large, fullAllowanceFraction, start), "late because of its own prefill")
-	require.True(t, tooLate(query(2), &large, 0, start), "without overload, its excess prefill time counts")
+	require.False(t, shouldRefuse(query(2), &large, fullAllowanceFraction, start), "late because of its own prefill")
+	require.True(t, shouldRefuse(query(2), &large, 0, start), "without overload, its excess prefill time counts")
 	behind := choice{uncachedTokens: 40_000, timeToFirst: 300 * time.Millisecond, excessPrefill: 100 * time.Millisecond}
-	require.True(t, tooLate(query(2), &behind, 1, start), "late because of queued requests")
+	require.True(t, shouldRefuse(query(2), &behind, 1, start), "late because of queued requests")
 	full := choice{uncachedTokens: 100, timeToFirst: 20 * time.Millisecond, utilisation: 0.96}
-	require.True(t, tooLate(query(90), &full, 0, start))
-	require.False(t, tooLate(query(2), &full, 0, start), "a short answer ends soon")
+	require.True(t, shouldRefuse(query(90), &full, 0, start))
+	require.False(t, shouldRefuse(query(2), &full, 0, start), "a short answer ends soon")
 	full.utilisation = 0.85
-	require.False(t, tooLate(query(90), &full, 0, start))
+	require.False(t, shouldRefuse(query(90), &full, 0, start))
 }
 
-// Guards against a refusal rate that remains high after the overload, or that a single request
+// Guards against a refused fraction that remains high after the overload, or that a single request
 // determines.
 func TestRefusedShare(t *testing.T) {
-	r := &refusalRate{}
+	r := &refusalCounter{}
 	r.record(true, start)
 	require.Zero(t, r.fraction(start))
 	for i := range 20 {
--- a/gateway/prefill.go
+++ b/gateway/prefill.go
@@ -10,7 +10,7 @@
 	"github.com/quetzallug/quetzallug/upstream"
 )
 
-// maxControlBody limits the responses to prefills and role orders, in bytes.
+// maxControlBody limits the responses to prefills, report requests and role orders, in bytes.
 const maxControlBody = 64 << 10
 
 // prefill asks another backend server to prefill the prompt and returns where the result can be
@@ -23,12 +23,12 @@
 	sentAt := time.Now()
 	server.recordSent(c.uncachedTokens, sentAt)
 	defer server.recordEnded()
-	defer server.recordPrefilled(c.uncachedTokens)
+	defer server.subtractPendingTokens(c.uncachedTokens)
 	q.g.decider.prefixes.record(q.prefixKeys, server.key, sentAt)
-	send := &ForwardedRequest{Server: server, Remaining: time.Until(q.deadline), Priority: q.route.Priority, Prefill: true}
+	forwarded := &ForwardedRequest{Server: server, Remaining: time.Until(q.deadline), Priority: q.route.Priority, Prefill: true}
 	resp, err := q.g.pool.Do(q.ctx, server.Address, &upstream.Request{
 		Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host,
-		Header: q.g.codec.Header(q.r.Header, send), Body: q.body,
+		Header: q.g.codec.Header(q.r.Header, forwarded), Body: q.body,
 	}, q.isResponseToRequest)
 	if err != nil {
 		return "", q.handlePrefillError(server, err), false
@@ -60,7 +60,7 @@
 		return "", resultNotRun, false
 	}
 	server.recordResult(0, now)
-	q.g.decider.prefillSpeed(q.service).observe(server.Role, c.uncachedTokens, tokensAhead, now.Sub(sentAt))
+	q.g.decider.prefillEstimator(q.service).observe(server.Role, c.uncachedTokens, tokensAhead, now.Sub(sentAt))
 	return server.Address + "/" + handle, resultFinished, true
 }
 
@@ -90,11 +90,11 @@
 
 // discardPrefill marks the prefilled prompt of the request as unused.
 func (q *request) discardPrefill() {
-	if q.prefilled == "" {
+	if q.prefillSource == "" {
 		return
 	}
-	q.unusedPrefills = append(q.unusedPrefills, unusedPrefill{q.prefillServer, q.prefilled[len(q.prefillServer.Address)+1:]})
-	q.prefilled = ""
+	q.unusedPrefills = append(q.unusedPrefills, unusedPrefill{q.prefillServer, q.prefillSource[len(q.prefillServer.Address)+1:]})
+	q.prefillSource = ""
 }
 
 // releasePrefills releases the memory of unused prefilled prompts.
--- a/gateway/roleplan.go
+++ b/gateway/roleplan.go
@@ -47,10 +47,10 @@
 	// engines are busy about half of the time.
 	amplePrefillQueue      = 0.5
 	ampleDecodeUtilisation = 0.35
-	// maxIdleEngines is the number of engines up to which a role is filled before there is any
-	// load. It covers a fleet of 44 engines completely; larger fleets change their roles as load
-	// arrives.
-	maxIdleEngines = 32
+	// maxRoleSizeWithoutLoad is the number of engines up to which a role may grow while the fleet
+	// has no load. It lets a fleet of 44 engines reach its target split; in larger fleets, roles
+	// change further only as load arrives.
+	maxRoleSizeWithoutLoad = 32
 	// maxOrdersPerPlan limits the orders per planning round. They are sent one after the other, in
 	// about 5 ms each.
 	maxOrdersPerPlan = 16
@@ -62,8 +62,13 @@
 	// listHash is a hash of the list of engines.
 	listHash      uint64
 	listChangedAt time.Time
-	wantedChange  int
-	wantedSince   time.Time
+	// wantedChange is the number of engines that should change their role: positive if decode
+	// engines should become prefill engines, negative for the other direction. wantedSince is when
+	// its sign last changed.
+	wantedChange int
+	wantedSince  time.Time
+	// lastDirection is the direction of the last order, 1 or -1 with the meaning of wantedChange's
+	// sign; 0 if there was none. changedAt is the time of that order.
 	lastDirection int
 	changedAt     time.Time
 	// decodeRequests and prefillRequests are moving averages of the fields of the same names in
@@ -100,6 +105,7 @@
 
 // pendingOrder is an order whose effect may not be visible in the list of engines yet.
 type pendingOrder struct {
+	// role is empty while no order was sent.
 	role external.Role
 	// until is when the effect must be visible; the engine gets no other order before then.
 	until time.Time
@@ -109,8 +115,8 @@
 func NewRolePlan() *RolePlan { return &RolePlan{pendingOrders: make(map[*serverState]pendingOrder)} }
 
 // effectiveRole returns the role of an engine after its pending order, if any.
-func (st *RolePlan) effectiveRole(s *Server, now time.Time) external.Role {
-	if o, ok := st.pendingOrders[s.state]; ok && now.Before(o.until) && o.role != "" {
+func (rp *RolePlan) effectiveRole(s *Server, now time.Time) external.Role {
+	if o, ok := rp.pendingOrders[s.state]; ok && now.Before(o.until) && o.role != "" {
 		return o.role
 	}
 	return s.Role
@@ -118,49 +124,49 @@
 
 // Next returns the engines that should change their role now, and the new role. It must be called
 // every PlanInterval with the registered engines of one service.
-func (st *RolePlan) Next(servers []*Server, now time.Time) (external.Role, []*Server) {
-	if !st.settled(servers, now) {
-		st.Decision = RoleDecision{Reason: planListChanges}
+func (rp *RolePlan) Next(servers []*Server, now time.Time) (external.Role, []*Server) {
+	if !rp.settled(servers, now) {
+		rp.Decision = RoleDecision{Reason: planListChanges}
 		return "", nil
 	}
-	split := newSplit(servers, st, now)
-	st.smooth(split)
-	change := st.requiredChange(split, now)
+	split := newSplit(servers, rp, now)
+	rp.smooth(split)
+	change := rp.requiredChange(split, now)
 	to, from := external.RolePrefill, external.RoleDecode
 	if change < 0 {
 		to, from, change = from, to, -change
 	}
-	return to, split.selectEngines(from, change, st, now)
+	return to, split.selectEngines(from, change, rp, now)
 }
 
-// RecordOrder records that an engine accepted an order that takes the given time to carry out.
-func (st *RolePlan) RecordOrder(s *Server, role external.Role, change time.Duration, now time.Time) {
-	st.recordChange(role, now)
-	st.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(change + listDelay)}
-	s.pauseUntil(now.Add(change))
+// RecordOrder records that an engine accepted an order that takes changeTime to carry out.
+func (rp *RolePlan) RecordOrder(s *Server, role external.Role, changeTime time.Duration, now time.Time) {
+	rp.recordDirection(role, now)
+	rp.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(changeTime + listDelay)}
+	s.pauseUntil(now.Add(changeTime))
 }
 
-// recordChange records the time and direction of a change of the split.
-func (st *RolePlan) recordChange(role external.Role, now time.Time) {
-	st.changedAt, st.lastDirection = now, 1
+// recordDirection records the time and direction of an order, whatever its outcome.
+func (rp *RolePlan) recordDirection(role external.Role, now time.Time) {
+	rp.changedAt, rp.lastDirection = now, 1
 	if role == external.RoleDecode {
-		st.lastDirection = -1
+		rp.lastDirection = -1
 	}
 }
 
 // settled reports whether the list of engines has been unchanged for settleTime.
-func (st *RolePlan) settled(servers []*Server, now time.Time) bool {
+func (rp *RolePlan) settled(servers []*Server, now time.Time) bool {
 	hash := uint64(0)
 	for _, s := range servers {
 		hash += splitmix.Mix(s.key)
 	}
-	if hash != st.listHash {
-		st.listHash, st.listChangedAt = hash, now
+	if hash != rp.listHash {
+		rp.listHash, rp.listChangedAt = hash, now
 		// New engines start with a role of their own, so the split is no longer the one that was
 		// ordered and the dwell time does not apply.
-		st.changedAt = time.Time{}
+		rp.changedAt = time.Time{}
 	}
-	return len(servers) > 0 && now.Sub(st.listChangedAt) >= settleTime
+	return len(servers) > 0 && now.Sub(rp.listChangedAt) >= settleTime
 }
 
 // split is the current division of a service's engines between the roles, with their load.
@@ -178,14 +184,14 @@
 	idle            bool
 }
 
-func newSplit(servers []*Server, st *RolePlan, now time.Time) *split {
+func newSplit(servers []*Server, rp *RolePlan, now time.Time) *split {
 	p := &split{servers: servers, idle: true}
 	for _, s := range servers {
 		v := s.view(now)
 		p.views = append(p.views, v)
 		p.slotsPerEngine = max(p.slotsPerEngine, s.Slots)
 		p.idle = p.idle && v.inFlight+v.otherRequests == 0
-		switch st.effectiveRole(s, now) {
+		switch rp.effectiveRole(s, now) {
 		case external.RoleDecode:
 			p.decode++
 			p.decodeRequests += float64(v.inFlight + v.otherRequests)
@@ -225,48 +231,48 @@
 
 // smooth replaces the load by its moving average, so that bursts shorter than a role change do not
 // cause one.
-func (st *RolePlan) smooth(p *split) {
-	st.decodeRequests += loadWeight * (p.decodeRequests - st.decodeRequests)
-	st.prefillRequests += loadWeight * (p.prefillRequests - st.prefillRequests)
-	p.decodeRequests, p.prefillRequests = st.decodeRequests, st.prefillRequests
+func (rp *RolePlan) smooth(p *split) {
+	rp.decodeRequests += loadWeight * (p.decodeRequests - rp.decodeRequests)
+	rp.prefillRequests += loadWeight * (p.prefillRequests - rp.prefillRequests)
+	p.decodeRequests, p.prefillRequests = rp.decodeRequests, rp.prefillRequests
 }
 
 // requiredChange returns how many engines should become prefill engines now; it is negative if
 // they should become decode engines.
-func (st *RolePlan) requiredChange(p *split, now time.Time) int {
-	st.Decision = RoleDecision{Decode: p.decode, Prefill: p.prefill, DecodeRequests: p.decodeRequests, PrefillRequests: p.prefillRequests}
+func (rp *RolePlan) requiredChange(p *split, now time.Time) int {
+	rp.Decision = RoleDecision{Decode: p.decode, Prefill: p.prefill, DecodeRequests: p.decodeRequests, PrefillRequests: p.prefillRequests}
 	if p.decode+p.prefill < 3 || p.mixed > 0 {
-		st.Decision.Reason = planNoSplit
+		rp.Decision.Reason = planNoSplit
 		return 0
 	}
 	change := p.decode - p.targetDecode()
-	st.Decision.Wanted = p.decode - change
-	if change != st.wantedChange {
-		if sign(change) != sign(st.wantedChange) {
-			st.wantedSince = now
+	rp.Decision.Wanted = p.decode - change
+	if change != rp.wantedChange {
+		if sign(change) != sign(rp.wantedChange) {
+			rp.wantedSince = now
 		}
-		st.wantedChange = change
+		rp.wantedChange = change
 	}
 	switch {
 	case sign(change)*change < max(1, int(minChangeShare*float64(p.decode+p.prefill))):
-		st.Decision.Reason = planFits
+		rp.Decision.Reason = planFits
 		return 0
 	case p.idle:
-		st.Decision.Reason = planIdle
+		rp.Decision.Reason = planIdle
 		return p.idleChange(change)
 	case p.ample():
-		st.Decision.Reason = planAmple
+		rp.Decision.Reason = planAmple
 		return 0
-	case now.Sub(st.wantedSince) < persistTime:
-		st.Decision.Reason = planWantedBriefly
+	case now.Sub(rp.wantedSince) < persistTime:
+		rp.Decision.Reason = planWantedBriefly
 		return 0
-	case sign(change) != st.lastDirection && now.Sub(st.changedAt) < dwellTime:
-		st.Decision.Reason = planChangedLately
+	case sign(change) != rp.lastDirection && now.Sub(rp.changedAt) < dwellTime:
+		rp.Decision.Reason = planChangedLately
 		return 0
 	}
-	st.Decision.Reason = planChanges
+	rp.Decision.Reason = planChanges
 	changing := 0
-	for _, o := range st.pendingOrders {
+	for _, o := range rp.pendingOrders {
 		if now.Before(o.until) {
 			changing++
 		}
@@ -281,7 +287,7 @@
 	if change < 0 {
 		have = p.decode
 	}
-	return sign(change) * max(0, min(sign(change)*change, maxIdleEngines-have, maxOrdersPerPlan))
+	return sign(change) * max(0, min(sign(change)*change, maxRoleSizeWithoutLoad-have, maxOrdersPerPlan))
 }
 
 func sign(n int) int {
@@ -296,13 +302,13 @@
 
 // selectEngines returns up to n engines of a role, the least busy first, from the data centres with
 // the most engines of that role.
-func (p *split) selectEngines(role external.Role, n int, st *RolePlan, now time.Time) []*Server {
+func (p *split) selectEngines(role external.Role, n int, rp *RolePlan, now time.Time) []*Server {
 	count := map[string]int{}
 	var eligible []int
 	for i, s := range p.servers {
-		if s.Role == role && st.effectiveRole(s, now) == role && p.views[i].usable {
+		if s.Role == role && rp.effectiveRole(s, now) == role && p.views[i].usable {
 			count[s.DataCentre]++
-			if !now.Before(st.pendingOrders[s.state].until) {
+			if !now.Before(rp.pendingOrders[s.state].until) {
 				eligible = append(eligible, i)
 			}
 		}
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -134,10 +134,10 @@
 // the load is known when orders are allowed.
 func (r *RolePlanner) planService(ctx context.Context, a lease.Authority, mayOrder bool, service string, e *route.Engine) {
 	now := time.Now()
-	st := r.plan(service)
-	previousReason := st.Decision.Reason
-	to, servers := st.Next(r.roster.Servers(service), now)
-	if decision := st.Decision; decision.Reason != previousReason {
+	rp := r.plan(service)
+	previousReason := rp.Decision.Reason
+	to, servers := rp.Next(r.roster.Servers(service), now)
+	if decision := rp.Decision; decision.Reason != previousReason {
 		r.log.WithFields(logrus.Fields{
 			"service": service, "decode": decision.Decode, "prefill": decision.Prefill, "wanted_decode": decision.Wanted, "generating": int(decision.DecodeRequests),
 			"reading": int(decision.PrefillRequests), "choice": decision.Reason, "fence": a.Fence,
@@ -147,15 +147,16 @@
 		if !mayOrder || !a.Valid() {
 			return
 		}
-		r.order(ctx, a, s, to, st, e)
+		r.order(ctx, a, s, to, rp, e)
 	}
 }
 
 // order reads the engine's state and orders the role change, on condition that the engine has not
 // accepted another order since.
-func (r *RolePlanner) order(ctx context.Context, a lease.Authority, s *Server, role external.Role, st *RolePlan, e *route.Engine) {
+func (r *RolePlanner) order(ctx context.Context, a lease.Authority, s *Server, role external.Role, rp *RolePlan, e *route.Engine) {
 	log := r.log.WithFields(logrus.Fields{"server": s.ID, "from": s.Role, "to": role, "fence": a.Fence})
-	st.pendingOrders[s.state] = pendingOrder{until: time.Now().Add(settleTime)}
+	// The engine is not selected again for settleTime, even if no order can be sent.
+	rp.pendingOrders[s.state] = pendingOrder{until: time.Now().Add(settleTime)}
 	_, body, err := r.call(ctx, s, r.orders.ReportRequest(s))
 	if err != nil {
 		log.WithError(err).Warn("no order: cannot read the engine's state")
@@ -163,7 +164,7 @@
 	}
 	report, err := r.orders.Report(body)
 	if err != nil || report.Busy || report.Role != s.Role {
-		log.WithError(err).WithFields(logrus.Fields{"busy": report.Busy, "role": report.Role}).Info("no order: the engine is busy or its report does not match its registration")
+		log.WithError(err).WithFields(logrus.Fields{"busy": report.Busy, "role": report.Role}).Info("no order: the engine is busy, or its report cannot be decoded or does not match its registration")
 		return
 	}
 	req, err := r.orders.OrderRequest(&RoleOrder{Server: s, Role: role, Holder: r.instance, Fence: a.Fence, Sequence: report.Sequence})
@@ -176,11 +177,11 @@
 	}
 	status, _, err := r.call(ctx, s, req)
 	now := time.Now()
-	st.recordChange(role, now)
+	rp.recordDirection(role, now)
 	if err != nil {
 		// The order may still be carried out. It counts as accepted, because otherwise another
 		// engine would get an order that would have to be reverted.
-		st.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(unknownOutcomeTime)}
+		rp.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(unknownOutcomeTime)}
 		r.metrics.RoleOrder(s.Service, string(role), "unknown")
 		log.WithError(err).Warn("role order sent, outcome unknown")
 		return
@@ -188,7 +189,7 @@
 	result := r.orders.OrderResult(status)
 	r.metrics.RoleOrder(s.Service, string(role), result.String())
 	if result == OrderAccepted {
-		st.RecordOrder(s, role, e.RoleChange, now)
+		rp.RecordOrder(s, role, e.RoleChange, now)
 	}
 	log.WithFields(logrus.Fields{"status": status, "accepted": result == OrderAccepted, "sequence": report.Sequence}).Info("role ordered")
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -26,11 +26,11 @@
 }
 
 // Guards against a choice whose cost is quadratic in the number of engines: with 3,000 engines,
-// scanning all decode engines for each prefill engine took one gateway instance a second.
+// scanning all decode engines for each prefill engine takes one gateway instance a second.
 func TestChoiceLooksAtEachServerOncePerDataCentre(t *testing.T) {
 	servers := newFleet(300)
 	vs := views(servers)
-	p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
+	p := newPromptRequest(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	p.dataCentre = "z1"
 	d := newDecodeSelector(servers, vs, p.dataCentre, rand.Float64)
 	c := choosePrompt(servers, vs, make([]float64, len(servers)), p, secondsPerToken, 3000, d)
@@ -74,7 +74,7 @@
 	for _, n := range []int{11, 44, 640, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			servers := newFleet(n)
-			p := newPrompt(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
+			p := newPromptRequest(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 			p.dataCentre = "z1"
 			b.ResetTimer()
 			for range b.N {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -70,8 +70,9 @@
 }
 
 const (
-	// silenceTimeout is how long a backend server with requests in flight may send nothing before
-	// others are preferred. The slowest target of the known installations is 200 ms.
+	// silenceTimeout is how long a backend server with requests in flight may send nothing before it
+	// counts as unusable. It is three times the longest target for the first event in the known
+	// installations, 200 ms.
 	silenceTimeout = 600 * time.Millisecond
 	// loadReportLifetime is the age from which a load report is ignored.
 	loadReportLifetime = 2 * time.Second
@@ -86,7 +87,7 @@
 	ejectMax   = 3 * time.Second
 )
 
-// recordSent records that a request was sent.
+// recordSent records that a request was sent, with the given number of prompt tokens to prefill.
 func (s *Server) recordSent(tokens float64, now time.Time) {
 	st := s.state
 	st.mu.Lock()
@@ -98,8 +99,8 @@
 	st.pendingTokens += tokens
 }
 
-// recordPrefilled subtracts prefilled tokens from the pending ones.
-func (s *Server) recordPrefilled(tokens float64) {
+// subtractPendingTokens subtracts tokens that were prefilled, or will not be, from the pending ones.
+func (s *Server) subtractPendingTokens(tokens float64) {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	s.state.pendingTokens = max(0, s.state.pendingTokens-tokens)
@@ -123,8 +124,8 @@
 	s.state.inFlight--
 }
 
-// recordResult records the result of a request. weight is 0 for a success and up to 1 for a
-// failure.
+// recordResult records the result of a request. weight is 0 for a success and up to 1 for a failure.
+// Only a weight of 1 counts as a consecutive failure; any other ends the series.
 func (s *Server) recordResult(weight float64, now time.Time) {
 	st := s.state
 	st.mu.Lock()
@@ -287,7 +288,8 @@
 	return r
 }
 
-// Servers returns the backend servers of a service. The caller must not modify the slice.
+// Servers returns the backend servers of a service that are not draining, sorted by ID. The caller must
+// not modify the slice.
 func (r *Roster) Servers(service string) []*Server { return (*r.services.Load())[service] }
 
 // Len returns the number of registered backend servers.
@@ -333,6 +335,8 @@
 	return applied
 }
 
+// upsert adds or updates a registration, which is then not lapsed. It reports whether the
+// registration is new or was changed.
 func (r *Roster) upsert(reg Registration) bool {
 	old := r.servers[reg.ID]
 	delete(r.lapsed, reg.ID)
@@ -362,7 +366,8 @@
 	return true
 }
 
-// Replace replaces all registrations.
+// Replace makes regs the registrations. Others are removed, or kept as lapsed during the grace period
+// after a store failure.
 func (r *Roster) Replace(regs []Registration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -90,7 +90,7 @@
 			}
 			q.events++
 			if id != "" {
-				q.lastEvent = id
+				q.lastEventID = id
 			}
 		}
 		if err != nil {
@@ -107,11 +107,11 @@
 
 // isNewEvent reports whether an event comes after the last one that the caller received.
 func (q *request) isNewEvent(id string) bool {
-	if id == "" || q.lastEvent == "" {
+	if id == "" || q.lastEventID == "" {
 		return true
 	}
 	n, err := strconv.ParseInt(id, 10, 64)
-	last, lastErr := strconv.ParseInt(q.lastEvent, 10, 64)
+	last, lastErr := strconv.ParseInt(q.lastEventID, 10, 64)
 	return err != nil || lastErr != nil || n > last
 }
 
@@ -120,10 +120,10 @@
 	if q.timeToFirst == 0 {
 		q.timeToFirst = now.Sub(q.started)
 	}
-	if !a.prefillCounted && a.uncachedTokens > 0 {
-		q.g.decider.prefillSpeed(q.service).observe(a.server.Role, a.uncachedTokens, a.tokensAhead, now.Sub(a.sentAt))
+	if !a.pendingReleased && a.uncachedTokens > 0 {
+		q.g.decider.prefillEstimator(q.service).observe(a.server.Role, a.uncachedTokens, a.tokensAhead, now.Sub(a.sentAt))
 	}
-	a.prefillDone()
+	a.releasePendingTokens()
 	a.recordTransfer(now)
 }
 
