--- a/dissemination/agent.go
+++ b/dissemination/agent.go
@@ -14,8 +14,9 @@
 // Fetcher fetches documents from one peer.
 type Fetcher interface {
 	// Fetch returns the documents with higher revisions than those in have, after at most the
-	// given wait. Confirmed is the flag of the response; see Store.Wait.
-	Fetch(ctx context.Context, have map[string]uint64, wait time.Duration) (docs []Document, confirmed bool, err error)
+	// given wait. have maps each service to the highest revision known. inContact reports whether the
+	// peer is in contact with the key-value service.
+	Fetch(ctx context.Context, have map[string]uint64, wait time.Duration) (docs []Document, inContact bool, err error)
 }
 
 // Config configures an Agent.
@@ -39,9 +40,10 @@
 	direct *directReader
 	poller *poller
 
-	mu      sync.Mutex
-	plan    Plan
-	changed chan struct{}
+	mu   sync.Mutex
+	plan Plan
+	// roleChanged is closed when Plan.Relay changes.
+	roleChanged chan struct{}
 }
 
 // NewAgent returns an Agent without instances; see SetInstances.
@@ -53,7 +55,7 @@
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	a := &Agent{cfg: c, rand: newLockedRand(seed), changed: make(chan struct{})}
+	a := &Agent{cfg: c, rand: newLockedRand(seed), roleChanged: make(chan struct{})}
 	a.direct = &directReader{store: c.Store, kv: c.KV, rand: a.rand, log: c.Log, processCount: func() int { return a.Plan().ProcessCount }}
 	a.poller = newPoller(a)
 	return a
@@ -67,11 +69,11 @@
 	}
 	plan := NewPlan(instances, a.cfg.Self)
 	a.mu.Lock()
-	roleChanged := plan.Relay != a.plan.Relay
+	relayChanged := plan.Relay != a.plan.Relay
 	a.plan = plan
-	if roleChanged {
-		close(a.changed)
-		a.changed = make(chan struct{})
+	if relayChanged {
+		close(a.roleChanged)
+		a.roleChanged = make(chan struct{})
 	}
 	a.mu.Unlock()
 	a.poller.planChanged()
@@ -84,8 +86,9 @@
 	return a.plan
 }
 
-// Observe reports a revision that was seen in ordinary traffic. A revision above the highest one
-// in the store triggers an early poll. For a known revision it costs one map look-up.
+// Observe reports a revision carried by a message other than the response to a poll. One above the
+// highest in the store triggers an early poll, at most one per observeInterval, or on a relay a direct
+// read. For a known revision it costs one map look-up.
 func (a *Agent) Observe(service string, revision uint64) {
 	state := a.cfg.Store.Snapshot()[service]
 	if state != nil && revision <= state.Highest() || state == nil && revision == 0 {
@@ -98,7 +101,7 @@
 func (a *Agent) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.mu.Lock()
-		relay, changed := a.plan.Relay, a.changed
+		relay, roleChanged := a.plan.Relay, a.roleChanged
 		a.mu.Unlock()
 		runCtx, cancel := context.WithCancel(ctx)
 		var wg sync.WaitGroup
@@ -111,7 +114,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-changed:
+		case <-roleChanged:
 		}
 		cancel()
 		wg.Wait()
@@ -121,11 +124,11 @@
 // backfill fetches documents from the peers of a relay while the relay has no contact with the
 // key-value service, so that a relay that starts during an outage gets the documents that other
 // processes have. It also fetches older documents of services whose newest one this process cannot
-// parse, and reads the key-value service directly if ordinary traffic has carried a newer revision.
+// parse, and reads the key-value service directly if the store lacks an observed revision.
 func (a *Agent) backfill(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch {
-		case !a.cfg.Store.InContact() || a.poller.shouldFetchOlder():
+		case !a.cfg.Store.InContact() || a.poller.takeOlderFetchTurn():
 			a.poller.fetchFromAll(ctx)
 		case a.poller.behind():
 			a.direct.read(ctx)
@@ -136,8 +139,9 @@
 	}
 }
 
-// directReader reads the key-value service directly. Its rate depends on the number of processes, so
-// that the fleet as a whole stays below a fixed rate.
+// directReader reads all documents from the key-value service, outside a relay's list and watch, when
+// peers or the watch don't supply them. Its rate depends on the number of processes, so that the fleet
+// as a whole stays below a fixed rate.
 type directReader struct {
 	store        *Store
 	kv           external.KV
--- a/dissemination/fleet_test.go
+++ b/dissemination/fleet_test.go
@@ -48,9 +48,9 @@
 	mu    sync.Mutex
 	procs map[string]*proc
 	list  []external.Instance
-	// regressed is the last error reported by watchRevisions.
-	regressed error
-	starts    uint64
+	// revisionErr is the last error reported by watchRevisions.
+	revisionErr error
+	starts      uint64
 }
 
 // proc is one run of a process.
@@ -62,7 +62,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   sync.WaitGroup
-	// hung means that the process answers nothing, like a paused one.
+	// hung means that the process accepts fetches and never answers them.
 	hung atomic.Bool
 	// cutOff means that the process cannot reach the key-value service.
 	cutOff atomic.Bool
@@ -76,7 +76,7 @@
 	t.Cleanup(func() {
 		cancel()
 		f.each(func(p *proc) { p.done.Wait() })
-		require.NoError(t, f.regressed)
+		require.NoError(t, f.revisionErr)
 	})
 	for d := range dcs {
 		dc := fmt.Sprintf("dc-%d", d)
@@ -115,7 +115,7 @@
 	return p
 }
 
-// watchRevisions records an error in fleet.regressed when a revision of the process decreases.
+// watchRevisions records an error in fleet.revisionErr when a revision of the process decreases.
 func (p *proc) watchRevisions() {
 	var active, highest uint64
 	for {
@@ -123,7 +123,7 @@
 		if s := p.store.Snapshot()[testService]; s != nil {
 			if s.Revision < active || s.Highest() < highest || s.Highest() < s.Revision {
 				p.fleet.mu.Lock()
-				p.fleet.regressed = fmt.Errorf("%s went from %d (highest %d) to %d (highest %d)", p.inst.ID, active, highest, s.Revision, s.Highest())
+				p.fleet.revisionErr = fmt.Errorf("%s went from %d (highest %d) to %d (highest %d)", p.inst.ID, active, highest, s.Revision, s.Highest())
 				p.fleet.mu.Unlock()
 			}
 			active, highest = s.Revision, s.Highest()
@@ -226,7 +226,7 @@
 	defer context.AfterFunc(to.ctx, cancel)() //nolint:contextcheck // cancels the call when the server stops
 	if !to.hung.Load() {
 		to.served.Add(1)
-		docs, confirmed, err := to.store.Wait(callCtx, have, wait)
+		docs, inContact, err := to.store.Wait(callCtx, have, wait)
 		if to.ctx.Err() != nil {
 			return nil, false, errDown
 		}
@@ -234,7 +234,7 @@
 			if !pause.For(ctx, linkDelay) {
 				return nil, false, ctx.Err()
 			}
-			return docs, confirmed, err
+			return docs, inContact, err
 		}
 	}
 	<-ctx.Done()
@@ -275,7 +275,7 @@
 		return nil, 0, err
 	}
 	events, next, err := k.Store.Watch(ctx, prefix, after)
-	time.Sleep(linkDelay) // lets a fault that begins together with the change take effect before the response
+	time.Sleep(linkDelay) // link delay of the response; a fault set just after the change still stops it
 	if k.p.cutOff.Load() {
 		<-ctx.Done()
 		return nil, 0, external.ErrUnavailable
--- a/dissemination/kvwatcher.go
+++ b/dissemination/kvwatcher.go
@@ -38,8 +38,9 @@
 	}
 }
 
-// runSession lists the documents once and then watches for changes from that revision. Any error
-// ends the session. The next one lists again, so that no change is missed.
+// runSession lists the documents once and then watches for changes after the revision that the
+// key-value service had at the time of the list. Any error ends the session. The next one lists again,
+// so that no change is missed.
 func (w *KVWatcher) runSession(ctx context.Context, b *backoff) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var health sync.WaitGroup
@@ -57,7 +58,7 @@
 			return errors.Join(err, context.Cause(ctx))
 		}
 		if next < revision {
-			return fmt.Errorf("store revision went back from %d to %d", revision, next)
+			return fmt.Errorf("revision of the key-value service went back from %d to %d", revision, next)
 		}
 		revision = next
 	}
@@ -71,7 +72,7 @@
 	events, next, err := w.kv.Watch(watchCtx, registry.ConfigPrefix, after)
 	if err != nil {
 		if ctx.Err() == nil && watchCtx.Err() != nil {
-			return after, nil // no change, or a lost response, whose changes the next watch returns
+			return after, nil // timed out: nothing changed, or the response was lost and the next watch returns its changes
 		}
 		return 0, err
 	}
@@ -107,7 +108,7 @@
 }
 
 // readAll offers all documents in the key-value service to the store and marks the store as
-// confirmed. It returns the revision of the list.
+// confirmed and in contact. It returns the revision of the key-value service at the time of the list.
 func readAll(ctx context.Context, kv external.KV, s *Store, log func(error)) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -122,12 +123,13 @@
 		}
 	}
 	s.Offer(docs...)
-	s.confirm()
+	s.confirmInContact()
 	return revision, nil
 }
 
-// decodeEntry returns the document in a record. It logs and skips invalid records. It also skips
-// removed keys, because the deletion of a service is a tombstone with a higher revision.
+// decodeEntry returns the document in a record. It returns false for an invalid record, which it logs,
+// and for a removed key: a service is deleted by a tombstone record with a higher revision, not by
+// removing its key.
 func decodeEntry(e external.Entry, log func(error)) (Document, bool) {
 	if len(e.Value) == 0 {
 		return Document{}, false
--- a/dissemination/peerpoller.go
+++ b/dissemination/peerpoller.go
@@ -11,8 +11,8 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// minBootstrapPeers is the number of peers that must answer before a process that starts during an
-// outage is ready.
+// minBootstrapPeers is the number of peers, or all of them if there are fewer, that must answer before
+// a process that starts during an outage is ready.
 const minBootstrapPeers = 3
 
 var errInterrupted = errors.New("poll interrupted by a new plan or an observed revision")
@@ -25,16 +25,19 @@
 
 	// The fields up to mu are used only by the goroutine that runs the poller.
 
-	// source is the ID of the source that was last established while it was in contact.
-	source string
+	// lastContactSource is the ID of the source that last reported contact with the key-value
+	// service.
+	lastContactSource string
 	// index is the position of the current source in the plan, modulo the number of sources.
 	index int
-	// established means that polls of the current source wait for changes. The first poll of a
-	// source does not wait.
-	established   bool
-	establishedAt time.Time
-	// failures, noContactPolls and behindPolls count the polls with these outcomes since the last
-	// successful one.
+	// longPolling means that polls wait for changes unless the store lacks an observed revision.
+	// The first poll of a source usually does not wait; see handleNoContact for the exception.
+	longPolling      bool
+	longPollingSince time.Time
+	// failures counts the failed polls and noContactPolls those of sources without contact with the
+	// key-value service, both since a source last reported contact. behindPolls counts the polls of
+	// sources in contact that left an observed revision missing, since the last one that left none
+	// missing.
 	failures       int
 	noContactPolls int
 	behindPolls    int
@@ -44,13 +47,13 @@
 	interrupt     context.CancelCauseFunc
 	observed      map[string]observation
 	nextEarlyPoll time.Time
-	// planPending and observationPending interrupt a poll that starts after planChanged or observe
-	// was called.
+	// planPending and observationPending are set by planChanged and observe until selectSource
+	// clears them. A poll that starts meanwhile is interrupted at once.
 	planPending        bool
 	observationPending bool
 }
 
-// observation is a revision seen in ordinary traffic.
+// observation is a revision reported to Agent.Observe.
 type observation struct {
 	revision uint64
 	at       time.Time
@@ -68,7 +71,8 @@
 	p.interruptLocked()
 }
 
-// observe records a revision seen in ordinary traffic and interrupts the current poll to look for it.
+// observe records an observed revision and interrupts the current poll to look for it, unless a
+// revision at least as high is recorded or the last early poll was less than observeInterval ago.
 func (p *poller) observe(service string, revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +92,7 @@
 	}
 }
 
-// behind reports whether the store lacks a revision that was seen in ordinary traffic.
+// behind reports whether the store lacks an observed revision.
 func (p *poller) behind() bool {
 	have := p.store.Revisions()
 	p.mu.Lock()
@@ -100,13 +104,13 @@
 }
 
 func (p *poller) run(ctx context.Context) {
-	p.established, p.index, p.failures, p.noContactPolls = false, 0, 0, 0
+	p.longPolling, p.index, p.failures, p.noContactPolls = false, 0, 0, 0
 	b := &backoff{rand: p.agent.rand}
 	if !p.store.Confirmed() {
 		p.fetchFromAll(ctx)
 	}
 	for ctx.Err() == nil {
-		sources := p.currentSources()
+		sources := p.selectSource()
 		if len(sources) == 0 {
 			p.agent.direct.read(ctx)
 			b.wait(ctx)
@@ -120,9 +124,10 @@
 	}
 }
 
-// currentSources returns the sources of the current plan. It switches to the preferred source after a
-// change of the plan and at intervals of preferredSourceRetry.
-func (p *poller) currentSources() []external.Instance {
+// selectSource sets index to the source to poll next and returns the sources of the current plan. It
+// clears the pending flags, and switches to the preferred source after a change of the plan and at
+// intervals of preferredSourceRetry.
+func (p *poller) selectSource() []external.Instance {
 	sources := p.agent.Plan().Sources
 	p.mu.Lock()
 	planPending := p.planPending
@@ -132,9 +137,9 @@
 		return nil
 	}
 	p.index %= len(sources)
-	stale := p.established && p.index != 0 && time.Since(p.establishedAt) > preferredSourceRetry
-	if stale || planPending && sources[p.index].ID != p.source || planPending && p.index != 0 {
-		p.index, p.established = 0, false
+	retryPreferred := p.longPolling && p.index != 0 && time.Since(p.longPollingSince) > preferredSourceRetry
+	if retryPreferred || planPending && sources[p.index].ID != p.lastContactSource || planPending && p.index != 0 {
+		p.index, p.longPolling = 0, false
 	}
 	return sources
 }
@@ -143,22 +148,22 @@
 func (p *poller) poll(ctx context.Context, sources []external.Instance) bool {
 	src := sources[p.index]
 	wait := time.Duration(0)
-	if p.established && !p.behind() {
+	if p.longPolling && !p.behind() {
 		wait = PollWait - p.agent.rand.jitter(PollWait/4) // spreads the polls of processes that started together
 	}
-	confirmed, err := p.fetch(ctx, src, wait)
+	inContact, err := p.fetch(ctx, src, wait)
 	switch {
 	case ctx.Err() != nil || errors.Is(err, errInterrupted):
 		return true
 	case err != nil:
 		p.agent.cfg.Log(fmt.Errorf("poll of %s at %s: %w", src.ID, src.Address, err))
 		return p.handleFailure(ctx, len(sources))
-	case !confirmed:
+	case !inContact:
 		return p.handleNoContact(ctx, len(sources))
 	}
 	p.failures, p.noContactPolls = 0, 0
-	if !p.established || p.source != src.ID {
-		p.established, p.source, p.establishedAt = true, src.ID, time.Now()
+	if !p.longPolling || p.lastContactSource != src.ID {
+		p.longPolling, p.lastContactSource, p.longPollingSince = true, src.ID, time.Now()
 	}
 	if p.behind() {
 		return p.handleBehind(ctx, len(sources))
@@ -167,13 +172,14 @@
 	return true
 }
 
-// handleFailure switches to the next source. After every source has failed in turn, it reads the
-// key-value service directly.
-func (p *poller) handleFailure(ctx context.Context, n int) bool {
-	p.established = false
+// handleFailure switches to the next source. Once as many polls have failed as there are sources, it
+// marks the store as not in contact and reads the key-value service directly. Like poll, it returns
+// false if the poller should back off.
+func (p *poller) handleFailure(ctx context.Context, sourceCount int) bool {
+	p.longPolling = false
 	p.index++
 	p.failures++
-	if p.failures < n {
+	if p.failures < sourceCount {
 		return true
 	}
 	p.store.setInContact(false)
@@ -181,34 +187,37 @@
 	return false
 }
 
-// handleNoContact switches to the next source. After every source in turn had no contact, it
-// long-polls each of them in turn, since the key-value service is down for all of them.
-func (p *poller) handleNoContact(ctx context.Context, n int) bool {
+// handleNoContact switches to the next source. Once as many polls as there are sources have found no
+// contact, it marks the store as not in contact, reads the key-value service directly, and lets the
+// next polls wait, since the other sources have no contact either. It always returns true, so that the
+// poller does not back off.
+func (p *poller) handleNoContact(ctx context.Context, sourceCount int) bool {
 	p.index++
 	p.noContactPolls++
-	p.established = p.noContactPolls >= n
-	if !p.established {
+	p.longPolling = p.noContactPolls >= sourceCount
+	if !p.longPolling {
 		return true
 	}
-	p.establishedAt = time.Now()
+	p.longPollingSince = time.Now()
 	p.store.setInContact(false)
 	p.agent.direct.read(ctx)
 	return true
 }
 
 // handleBehind switches to the next source to look for an observed revision. After all sources it
-// reads the key-value service directly.
-func (p *poller) handleBehind(ctx context.Context, n int) bool {
+// reads the key-value service directly. It always returns false, so that the poller backs off.
+func (p *poller) handleBehind(ctx context.Context, sourceCount int) bool {
 	p.index++
 	p.behindPolls++
-	if p.behindPolls >= n {
+	if p.behindPolls >= sourceCount {
 		p.agent.direct.read(ctx)
 	}
 	return false
 }
 
-// fetch polls one source and offers its documents to the store. It returns the confirmed flag of the
-// response, or errInterrupted if planChanged or observe interrupted the poll.
+// fetch polls one source and offers its documents to the store. It reports whether the source is in
+// contact with the key-value service, or returns errInterrupted if planChanged or observe interrupted
+// the poll.
 func (p *poller) fetch(ctx context.Context, src external.Instance, wait time.Duration) (bool, error) {
 	limit := wait + responseMargin
 	if wait == 0 {
@@ -224,7 +233,7 @@
 		cancel(errInterrupted)
 	}
 	p.mu.Unlock()
-	docs, confirmed, err := p.agent.cfg.Dial(src).Fetch(ctx, p.knownRevisions(), wait)
+	docs, inContact, err := p.agent.cfg.Dial(src).Fetch(ctx, p.knownRevisions(), wait)
 	if err != nil {
 		if errors.Is(context.Cause(ctx), errInterrupted) {
 			return false, errInterrupted
@@ -232,24 +241,24 @@
 		return false, err
 	}
 	p.store.Offer(docs...)
-	if confirmed {
-		p.store.confirm()
+	if inContact {
+		p.store.confirmInContact()
 	}
-	return confirmed, nil
+	return inContact, nil
 }
 
 // knownRevisions returns the revisions to send with a poll.
 func (p *poller) knownRevisions() map[string]uint64 {
-	if p.shouldFetchOlder() {
-		return p.store.revisionsOfActive()
+	if p.takeOlderFetchTurn() {
+		return p.store.highestOfActiveServices()
 	}
 	return p.store.Revisions()
 }
 
-// shouldFetchOlder reports whether to fetch older documents because a service has no active one. It
-// returns true at most once per olderDocumentInterval.
-func (p *poller) shouldFetchOlder() bool {
-	if len(p.store.revisionsOfActive()) == len(p.store.Snapshot()) || time.Since(p.olderFetchedAt) < olderDocumentInterval {
+// takeOlderFetchTurn returns true if some service has no active document and olderDocumentInterval has
+// passed since it last returned true. The caller then fetches older documents.
+func (p *poller) takeOlderFetchTurn() bool {
+	if len(p.store.highestOfActiveServices()) == len(p.store.Snapshot()) || time.Since(p.olderFetchedAt) < olderDocumentInterval {
 		return false
 	}
 	p.olderFetchedAt = time.Now()
@@ -258,18 +267,18 @@
 
 // fetchFromAll fetches from all sources at once and offers all documents to the store. It marks the
 // store as confirmed if any source is in contact with the key-value service, and otherwise as ready if
-// enough sources answered.
+// minBootstrapPeers is reached.
 func (p *poller) fetchFromAll(ctx context.Context) {
 	sources := p.agent.Plan().Sources
-	have := p.store.revisionsOfActive()
-	var answered sync.WaitGroup
+	have := p.store.highestOfActiveServices()
+	var fetches sync.WaitGroup
 	var mu sync.Mutex
-	answers, anyConfirmed := 0, false
+	answers, anyInContact := 0, false
 	for _, src := range sources {
-		answered.Go(func() {
+		fetches.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
-			docs, confirmed, err := p.agent.cfg.Dial(src).Fetch(ctx, have, 0)
+			docs, inContact, err := p.agent.cfg.Dial(src).Fetch(ctx, have, 0)
 			if err != nil {
 				return
 			}
@@ -277,16 +286,16 @@
 			mu.Lock()
 			defer mu.Unlock()
 			answers++
-			anyConfirmed = anyConfirmed || confirmed
+			anyInContact = anyInContact || inContact
 		})
 	}
-	answered.Wait()
+	fetches.Wait()
 	switch {
-	case anyConfirmed && p.agent.Plan().Relay:
+	case anyInContact && p.agent.Plan().Relay:
 		// A relay is in contact with the key-value service only through its own watch.
 		p.store.markConfirmed()
-	case anyConfirmed:
-		p.store.confirm()
+	case anyInContact:
+		p.store.confirmInContact()
 	case answers > 0 && answers >= min(minBootstrapPeers, len(sources)):
 		p.store.markReady()
 	}
--- a/dissemination/property_test.go
+++ b/dissemination/property_test.go
@@ -27,7 +27,7 @@
 	pause  time.Duration
 }
 
-var actions = []string{"apply", "apply", "kill", "restart", "restart", "hang", "wake", "cut off", "reconnect", "down", "up", "slow", "publish", "old peer"}
+var actions = []string{"apply", "apply", "kill", "restart", "restart", "hang", "wake", "cut off", "reconnect", "down", "up", "slow", "publish", "offer old"}
 
 // Guards against a revision that decreases in any process, and against processes that do not converge
 // after any sequence of kills, restarts, pauses, partitions and outages.
@@ -69,7 +69,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.regressed
+	return f.revisionErr
 }
 
 func (f *fleet) applyStep(s step, revision *uint64) {
@@ -108,7 +108,7 @@
 			}
 		}
 		f.publish(live)
-	case "old peer": // an offer of old documents, from a peer that is behind or a malicious one
+	case "offer old": // as from a peer that is behind, or a malicious one
 		p.store.Offer(testDocument(max(*revision, 2)-1), testDocument(1))
 	}
 }
@@ -200,24 +200,24 @@
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewStore()
-		s.confirm()
+		s.confirmInContact()
 		start := time.Now()
 		wait := func() ([]Document, bool, time.Duration) {
 			start = time.Now()
-			docs, confirmed, err := s.Wait(t.Context(), s.Revisions(), 3*time.Second)
+			docs, inContact, err := s.Wait(t.Context(), s.Revisions(), 3*time.Second)
 			require.NoError(t, err)
-			return docs, confirmed, time.Since(start)
+			return docs, inContact, time.Since(start)
 		}
-		_, confirmed, took := wait()
-		require.True(t, confirmed)
+		_, inContact, took := wait()
+		require.True(t, inContact)
 		require.Equal(t, 3*time.Second, took)
 		time.AfterFunc(time.Second, func() { s.Offer(testDocument(1)) })
 		docs, _, took := wait()
 		require.Equal(t, []Document{testDocument(1)}, docs)
 		require.Equal(t, time.Second, took)
 		time.AfterFunc(time.Second, func() { s.setInContact(false) })
-		_, confirmed, took = wait()
-		require.False(t, confirmed)
+		_, inContact, took = wait()
+		require.False(t, inContact)
 		require.Equal(t, time.Second, took)
 		require.True(t, s.Confirmed(), "lost contact does not undo the confirmation")
 		ctx, cancel := context.WithCancel(t.Context())
@@ -242,7 +242,7 @@
 }
 
 // Guards against a process that keeps an old document because its source receives no changes, although
-// ordinary traffic has carried a newer revision, and against an unlimited number of polls triggered by
+// a newer revision has been observed, and against an unlimited number of polls triggered by
 // forged revisions.
 func TestObserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -257,7 +257,7 @@
 		src = f.start(src.inst)
 		src.kill()
 		src.store.Offer(testDocument(1))
-		src.store.confirm()
+		src.store.confirmInContact()
 		var cancel func()
 		src.ctx, cancel = f.ctx, func() {}
 		src.cancel = cancel
--- a/dissemination/role.go
+++ b/dissemination/role.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// RelaysPerDataCentre is 2, so that the loss of one relay leaves another.
+	// RelaysPerDataCentre is the number of relays in each data centre. If one is lost, another remains.
 	RelaysPerDataCentre = 2
 	// maxSources limits the peers that one process polls.
 	maxSources = 8
@@ -20,8 +20,9 @@
 type Plan struct {
 	// Relay reports whether the process watches the key-value service itself.
 	Relay bool
-	// Sources are the peers that the process polls otherwise, in order of preference. A relay uses
-	// them while it has no contact with the key-value service.
+	// Sources are the peers that a process polls if it is no relay, in order of preference. A relay
+	// fetches from them while it has no contact with the key-value service, and to get older
+	// documents of a service whose newest one it cannot parse.
 	Sources []external.Instance
 	// ProcessCount is the number of entries and sidecars, which sets the rate of direct reads.
 	ProcessCount int
@@ -30,7 +31,7 @@
 // NewPlan derives the plan of a process from the instance list. Processes with the same list choose
 // the same relays. The order of the sources differs between processes, to spread the polls.
 func NewPlan(instances []external.Instance, self external.Instance) Plan {
-	entries := liveEntries(instances)
+	entries := usableEntries(instances)
 	plan := Plan{ProcessCount: len(instances)}
 	relays := selectRelays(entries)
 	if self.Role == external.RoleEntry {
@@ -42,8 +43,8 @@
 	return plan
 }
 
-// liveEntries returns the live entries, or the leaving ones if none is live.
-func liveEntries(instances []external.Instance) []external.Instance {
+// usableEntries returns the entries that are not leaving, or all entries if every one is leaving.
+func usableEntries(instances []external.Instance) []external.Instance {
 	var live, leaving []external.Instance
 	for _, in := range instances {
 		switch {
--- a/dissemination/spread_test.go
+++ b/dissemination/spread_test.go
@@ -105,7 +105,7 @@
 // Guards against a load on the key-value service that grows with the number of processes: without
 // changes, with changes, and after all processes start at once.
 func TestKeyValueServiceLoad(t *testing.T) {
-	counts := map[int]kv.Calls{}
+	idleCalls := map[int]kv.Calls{}
 	for _, sidecars := range []int{10, 80} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 3, 20, sidecars)
@@ -121,9 +121,9 @@
 			before = f.kv.Calls()
 			fetches := f.fetches()
 			time.Sleep(time.Minute)
-			rest := callsSince(f.kv.Calls(), before)
+			idle := callsSince(f.kv.Calls(), before)
 			total, most := f.fetchesSince(fetches)
-			t.Logf("%d processes: 60 s without changes: %+v; fetches served: %d in total, %d by the busiest process", len(f.list), rest, total, most)
+			t.Logf("%d processes: 60 s without changes: %+v; fetches served: %d in total, %d by the busiest process", len(f.list), idle, total, most)
 
 			before = f.kv.Calls()
 			for i := range uint64(10) {
@@ -151,15 +151,15 @@
 			restart := callsSince(f.kv.Calls(), before)
 			t.Logf("%d processes: restart of all during an outage of 20 s: active %v after its end; calls: %+v", len(f.list), took, restart)
 			require.Zero(t, restart.Rejected)
-			counts[sidecars] = rest
+			idleCalls[sidecars] = idle
 		})
 	}
-	require.InDelta(t, counts[10].Reads, counts[80].Reads, 60, "reads without changes")
-	require.InDelta(t, counts[10].Watches, counts[80].Watches, 12, "watches without changes")
+	require.InDelta(t, idleCalls[10].Reads, idleCalls[80].Reads, 60, "reads without changes")
+	require.InDelta(t, idleCalls[10].Watches, idleCalls[80].Watches, 12, "watches without changes")
 }
 
-func callsSince(a, b kv.Calls) kv.Calls {
-	return kv.Calls{Reads: a.Reads - b.Reads, Writes: a.Writes - b.Writes, Watches: a.Watches - b.Watches, Rejected: a.Rejected - b.Rejected}
+func callsSince(now, before kv.Calls) kv.Calls {
+	return kv.Calls{Reads: now.Reads - before.Reads, Writes: now.Writes - before.Writes, Watches: now.Watches - before.Watches, Rejected: now.Rejected - before.Rejected}
 }
 
 func (f *fleet) fetches() map[string]int64 {
--- a/dissemination/store.go
+++ b/dissemination/store.go
@@ -56,7 +56,8 @@
 // Snapshot maps each service to its state at one moment. Callers must not modify it.
 type Snapshot map[string]*ServiceState
 
-// Service returns the state of a service, or nil if it has no active document.
+// Service returns the state of a service, or nil if the service is unknown or deleted, or if none of its
+// documents could be parsed.
 func (s Snapshot) Service(name string) *ServiceState {
 	if state := s[name]; state != nil && state.Parsed != nil {
 		return state
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// Refusal reports a document that a Store rejected.
+// Refusal reports a document that a Store refused: it cannot be parsed, or differs from the active one
+// with the same revision.
 type Refusal struct {
 	Service  string
 	Revision uint64
@@ -86,7 +88,7 @@
 	ready     chan struct{}
 }
 
-// NewStore returns an empty store. It reports each rejected document to the given functions. They
+// NewStore returns an empty store. It reports each refused document to the given functions. They
 // are called with the store's lock held, so they must not call the store.
 func NewStore(onRefused ...func(Refusal)) *Store {
 	s := &Store{changed: make(chan struct{}), ready: make(chan struct{}), onRefused: onRefused}
@@ -117,8 +119,8 @@
 // that changed the state of their service.
 func (s *Store) Offer(docs ...Document) int {
 	docs = slices.Clone(docs)
-	// Lower revisions first, so that the highest one that parses ends up active whatever the order
-	// of the arguments, and older ones are still tried.
+	// Ascending, so that every document newer than the active one is tried, and documents with
+	// different revisions give the same result in any order of the arguments.
 	slices.SortStableFunc(docs, func(a, b Document) int { return cmp.Compare(a.Revision, b.Revision) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +139,9 @@
 	return changed
 }
 
-// nextState returns the state of a service after a document is applied, or nil if nothing changes.
+// nextState returns the state of a service after a document is applied, or nil if nothing changes. It
+// reports a document that conflicts with the active one, and one that cannot be parsed and has the
+// highest revision seen.
 func (s *Store) nextState(old *ServiceState, d Document) *ServiceState {
 	if old == nil {
 		old = &ServiceState{}
@@ -196,9 +200,9 @@
 	s.changed = make(chan struct{})
 }
 
-// confirm records that the process is in contact with the key-value service and that the documents
+// confirmInContact records that the process is in contact with the key-value service and that the documents
 // offered so far include all that the service held.
-func (s *Store) confirm() {
+func (s *Store) confirmInContact() {
 	s.markConfirmed()
 	s.setInContact(true)
 }
@@ -247,9 +251,9 @@
 	return have
 }
 
-// revisionsOfActive is Revisions without the services that have no active document, so that a peer
-// sends any older documents that it has of them.
-func (s *Store) revisionsOfActive() map[string]uint64 {
+// highestOfActiveServices returns the highest revision seen of each service with an active document. A
+// peer that gets these revisions sends all its documents of the other services, also older ones.
+func (s *Store) highestOfActiveServices() map[string]uint64 {
 	have := map[string]uint64{}
 	for name, state := range s.Snapshot() {
 		if state.hasActive() {
@@ -278,15 +282,16 @@
 
 // Wait serves a peer's long poll. It returns as soon as there are documents with higher revisions
 // than the peer has, or this process loses or regains contact with the key-value service, and
-// otherwise after the given time. The second result is the confirmed flag of the response: it is
-// true if this process is currently in contact with the key-value service.
+// otherwise, without documents, after the given time, which MaxWait limits. The second result reports
+// whether this process is currently in contact with the key-value service; it is sent as the confirmed
+// flag of the response. The error is that of ctx.
 func (s *Store) Wait(ctx context.Context, have map[string]uint64, wait time.Duration) ([]Document, bool, error) {
 	timer := time.NewTimer(min(wait, MaxWait))
 	defer timer.Stop()
-	for started := s.InContact(); ; {
+	for wasInContact := s.InContact(); ; {
 		changed := s.Changed()
 		docs, inContact := s.NewerThan(have), s.InContact()
-		if len(docs) > 0 || inContact != started || wait <= 0 {
+		if len(docs) > 0 || inContact != wasInContact || wait <= 0 {
 			return docs, inContact, nil
 		}
 		select {
--- a/dissemination/timing.go
+++ b/dissemination/timing.go
@@ -10,9 +10,9 @@
 	"github.com/quetzallug/quetzallug/internal/pause"
 )
 
-// With these times, a document gets from the key-value service through a relay and an entry to a
-// sidecar within the required 8 s even if one of them hangs: the first hung peer costs
-// PollWait + responseMargin, each further one only probeTimeout.
+// These times let a document reach every process (key-value service, relay, entry, sidecar) within the
+// required 8 s although peers hang. The first hung peer of a process costs it
+// PollWait + responseMargin, each further one probeTimeout.
 const (
 	// PollWait is the longest wait that a long poll requests.
 	PollWait = 4 * time.Second
@@ -32,9 +32,11 @@
 	// contact with the key-value service, which the watch alone does not show.
 	healthInterval = 2 * time.Second
 	healthTimeout  = 2 * time.Second
-	listTimeout    = 3 * time.Second
-	// watchTimeout limits the delay of a change whose watch response is lost while the health
-	// check still works. It is below the key-value service's own wait limit of 20 s.
+	// listTimeout limits one read of all documents.
+	listTimeout = 3 * time.Second
+	// watchTimeout limits one watch call, and thereby the delay of a change whose response is lost
+	// while the health check still works. It is below the key-value service's own wait limit of
+	// 20 s.
 	watchTimeout = 5 * time.Second
 
 	backoffMin = 100 * time.Millisecond
@@ -46,8 +48,8 @@
 	directReadInterval           = 5 * time.Second
 	directReadIntervalPerProcess = 50 * time.Millisecond
 
-	// observeInterval is the shortest time between two early polls triggered by revisions in
-	// ordinary traffic, because a peer can send any number of them.
+	// observeInterval is the shortest time between two early polls triggered by observed revisions,
+	// because a peer can send any number of them.
 	observeInterval = time.Second
 	// observationTTL is the time after which an observed revision that no source has is
 	// discarded.
