--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkObserve measures an answer that changes no exported state, the usual outcome of an attempt.
+// BenchmarkObserve measures an answer that changes no published state, the usual outcome of an attempt.
 func BenchmarkObserve(b *testing.B) {
 	v := fullSizeView(b)
 	e := membership.Evidence{ID: "worker-77", Address: "10.0.0.77:8000", Incarnation: "1", Kind: membership.Answered}
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// probesBeforeRemoval is the number of probes that an idle member gets before it is removed because it is
-// absent from the list.
+// probesBeforeRemoval is the number of probes sent within AbsentTimeout to a member that is absent from
+// the list, so that it can answer before it is removed.
 const probesBeforeRemoval = 4
 
-// Kind is the kind of an observation about a member.
+// Kind tells what was observed about a member.
 type Kind uint8
 
 // Kinds of observations.
@@ -18,9 +18,9 @@
 	Answered Kind = iota + 1
 	// Draining means that the member refused a request as "draining" or sent a drain notice.
 	Draining
-	// Refused means that the connection was refused.
+	// Refused means that the member's address refused the connection.
 	Refused
-	// Silent means that an attempt or probe got no response within Settings.ResponseTimeout.
+	// Silent means a timeout: an attempt or probe got no response within Settings.ResponseTimeout.
 	Silent
 )
 
@@ -33,8 +33,9 @@
 	// Incarnation identifies the process that answered, empty if unknown. A refusal because of a wrong
 	// incarnation counts as an answer: it is how an entry learns the incarnation at its first request.
 	Incarnation string
-	// Started is the time at which the attempt or probe was sent. An answer to something sent before
-	// a drain notice arrived does not cancel the notice.
+	// Started is the time at which the attempt or probe was sent. An answer cancels a drain notice of
+	// the same process only if Started is after the notice arrived; a refused connection or a timeout
+	// counts only if Started is not before the last answer.
 	Started time.Time
 }
 
@@ -43,7 +44,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	m := v.members[e.ID]
-	if m == nil || !v.isCurrent(m, now, &e) {
+	if m == nil || !v.applyIncarnation(m, now, &e) {
 		return
 	}
 	switch e.Kind {
@@ -61,7 +62,7 @@
 		if e.Started.Before(m.lastAnswer) {
 			return
 		}
-		m.refused = true
+		m.connectionRefused = true
 		v.scheduleProbe(m, now)
 		m.useListAddress()
 	case Silent:
@@ -69,7 +70,7 @@
 			return
 		}
 		if m.timeouts == 0 {
-			m.unresponsiveSince = e.Started
+			m.firstTimeoutSentAt = e.Started
 		}
 		m.timeouts++
 		v.scheduleProbe(m, now)
@@ -80,9 +81,10 @@
 	v.recompute(now)
 }
 
-// isCurrent reports whether the evidence is about the process that currently has the member's ID. A
-// higher incarnation replaces a lower one; evidence about a lower one is discarded.
-func (v *View) isCurrent(m *member, now time.Time, e *Evidence) bool {
+// applyIncarnation updates the member's incarnation and addresses from the evidence; a higher incarnation
+// replaces a lower one. It returns false if the evidence is about another process than the current one,
+// and is to be discarded.
+func (v *View) applyIncarnation(m *member, now time.Time, e *Evidence) bool {
 	if e.Incarnation == "" {
 		return e.Address == "" || e.Address == m.inst.Address
 	}
@@ -103,7 +105,7 @@
 			m.supersededAddress = m.incarnationAddress
 		}
 		m.incarnation = e.Incarnation
-		m.drainingSince, m.refused, m.timeouts = time.Time{}, false, 0
+		m.drainingSince, m.connectionRefused, m.timeouts = time.Time{}, false, 0
 	}
 	if e.Address != "" {
 		m.incarnationAddress = e.Address
@@ -112,7 +114,7 @@
 	return true
 }
 
-// handleAnswer reports whether the member's exported state may have changed.
+// handleAnswer applies an answer. It reports whether the member's published state may have changed.
 func (v *View) handleAnswer(m *member, now time.Time, e *Evidence) bool {
 	m.recordAnswer(now)
 	if !m.drainingSince.IsZero() && e.Started.After(m.drainingSince) {
@@ -129,7 +131,8 @@
 	return false
 }
 
-// useListAddress returns to the address in the list after the process that superseded it has gone.
+// useListAddress makes the listed address current again, because the process at the current address no
+// longer responds.
 func (m *member) useListAddress() {
 	if m.inst.Address != m.listAddress {
 		m.inst.Address, m.supersededAddress = m.listAddress, ""
@@ -139,7 +142,7 @@
 // recordAnswer clears the evidence of failures.
 func (m *member) recordAnswer(now time.Time) {
 	m.lastAnswer = now
-	m.refused, m.timeouts = false, 0
+	m.connectionRefused, m.timeouts = false, 0
 }
 
 // scheduleProbe sets the time of the next probe with jittered exponential back-off.
@@ -160,8 +163,9 @@
 	}
 }
 
-// ProbesDue returns the members to probe now, the most overdue first, and schedules their next probes.
-// It covers members that are not live and members that are absent from the list.
+// ProbesDue returns the members to probe now, as many as ProbesPerSecond allows, the most overdue first,
+// and schedules their next probes. It covers members that are not live, except those that only the list
+// reports as leaving, and members that are absent from the list.
 func (v *View) ProbesDue(now time.Time) []Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -185,7 +189,7 @@
 		} else {
 			v.scheduleProbe(m, now)
 		}
-		probes = append(probes, m.export())
+		probes = append(probes, m.toMember())
 	}
 	return probes
 }
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -36,11 +36,15 @@
 
 // simulation models two pools of workers, and the instance list that describes them.
 type simulation struct {
-	mu      sync.Mutex
-	event   string
-	list    string
-	eventAt time.Time
-	view    *membership.View
+	mu sync.Mutex
+	// event is what happens at eventAt. "leaving", "dead" and "paused" are conditions of the faulty
+	// worker; during "pool silent 3 s" all workers of its pool are paused for pauseTime.
+	event string
+	// listCondition is how the list shows the event: "right", "lagging 5 s", "wrong", "empty" or
+	// "unreachable".
+	listCondition string
+	eventAt       time.Time
+	view          *membership.View
 	// lastWork is the time at which the last attempt after the event was sent to the faulty worker. A
 	// leaving worker refuses such attempts.
 	lastWork time.Time
@@ -68,14 +72,14 @@
 // Instances implements external.InstanceList.
 func (s *simulation) Instances(_ context.Context, after uint64) (external.InstanceSnapshot, error) {
 	since := time.Since(s.eventAt)
-	if s.list == "lagging 5 s" {
+	if s.listCondition == "lagging 5 s" {
 		since -= listLag
 	}
 	instances := workers(workersPerPool, "a", "b")
 	if since < 0 {
 		return newerThan(snapshot(1, instances), after)
 	}
-	switch s.list {
+	switch s.listCondition {
 	case "unreachable":
 		return external.InstanceSnapshot{}, errors.New("instance list is down")
 	case "empty":
@@ -147,7 +151,8 @@
 	s.view.Observe(time.Now(), e)
 }
 
-// countUsable counts the healthy workers, and those of them that may get work.
+// countUsable returns the number of healthy workers that may get work, and that of all healthy workers.
+// During "pool silent 3 s" all workers count as healthy.
 func (s *simulation) countUsable() (usable, healthy int) {
 	for _, in := range workers(workersPerPool, "a", "b") {
 		if s.event != "pool silent 3 s" && s.condition(in.ID) != "" {
@@ -173,9 +178,9 @@
 }
 
 // measure runs the workers, the list and the load for one event, and returns the figures.
-func measure(t *testing.T, event, list string, perSecond float64, seed uint64) result {
+func measure(t *testing.T, event, listCondition string, attemptsPerSecond float64, seed uint64) result {
 	ctx, cancel := context.WithCancel(t.Context())
-	s := &simulation{event: event, list: list, eventAt: time.Now().Add(warmUp), view: seededView(t, seed)}
+	s := &simulation{event: event, listCondition: listCondition, eventAt: time.Now().Add(warmUp), view: seededView(t, seed)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var wg sync.WaitGroup
@@ -183,7 +188,7 @@
 	wg.Go(func() {
 		rng := rand.New(rand.NewPCG(5, seed))
 		for ctx.Err() == nil {
-			time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
+			time.Sleep(time.Duration(rng.ExpFloat64() / attemptsPerSecond * float64(time.Second)))
 			if candidates := s.view.Snapshot().Usable(service); len(candidates) > 0 && ctx.Err() == nil {
 				m := candidates[rng.IntN(len(candidates))]
 				wg.Go(func() { s.attempt(m) })
@@ -210,24 +215,24 @@
 	return r
 }
 
-// Guards against new work for a leaving, dead or paused worker after 3 s (I7), and against healthy
+// Guards against new work for a leaving, dead or paused worker after 3 s, and against healthy
 // workers that get no work, for each condition of the list. Prints the figures of docs/membership.md.
 func TestMeasureMembership(t *testing.T) {
 	rates, seeds := []float64{100}, uint64(2)
 	if *measureAll {
 		rates, seeds = []float64{1, 10, 100}, 40
 	}
-	for _, perSecond := range rates {
+	for _, attemptsPerSecond := range rates {
 		for _, event := range []string{"leaving", "dead", "paused", "pool silent 3 s"} {
-			for _, list := range []string{"right", "lagging 5 s", "wrong", "empty", "unreachable"} {
-				name := fmt.Sprintf("%3.0f attempts/s, %-15s, list %-11s", perSecond, event, list)
+			for _, listCondition := range []string{"right", "lagging 5 s", "wrong", "empty", "unreachable"} {
+				name := fmt.Sprintf("%3.0f attempts/s, %-15s, list %-11s", attemptsPerSecond, event, listCondition)
 				var all []result
 				for seed := range seeds {
-					synctest.Test(t, func(t *testing.T) { all = append(all, measure(t, event, list, perSecond, seed)) })
+					synctest.Test(t, func(t *testing.T) { all = append(all, measure(t, event, listCondition, attemptsPerSecond, seed)) })
 				}
 				for _, r := range all {
 					require.LessOrEqual(t, r.lostMax, membership.DefaultSettings().MaxEjectedFraction, name)
-					if perSecond >= 100 && event != "pool silent 3 s" {
+					if attemptsPerSecond >= 100 && event != "pool silent 3 s" {
 						require.Less(t, r.lastWorkDelay, 3*time.Second, name)
 						require.Zero(t, r.lostFraction, name)
 					}
--- a/membership/recompute.go
+++ b/membership/recompute.go
@@ -12,8 +12,8 @@
 
 type serviceKey struct{ role, service string }
 
-// recompute removes expired members, derives all states, and publishes a new snapshot if any exported
-// state has changed.
+// recompute removes expired members, derives all states, and publishes a new snapshot if any
+// published state has changed.
 func (v *View) recompute(now time.Time) {
 	for id, m := range v.members {
 		if !m.inList && v.isExpired(m, now) {
@@ -26,11 +26,12 @@
 	v.publish(all)
 }
 
-// assignStates derives the state of each member from its evidence. Members that have gone without a
-// response for longest are ejected first, up to the limit of their pool. New work is withheld from
-// further suspects up to the same limit applied to the whole service. That limit includes the ejected
-// members and is at least one if the service has several members: the pool limit of one to three
-// workers rounds down to zero, but a service with several workers can do without one.
+// assignStates derives the state of each member from its evidence. Suspects with at least
+// EjectAfterTimeouts timeouts are ejected, the longest unresponsive first, up to maxEjected of their
+// pool. Further suspects get no new work until, together with those, maxEjected of the service is
+// reached, or one if the service has several members: maxEjected of a small pool is 0, but a service
+// with several members can do without one. The other suspects keep getting work. Members ejected for a
+// refused connection do not count towards these limits.
 func (v *View) assignStates(all []*member) {
 	pools, services := map[poolKey]int{}, map[serviceKey]int{}
 	var suspects []*member
@@ -43,7 +44,7 @@
 			suspects = append(suspects, m)
 		}
 	}
-	slices.SortStableFunc(suspects, func(a, b *member) int { return a.unresponsiveSince.Compare(b.unresponsiveSince) })
+	slices.SortStableFunc(suspects, func(a, b *member) int { return a.firstTimeoutSentAt.Compare(b.firstTimeoutSentAt) })
 	ejected, withheld := map[poolKey]int{}, map[serviceKey]int{}
 	for _, m := range suspects {
 		if m.timeouts >= v.settings.EjectAfterTimeouts && ejected[m.pool()] < v.maxEjected(pools[m.pool()]) {
@@ -72,7 +73,7 @@
 	switch {
 	case m.inst.State == external.InstanceLeaving || !m.drainingSince.IsZero():
 		return StateLeaving
-	case m.refused:
+	case m.connectionRefused:
 		return StateEjected
 	case m.timeouts > 0:
 		return StateSuspect
@@ -80,7 +81,7 @@
 	return StateLive
 }
 
-// maxEjected returns how many of n members may be ejected for missing responses.
+// maxEjected returns how many of n members may be ejected for timeouts.
 func (v *View) maxEjected(n int) int { return int(v.settings.MaxEjectedFraction*float64(n) + 1e-9) }
 
 func (m *member) pool() poolKey {
@@ -89,7 +90,7 @@
 
 func (m *member) service() serviceKey { return serviceKey{m.inst.Role, m.inst.Service} }
 
-func (m *member) export() Member {
+func (m *member) toMember() Member {
 	return Member{Instance: m.inst, View: m.state, Incarnation: m.incarnation, Usable: m.usable}
 }
 
@@ -106,7 +107,7 @@
 		byID:    make(map[string]int, len(all)),
 	}
 	for i, m := range all {
-		e := m.export()
+		e := m.toMember()
 		s.Members[i] = e
 		s.byID[e.ID] = i
 		if e.Role == external.RoleSidecar && e.Usable {
@@ -129,7 +130,7 @@
 		return true
 	}
 	for i, m := range all {
-		if m.export() != published[i] {
+		if m.toMember() != published[i] {
 			return true
 		}
 	}
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -21,7 +21,7 @@
 }
 
 // Prober checks whether a member responds. Probe returns an error that wraps ErrConnectionRefused if
-// nothing listens at the address; any other error counts as a missing response.
+// nothing listens at the address; any other error counts as a timeout.
 type Prober interface {
 	Probe(ctx context.Context, m Member) (ProbeResult, error)
 }
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -1,7 +1,7 @@
 package membership
 
 import (
-	"errors"
+	"fmt"
 	"time"
 )
 
@@ -24,10 +24,10 @@
 	// ResponseTimeout is the time without a response after which an attempt or probe is reported as
 	// Silent.
 	ResponseTimeout time.Duration
-	// EjectAfterTimeouts is the number of successive attempts without a response after which a member
-	// is ejected. The first one makes it a suspect.
+	// EjectAfterTimeouts is the number of timeouts since the last answer after which a member is
+	// ejected. The first one makes it a suspect.
 	EjectAfterTimeouts int
-	// MaxEjectedFraction limits the fraction of a pool that is ejected for missing responses.
+	// MaxEjectedFraction limits the fraction of a pool that is ejected for timeouts.
 	MaxEjectedFraction float64
 	// ProbeBackoffMin and ProbeBackoffMax limit the back-off between probes.
 	ProbeBackoffMin, ProbeBackoffMax time.Duration
@@ -60,21 +60,24 @@
 	}
 }
 
-// Validate reports the first setting that is out of range.
+// Validate returns an error if a setting is out of range.
 func (s *Settings) Validate() error {
 	switch {
 	case s.PollInterval <= 0 || s.PollTimeout <= 0 || s.FullPollEvery < 1:
-		return errors.New("membership: poll interval, poll timeout and full poll interval must be positive")
+		return fmt.Errorf("membership: PollInterval %s and PollTimeout %s must be above 0, FullPollEvery %d at least 1",
+			s.PollInterval, s.PollTimeout, s.FullPollEvery)
 	case s.ListConfirmTime <= 0 || s.AbsentTimeout <= 0 || s.ResponseTimeout <= 0:
-		return errors.New("membership: list confirm time, absent timeout and response timeout must be positive")
+		return fmt.Errorf("membership: ListConfirmTime %s, AbsentTimeout %s and ResponseTimeout %s must be above 0",
+			s.ListConfirmTime, s.AbsentTimeout, s.ResponseTimeout)
 	case s.EjectAfterTimeouts < 1:
-		return errors.New("membership: timeouts before ejection must be at least 1")
+		return fmt.Errorf("membership: EjectAfterTimeouts is %d, must be at least 1", s.EjectAfterTimeouts)
 	case s.MaxEjectedFraction < 0 || s.MaxEjectedFraction > 1:
-		return errors.New("membership: max ejected fraction must be between 0 and 1")
+		return fmt.Errorf("membership: MaxEjectedFraction is %g, must be between 0 and 1", s.MaxEjectedFraction)
 	case s.ProbesPerSecond <= 0:
-		return errors.New("membership: probes per second must be positive")
+		return fmt.Errorf("membership: ProbesPerSecond is %g, must be above 0", s.ProbesPerSecond)
 	case s.ProbeBackoffMin <= 0 || s.ProbeBackoffMax < s.ProbeBackoffMin || s.ProbeTick <= 0:
-		return errors.New("membership: probe back-off must satisfy 0 < min <= max, and probe tick must be positive")
+		return fmt.Errorf("membership: ProbeBackoffMin %s must be above 0, ProbeBackoffMax %s at least that, ProbeTick %s above 0",
+			s.ProbeBackoffMin, s.ProbeBackoffMax, s.ProbeTick)
 	}
 	return nil
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,15 +1,15 @@
 // Package membership combines the platform's instance list, which lags behind reality, with direct
-// observations of the members: answers, refusals, refused connections, missing responses and drain
-// notices.
+// observations of the members: answers, refusals, refused connections, timeouts and drain notices.
 //
 // Invariants:
 //
 //   - A member that reports that it is draining, or that is leaving according to the list, gets no new
 //     work.
-//   - At most Settings.MaxEjectedFraction of a pool is ejected for missing responses, so that the
+//   - At most Settings.MaxEjectedFraction of a pool is ejected for timeouts, so that the
 //     remaining members are not overloaded.
 //   - An unreachable list changes nothing. An empty list, or one older than the last, changes nothing
-//     until it has been returned for Settings.ListConfirmTime.
+//     until it has been returned for Settings.ListConfirmTime. An empty list is not accepted while any
+//     member answers.
 //   - Evidence from a lower incarnation of an instance ID has no effect.
 package membership
 
@@ -27,8 +27,8 @@
 // State is the state of a member as derived from the list and from direct evidence.
 type State string
 
-// States of a member. A suspect has not responded lately. An ejected member gets no work until it
-// answers a probe.
+// States of a member. A suspect has not answered since an attempt or probe timed out. An ejected member
+// gets no work until it answers.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -107,21 +107,22 @@
 	usable      bool
 	inList      bool
 	absentSince time.Time
-	// incarnation is the highest one seen, and incarnationAddress its address. inst.Address is the same
-	// unless the list contains a newer address.
+	// incarnation is the highest one that has answered, and incarnationAddress the address at which it
+	// last answered. inst.Address is the address in use: incarnationAddress, or listAddress if nothing
+	// has answered yet, the list has changed the address, or the member has stopped responding.
 	incarnation        string
 	incarnationAddress string
 	// supersededAddress is the address of a process with the same ID and a lower incarnation.
 	supersededAddress string
 	listAddress       string
 
-	drainingSince time.Time
-	refused       bool
-	// timeouts counts the attempts and probes without a response since the last answer.
+	drainingSince     time.Time
+	connectionRefused bool
+	// timeouts counts the attempts and probes that timed out since the last answer.
 	timeouts int
-	// unresponsiveSince is the time at which the first of them was sent.
-	unresponsiveSince time.Time
-	lastAnswer        time.Time
+	// firstTimeoutSentAt is the time at which the first of them was sent.
+	firstTimeoutSentAt time.Time
+	lastAnswer         time.Time
 
 	probeWait   time.Duration
 	nextProbe   time.Time
@@ -148,12 +149,14 @@
 	return v.list.version
 }
 
-// ApplyList merges a list into the view. It returns false if the list still needs confirmation.
+// ApplyList merges a list into the view. It returns false if the list is not accepted yet: an older or
+// empty one must have been returned for ListConfirmTime, and an empty one is not accepted while any
+// member answers.
 func (v *View) ApplyList(now time.Time, s external.InstanceSnapshot) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	regressed := len(s.Instances) == 0 && v.list.size > 0 || s.Version < v.list.version
-	if regressed {
+	doubtful := len(s.Instances) == 0 && v.list.size > 0 || s.Version < v.list.version
+	if doubtful {
 		if v.list.unconfirmedSince.IsZero() {
 			v.list.unconfirmedSince = now
 		}
@@ -184,7 +187,8 @@
 	return !v.list.unconfirmedSince.IsZero()
 }
 
-// ConfirmUnchanged records that the list service reported no change since the last accepted list.
+// ConfirmUnchanged records that the list service reported no change since the last accepted list. An
+// empty or older list that comes later must then be returned for the whole ListConfirmTime again.
 func (v *View) ConfirmUnchanged() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -216,7 +220,7 @@
 	}
 }
 
-// resolveDuplicate chooses between two list entries with the same ID: the one at the address of the
+// resolveDuplicate chooses between two listed instances with the same ID: the one at the address of the
 // highest incarnation that has answered, else the one that is not leaving, else the later one.
 func (v *View) resolveDuplicate(a, b external.Instance) external.Instance {
 	if m := v.members[a.ID]; m != nil && m.incarnationAddress != "" {
@@ -233,22 +237,24 @@
 	return b
 }
 
-// updateFromList applies a list entry. A new address means a new process, so the evidence about the
-// old one is discarded. The old incarnation is kept, and the new process must exceed it.
+// updateFromList applies an instance of the list. A new address means a new process, so the evidence
+// about the old one is discarded. The highest incarnation is kept, so that answers with a lower one
+// still have no effect.
 func (m *member) updateFromList(in external.Instance) {
 	m.inList, m.listAddress = true, in.Address
 	if in.Address == m.supersededAddress && m.incarnationAddress != "" {
 		in.Address = m.incarnationAddress
 	}
 	if in.Address != m.inst.Address && in.Address != m.incarnationAddress {
-		m.drainingSince, m.refused, m.timeouts = time.Time{}, false, 0
+		m.drainingSince, m.connectionRefused, m.timeouts = time.Time{}, false, 0
 		m.probeWait, m.nextProbe = 0, time.Time{}
 	}
 	m.inst = in
 }
 
-// compareIncarnations orders incarnations: decimal numbers by value, anything else as text, which is
-// right for time-ordered identifiers.
+// compareIncarnations returns a negative number, 0 or a positive number if a is lower than, equal to or
+// higher than b. It compares decimal numbers by value and anything else as text, which is right for
+// time-ordered identifiers.
 func compareIncarnations(a, b string) int {
 	if isDecimal(a) && isDecimal(b) {
 		a, b = strings.TrimLeft(a, "0"), strings.TrimLeft(b, "0")
@@ -263,8 +269,8 @@
 	return s != "" && strings.Trim(s, "0123456789") == ""
 }
 
-// Advance removes the members that are absent from the list and are draining, refused the connection or
-// have not answered for Settings.AbsentTimeout.
+// Advance removes the members that are absent from the list and are draining, have refused a connection,
+// or have neither been listed nor answered for Settings.AbsentTimeout.
 func (v *View) Advance(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -282,7 +288,7 @@
 	if m.lastAnswer.After(since) {
 		since = m.lastAnswer
 	}
-	return now.Sub(since) >= v.settings.AbsentTimeout || m.refused || !m.drainingSince.IsZero()
+	return now.Sub(since) >= v.settings.AbsentTimeout || m.connectionRefused || !m.drainingSince.IsZero()
 }
 
 // sortedMembers returns the members sorted by ID.
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -198,7 +198,7 @@
 	require.Len(t, probed, len(list))
 }
 
-// Guards against missing responses that eject more members than the limit of a pool or withhold work
+// Guards against timeouts that eject more members than the limit of a pool or withhold work
 // from more than the limit of a service, and against snapshots that contradict the evidence.
 func TestBoundsHoldForAnyEvidence(t *testing.T) {
 	settings := membership.DefaultSettings()
@@ -254,7 +254,7 @@
 	}
 	require.Len(t, s.Usable(service), usable)
 	for dc, k := range ejected {
-		require.LessOrEqual(t, float64(k), settings.MaxEjectedFraction*float64(n), "ejected for missing responses in %s", dc)
+		require.LessOrEqual(t, float64(k), settings.MaxEjectedFraction*float64(n), "ejected for timeouts in %s", dc)
 	}
 	require.LessOrEqual(t, float64(withheld), max(1, settings.MaxEjectedFraction*float64(2*n)))
 }
