--- a/route/route.go
+++ b/route/route.go
@@ -38,9 +38,9 @@
 	Prompt bool
 	// Timeout is the time limit for the whole answer.
 	Timeout time.Duration
-	// Target is the desired time to the answer, or to the first event of a stream.
+	// Target is the desired time to the answer, or to the first event of a stream. 0 means none.
 	Target time.Duration
-	// MaxPause is the desired longest pause between two events of a stream.
+	// MaxPause is the desired longest pause between two events of a stream. Nothing reads it.
 	MaxPause time.Duration
 	// Priority is the rank of the route. 0 is the most urgent.
 	Priority int
@@ -49,7 +49,8 @@
 	Shares      []Share
 }
 
-// Service selects the service for one request by weight. The same key always gives the same service.
+// Service selects the service for one request by weight. key identifies what must stay on one service:
+// the same key gives the same service as long as the shares stay the same.
 func (r *Route) Service(key string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -78,7 +79,8 @@
 
 // Service is a group of backend servers.
 type Service struct {
-	Name           string
+	Name string
+	// HealthPath and MaxConnections are values of the operator's configuration that nothing reads.
 	HealthPath     string
 	MaxConnections int
 	// Engine is nil for backend servers without a model engine.
@@ -87,10 +89,13 @@
 
 // Limits restrict the requests that callers may send.
 type Limits struct {
+	// MaxHeaderBytes, HeaderTimeout and IdleTimeout are values of the operator's configuration that
+	// nothing reads: the gateway's server has constant limits.
 	MaxHeaderBytes int
-	MaxBodyBytes   int64
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	// MaxBodyBytes limits the body of one request.
+	MaxBodyBytes  int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Table is the operator's configuration at one version.
