--- a/internal/app/common.go
+++ b/internal/app/common.go
@@ -91,8 +91,8 @@
 // observeTraffic exports a counter as two metrics, such as quetzallug_kv_bytes_in.
 func observeTraffic(m *telemetry.Metrics, name, what string, t *traffic.Counter) error {
 	return errors.Join(
-		m.Observe("quetzallug_"+name+"_bytes_in", what+" bytes received.", t.In.Load),
-		m.Observe("quetzallug_"+name+"_bytes_out", what+" bytes sent.", t.Out.Load))
+		m.ObserveCounter("quetzallug_"+name+"_bytes_in", what+" bytes received.", t.In.Load),
+		m.ObserveCounter("quetzallug_"+name+"_bytes_out", what+" bytes sent.", t.Out.Load))
 }
 
 // countTraffic exports the bytes that an adapter moves, if it can count them.
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -40,8 +40,8 @@
 
 // Gateway returns the daemon's gateway role.
 //
-// linesLeftOut returns the number of log lines that were left out so far.
-func Gateway(s *settings.Gateway, log *logrus.Logger, linesLeftOut func() int64) *fx.App {
+// droppedLogLines returns the number of log lines dropped so far.
+func Gateway(s *settings.Gateway, log *logrus.Logger, droppedLogLines func() int64) *fx.App {
 	debug.SetMemoryLimit(int64(s.MemoryMiB) << 20)
 	debug.SetGCPercent(gcPercent)
 	return fx.New(
@@ -56,7 +56,7 @@
 		// Hooks stop in reverse order.
 		fx.Invoke(
 			func(m *telemetry.Metrics, g *telemetry.Gateway, status statusFunc) error {
-				return g.Watch(m, status, linesLeftOut)
+				return g.ObserveStatus(m, status, droppedLogLines)
 			},
 			runFeed, ignoreHangup, serveGateway, runRoles, failReadiness,
 		),
@@ -98,7 +98,7 @@
 
 func newGateway(s *settings.Gateway, a Adapter, t *route.Holder, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) *gateway.Gateway {
 	return gateway.New(gateway.Config{
-		Instance: s.Instance, DataCentre: s.DataCentre, RetryWindow: s.RetryWindow, RetryShare: s.RetryShare, RetrySlack: s.OwnRetrySlack(),
+		Instance: s.Instance, DataCentre: s.DataCentre, RetryWindow: s.RetryWindow, RetryShare: s.RetryShare, RetrySlack: s.RetrySlackPerInstance(),
 	}, a, t, r, p, m, log)
 }
 
--- a/internal/app/gatewayhttp.go
+++ b/internal/app/gatewayhttp.go
@@ -79,10 +79,10 @@
 	srv := newServer(callers, log)
 	conns := newCallerConns(int(callerShare * float64(s.MaxFiles)))
 	conns.onUnread = func(from net.Addr) {
-		gm.Unread()
+		gm.UnreadRequest()
 		log.WithField("caller", from.String()).Info("connection ended before its request could be read")
 	}
-	conns.onDropped = func(idle bool) { gm.Dropped(idle) }
+	conns.onDropped = func(idle bool) { gm.DroppedConnection(idle) }
 	conns.attach(srv)
 	serveHTTP(lc, sd, log, srv, s.Listen, end, func(ctx context.Context) {
 		pause.For(ctx, time.Until(h.stopped.Add(min(s.LameDuck, s.Grace/2))))
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -11,7 +11,7 @@
 	"github.com/quetzallug/quetzallug/internal/logging"
 )
 
-// Gateway are the settings of a gateway.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
 	Instance       string        `mapstructure:"instance"`
 	DataCentre     string        `mapstructure:"data-centre"`
@@ -36,13 +36,14 @@
 	Grace          time.Duration `mapstructure:"grace"`
 }
 
-// maxInstances is the number of entries that one deployment is designed for.
-const maxInstances = 340
+// defaultInstances is the maximum number of instances that one deployment is designed for.
+const defaultInstances = 340
 
-// OwnRetrySlack is the part of the slack that this instance may use. Instances do not know how many
-// others run; if each of 300 used one request of the slack, they would exceed the 102 that one of the
-// known deployments allows.
-func (s *Gateway) OwnRetrySlack() float64 { return s.RetrySlack / float64(s.Instances) }
+// RetrySlackPerInstance returns the part of the retry slack that this instance may use. Instances do
+// not know how many others run, so the slack is divided by the maximum number of instances: if each
+// of 300 instances sent one retry out of the slack, together they would exceed the slack of 102 of
+// one of the known deployments.
+func (s *Gateway) RetrySlackPerInstance() float64 { return s.RetrySlack / float64(s.Instances) }
 
 // AddGateway adds the flags of a gateway.
 func AddGateway(f *pflag.FlagSet) {
@@ -51,61 +52,61 @@
 	f.String("listen", "127.0.0.1:8080", "IP address and port for callers")
 	f.String("ready-listen", "127.0.0.1:8081", "IP address and port of the readiness check")
 	f.String("metrics-listen", "", "IP address and port of the metrics; empty for none")
-	f.String("adapter", "adapter.platform", "module that translates between the installation and quetzallug")
+	f.String("adapter", "adapter.platform", "module that converts between the protocols of the installation and quetzallug")
 	f.String("adapter-address", "127.0.0.1:7000", "IP address and port of the installation's store")
-	f.Float64("retry-share", 0.1, "requests sent again, as a share of the requests for the same service")
-	f.Float64("retry-slack", 0, "requests that all instances together may send again in a window beside that share")
-	f.Int("instances", maxInstances, "largest number of instances that share retry-slack")
+	f.Float64("retry-share", 0.1, "maximum number of retries as a fraction of the requests for the same service")
+	f.Float64("retry-slack", 0, "number of retries in a window that all instances together may send in addition to retry-share")
+	f.Int("instances", defaultInstances, "maximum number of instances that share retry-slack")
 	f.Duration("retry-window", 10*time.Second, "length of the sliding window of the retry budget")
-	f.Duration("config-bound", 2*time.Second, "time within which an accepted configuration is in force")
-	f.Duration("drain-bound", 2*time.Second, "time within which a leaving backend server gets no more requests")
-	f.Duration("lease-ttl", 3500*time.Millisecond, "time to live of the lease for orders to engines; 0s gives no orders")
-	f.Duration("order-guard", 3*time.Second, "least time between the last order of one instance and the first of the next")
-	f.Int("max-files", 1024, "descriptors that the process may hold; callers' connections take 0.6 of them")
-	f.Int("memory", 96, "memory in MiB above which the garbage collector works harder")
-	f.String("log-level", "info", "least level logged: debug, info, warning or error")
+	f.Duration("config-bound", 2*time.Second, "maximum time until an accepted configuration takes effect")
+	f.Duration("drain-bound", 2*time.Second, "maximum time until a leaving backend server stops getting requests")
+	f.Duration("lease-ttl", 3500*time.Millisecond, "time to live of the lease for orders to engines; with 0s this instance sends no orders")
+	f.Duration("order-guard", 3*time.Second, "minimum time between the last order of one lease holder and the first order of the next")
+	f.Int("max-files", 1024, "maximum number of open file descriptors; connections of callers use at most 60 % of them")
+	f.Int("memory", 96, "soft limit of the Go runtime's memory in MiB")
+	f.String("log-level", "info", "minimum level to log: debug, info, warning or error")
 	f.String("log-format", logging.FormatJSON, "format of log lines: text or json")
-	f.Duration("lame-duck", 2500*time.Millisecond, "time between failing the readiness check and closing the listener at a stop; at most half of the grace time")
-	f.Duration("grace", 8*time.Second, "time between the signal to stop and the end of the process")
+	f.Duration("lame-duck", 2500*time.Millisecond, "time between the first failed readiness check and the close of the listener when the process stops; at most half of the grace time is used")
+	f.Duration("grace", 8*time.Second, "maximum time between the stop signal and the end of the process")
 }
 
-// ReadGateway reads and checks the settings of a gateway.
+// ReadGateway reads and validates the settings of a gateway.
 func ReadGateway(cmd *cobra.Command) (*Gateway, error) {
 	var s Gateway
-	if err := read(cmd, &s); err != nil {
+	if err := unmarshal(cmd, &s); err != nil {
 		return nil, err
 	}
 	return &s, s.Validate()
 }
 
-// Validate returns all errors at once.
+// Validate returns one error that joins the errors of all invalid settings.
 func (s *Gateway) Validate() error {
 	_, logErr := logging.New(nil, s.LogLevel, s.LogFormat)
 	errs := []error{
-		required("instance", s.Instance), required("data-centre", s.DataCentre), required("adapter", s.Adapter),
-		address("listen", s.Listen), address("ready-listen", s.ReadyListen), address("adapter-address", s.AdapterAddress),
-		positive("retry-window", s.RetryWindow), positive("config-bound", s.ConfigBound), positive("drain-bound", s.DrainBound), positive("grace", s.Grace), atLeast("memory", s.MemoryMiB, 16), atLeast("max-files", s.MaxFiles, 64), atLeast("instances", s.Instances, 1), logErr,
+		checkRequired("instance", s.Instance), checkRequired("data-centre", s.DataCentre), checkRequired("adapter", s.Adapter),
+		checkAddress("listen", s.Listen), checkAddress("ready-listen", s.ReadyListen), checkAddress("adapter-address", s.AdapterAddress),
+		checkPositive("retry-window", s.RetryWindow), checkPositive("config-bound", s.ConfigBound), checkPositive("drain-bound", s.DrainBound), checkPositive("grace", s.Grace), checkMinimum("memory", s.MemoryMiB, 16), checkMinimum("max-files", s.MaxFiles, 64), checkMinimum("instances", s.Instances, 1), logErr,
 	}
 	if s.LeaseTTL != 0 && s.LeaseTTL < time.Second {
-		errs = append(errs, fmt.Errorf("setting lease-ttl: found %s, allowed are 0s and durations from 1s", s.LeaseTTL))
+		errs = append(errs, fmt.Errorf("setting lease-ttl: found %s, must be 0s or at least 1s", s.LeaseTTL))
 	}
 	if s.OrderGuard < 0 {
-		errs = append(errs, fmt.Errorf("setting order-guard: found %s, allowed are 0s and more", s.OrderGuard))
+		errs = append(errs, fmt.Errorf("setting order-guard: found %s, must be at least 0s", s.OrderGuard))
 	}
 	if s.MetricsListen != "" {
-		errs = append(errs, address("metrics-listen", s.MetricsListen))
+		errs = append(errs, checkAddress("metrics-listen", s.MetricsListen))
 	}
 	if s.RetryShare < 0 || s.RetryShare > 1 {
-		errs = append(errs, fmt.Errorf("setting retry-share: found %g, allowed are 0 to 1", s.RetryShare))
+		errs = append(errs, fmt.Errorf("setting retry-share: found %g, must be between 0 and 1", s.RetryShare))
 	}
 	if s.RetrySlack < 0 {
-		errs = append(errs, fmt.Errorf("setting retry-slack: found %g, allowed are 0 and more", s.RetrySlack))
+		errs = append(errs, fmt.Errorf("setting retry-slack: found %g, must be at least 0", s.RetrySlack))
 	}
 	if s.LameDuck < 0 {
-		errs = append(errs, fmt.Errorf("setting lame-duck: found %s, allowed are 0s and more", s.LameDuck))
+		errs = append(errs, fmt.Errorf("setting lame-duck: found %s, must be at least 0s", s.LameDuck))
 	}
 	return errors.Join(errs...)
 }
 
-// Values returns the settings by name, with durations as text.
-func (s *Gateway) Values() map[string]any { return values(s) }
+// Values returns the settings by name, with durations formatted as strings.
+func (s *Gateway) Values() map[string]any { return valuesByName(s) }
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a gateway that starts with settings that cannot work, and against errors that are
-// reported one at a time.
+// Guards against a gateway that starts with invalid settings, and against a validation that reports
+// only the first invalid setting.
 func TestGatewaySettings(t *testing.T) {
 	cmd := &cobra.Command{}
 	AddGateway(cmd.Flags())
@@ -16,13 +16,14 @@
 	s, err := ReadGateway(cmd)
 	require.NoError(t, err)
 	require.Equal(t, "8s", s.Values()["grace"])
-	require.Zero(t, s.OwnRetrySlack())
+	require.Zero(t, s.RetrySlackPerInstance())
 
-	// Guards against many instances that exceed the common slack together: each of 300 had 1 of 102.
+	// Many instances must not exceed the common slack together, as 300 instances with one retry each
+	// exceeded a slack of 102.
 	require.NoError(t, cmd.Flags().Parse([]string{"--retry-slack", "102"}))
 	s, err = ReadGateway(cmd)
 	require.NoError(t, err)
-	require.LessOrEqual(t, 340*s.OwnRetrySlack(), 102.0)
+	require.LessOrEqual(t, 340*s.RetrySlackPerInstance(), 102.0)
 
 	require.NoError(t, cmd.Flags().Parse([]string{
 		"--instance", "", "--listen", "host:80", "--adapter-address", "x", "--retry-share", "2", "--retry-slack", "-1", "--instances", "0", "--lease-ttl", "5ms",
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a process's settings from flags and QUETZALLUG_* environment
-// variables and checks them all at once.
+// Package settings reads the settings of a process from command line flags and QUETZALLUG_*
+// environment variables, and validates them. A validation error lists all invalid settings.
 package settings
 
 import (
@@ -19,20 +19,20 @@
 	"github.com/quetzallug/quetzallug/lease"
 )
 
-// EnvPrefix starts the environment variable of each setting: --kv-address is
-// QUETZALLUG_KV_ADDRESS.
+// EnvPrefix is the prefix of the environment variables: QUETZALLUG_KV_ADDRESS sets --kv-address.
 const EnvPrefix = "QUETZALLUG"
 
-// Kinds of backend servers.
+// Values of --backend, the kind of the backend server next to a sidecar.
 const (
 	BackendEngine = "engine"
 	BackendPlain  = "plain"
 )
 
-// minLeaseTTL is exceeded by each lease TTL: the safety margin must stay below a third of it.
+// minLeaseTTL is the exclusive lower limit of the lease TTL: the safety margin must be less than a
+// third of the TTL.
 const minLeaseTTL = 3 * lease.DefaultSafetyMargin
 
-// Common are the settings of each role.
+// Common holds the settings that entries and sidecars share.
 type Common struct {
 	Cluster          string        `mapstructure:"cluster"`
 	Instance         string        `mapstructure:"instance"`
@@ -54,7 +54,7 @@
 	Profile          bool          `mapstructure:"profile"`
 }
 
-// Entry are the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Common        `mapstructure:",squash"`
 	PeerListen    string        `mapstructure:"peer-listen"`
@@ -69,7 +69,7 @@
 	KVCalls       float64       `mapstructure:"kv-calls"`
 }
 
-// Sidecar are the settings of a sidecar.
+// Sidecar holds the settings of a sidecar.
 type Sidecar struct {
 	Common         `mapstructure:",squash"`
 	Service        string        `mapstructure:"service"`
@@ -84,38 +84,38 @@
 
 func addCommon(f *pflag.FlagSet) {
 	f.String("cluster", "quetzallug", "name of the cluster; peers of another cluster are refused")
-	f.String("instance", "", "name of this instance's slot in the platform's instance list")
+	f.String("instance", "", "name of this instance in the platform's instance list")
 	f.String("data-centre", "", "data centre of this instance")
 	f.String("listen", "127.0.0.1:8080", "IP address and port to serve on")
-	f.String("key", "", "shared key of the cluster's processes (better set as QUETZALLUG_KEY)")
-	f.String("tls-cert", "", "certificate for connections between processes, as PEM text or file; empty for cleartext")
-	f.String("tls-key", "", "key of the certificate, as PEM text or file")
-	f.String("tls-ca", "", "authority that signs the cluster's certificates, as PEM text or file")
-	f.String("kv-module", "platform.kv.http", "module that reaches the key-value service")
+	f.String("key", "", "shared key of the cluster's processes (set QUETZALLUG_KEY instead to keep it off the command line)")
+	f.String("tls-cert", "", "certificate for connections between processes, as PEM text or file; without one, connections are not encrypted")
+	f.String("tls-key", "", "private key of the certificate, as PEM text or file")
+	f.String("tls-ca", "", "certificate of the authority that signs the cluster's certificates, as PEM text or file")
+	f.String("kv-module", "platform.kv.http", "module for access to the key-value service")
 	f.String("kv-address", "http://127.0.0.1:7000", "URL of the key-value service")
-	f.String("instances-module", "platform.instances.http", "module that reaches the instance list")
+	f.String("instances-module", "platform.instances.http", "module for access to the instance list")
 	f.String("instances-address", "http://127.0.0.1:7001", "URL of the instance list")
-	f.Duration("instances-poll", 2*time.Second, "time between reads of the instance list")
-	f.String("log-level", "info", "least level logged: debug, info, warning or error")
+	f.Duration("instances-poll", 2*time.Second, "polling interval of the instance list")
+	f.String("log-level", "info", "minimum level to log: debug, info, warning or error")
 	f.String("log-format", logging.FormatText, "format of log lines: text or json")
-	f.Duration("lame-duck", 3*time.Second, "time between failing the readiness check and closing the listener at a stop")
-	f.Duration("drain-timeout", 60*time.Second, "bound on a graceful shutdown")
-	f.Bool("profile", false, "serve CPU and heap profiles under /debug/pprof on the listener of the role")
+	f.Duration("lame-duck", 3*time.Second, "time between the first failed readiness check and the close of the listener when the process stops")
+	f.Duration("drain-timeout", 60*time.Second, "maximum time for requests to finish when the process stops")
+	f.Bool("profile", false, "serve CPU and heap profiles under /debug/pprof on the listener of the process")
 }
 
 // AddEntry adds the flags of an entry.
 func AddEntry(f *pflag.FlagSet) {
 	addCommon(f)
-	f.String("peer-listen", "127.0.0.1:8081", "IP address and port for the system's other processes and the operators' tool")
-	f.Int("max-body", 8192, "largest request body in KiB, before a service's own limit")
-	f.Duration("write-timeout", 10*time.Second, "bound on one write to a slow reader")
-	f.Float64("retry-share", 0.1, "retries as a share of fresh requests")
+	f.String("peer-listen", "127.0.0.1:8081", "IP address and port for the cluster's other processes and the command line tool")
+	f.Int("max-body", 8192, "maximum size of a request body in KiB; a service can set a lower limit")
+	f.Duration("write-timeout", 10*time.Second, "timeout of one write to a caller")
+	f.Float64("retry-share", 0.1, "maximum number of retries as a fraction of new requests")
 	f.Duration("lease-ttl", 6*time.Second, "time to live of a pool lease")
-	f.Int("max-pools", 8, "largest number of pools that this entry plans for")
-	f.Duration("plan-interval", 5*time.Second, "time between planner rounds")
+	f.Int("max-pools", 8, "maximum number of pools that this entry plans for")
+	f.Duration("plan-interval", 5*time.Second, "time between two runs of the planner")
 	f.Int("once-shards", 4, "number of claim shards per service")
-	f.Duration("once-retention", 24*time.Hour, "time for which claims of idempotency keys are kept")
-	f.Float64("kv-calls", 60, "budget of calls to the key-value service per second")
+	f.Duration("once-retention", 24*time.Hour, "time for which claims of idempotency keys are stored")
+	f.Float64("kv-calls", 60, "maximum number of calls per second to the key-value service")
 }
 
 // AddSidecar adds the flags of a sidecar.
@@ -123,16 +123,16 @@
 	addCommon(f)
 	f.String("service", "", "service of the backend server")
 	f.String("backend", BackendEngine, "kind of backend server: engine or plain")
-	f.String("backend-module", "", "module that reaches the backend server (default engine.http or backend.http)")
+	f.String("backend-module", "", "module for access to the backend server (default engine.http or backend.http)")
 	f.String("backend-address", "http://127.0.0.1:7100", "URL of the backend server")
-	f.String("weights-module", "platform.weights.http", "module that reaches the weight store")
+	f.String("weights-module", "platform.weights.http", "module for access to the weight store")
 	f.String("weights-address", "http://127.0.0.1:7002", "URL of the weight store")
-	f.Int("max-in-flight", 256, "largest number of attempts handed to the backend server")
-	f.Duration("state-poll", time.Second, "time between reads of the engine's state and load")
+	f.Int("max-in-flight", 256, "maximum number of concurrent attempts at the backend server")
+	f.Duration("state-poll", time.Second, "polling interval of the engine's state and load")
 }
 
-// read fills out from flags and environment variables.
-func read(cmd *cobra.Command, out any) error {
+// unmarshal sets the fields of out from flags and environment variables.
+func unmarshal(cmd *cobra.Command, out any) error {
 	v := viper.New()
 	v.SetEnvPrefix(EnvPrefix)
 	v.SetEnvKeyReplacer(strings.NewReplacer("-", "_"))
@@ -143,16 +143,16 @@
 	return v.Unmarshal(out)
 }
 
-// ReadEntry reads and checks the settings of an entry.
+// ReadEntry reads and validates the settings of an entry.
 func ReadEntry(cmd *cobra.Command) (*Entry, error) {
 	var s Entry
-	if err := read(cmd, &s); err != nil {
+	if err := unmarshal(cmd, &s); err != nil {
 		return nil, err
 	}
 	return &s, s.Validate()
 }
 
-// ReadSidecar reads and checks the settings of a sidecar.
+// ReadSidecar reads and validates the settings of a sidecar.
 func ReadSidecar(cmd *cobra.Command) (*Sidecar, error) {
 	s, err := SidecarValues(cmd)
 	if err != nil {
@@ -161,10 +161,10 @@
 	return s, s.Validate()
 }
 
-// SidecarValues reads the settings of a sidecar without checking them.
+// SidecarValues reads the settings of a sidecar without validating them.
 func SidecarValues(cmd *cobra.Command) (*Sidecar, error) {
 	var s Sidecar
-	if err := read(cmd, &s); err != nil {
+	if err := unmarshal(cmd, &s); err != nil {
 		return nil, err
 	}
 	if s.BackendModule == "" {
@@ -173,87 +173,87 @@
 	return &s, nil
 }
 
-// TLS returns the settings of TLS between processes.
+// TLS returns the TLS settings for connections between processes.
 func (c *Common) TLS() rpc.TLSFiles { return rpc.TLSFiles{Cert: c.TLSCert, Key: c.TLSKey, CA: c.TLSCA} }
 
 func (c *Common) validate() []error {
 	errs := []error{
-		required("cluster", c.Cluster), required("instance", c.Instance), required("data-centre", c.DataCentre),
-		required("key", c.Key), address("listen", c.Listen),
-		positive("instances-poll", c.InstancesPoll), positive("drain-timeout", c.DrainTimeout),
+		checkRequired("cluster", c.Cluster), checkRequired("instance", c.Instance), checkRequired("data-centre", c.DataCentre),
+		checkRequired("key", c.Key), checkAddress("listen", c.Listen),
+		checkPositive("instances-poll", c.InstancesPoll), checkPositive("drain-timeout", c.DrainTimeout),
 	}
 	_, logErr := logging.New(nil, c.LogLevel, c.LogFormat)
 	_, tlsErr := c.TLS().Load()
 	return append(errs, logErr, tlsErr)
 }
 
-// Validate returns all errors at once.
+// Validate returns one error that joins the errors of all invalid settings.
 func (s *Entry) Validate() error {
 	errs := append(s.validate(),
-		address("peer-listen", s.PeerListen), atLeast("max-body", s.MaxBodyKiB, 1),
-		positive("write-timeout", s.WriteTimeout), positive("plan-interval", s.PlanInterval),
-		atLeast("once-shards", s.OnceShards, 1), positive("once-retention", s.OnceRetention),
-		atLeast("max-pools", s.MaxPools, 0),
+		checkAddress("peer-listen", s.PeerListen), checkMinimum("max-body", s.MaxBodyKiB, 1),
+		checkPositive("write-timeout", s.WriteTimeout), checkPositive("plan-interval", s.PlanInterval),
+		checkMinimum("once-shards", s.OnceShards, 1), checkPositive("once-retention", s.OnceRetention),
+		checkMinimum("max-pools", s.MaxPools, 0),
 	)
 	if s.LeaseTTL <= minLeaseTTL {
-		errs = append(errs, fmt.Errorf("setting lease-ttl: found %s, allowed are durations above %s", s.LeaseTTL, minLeaseTTL))
+		errs = append(errs, fmt.Errorf("setting lease-ttl: found %s, must be above %s", s.LeaseTTL, minLeaseTTL))
 	}
 	if s.RetryShare < 0 || s.RetryShare > 1 {
-		errs = append(errs, fmt.Errorf("setting retry-share: found %g, allowed are 0 to 1", s.RetryShare))
+		errs = append(errs, fmt.Errorf("setting retry-share: found %g, must be between 0 and 1", s.RetryShare))
 	}
 	if s.KVCalls <= 0 {
-		errs = append(errs, fmt.Errorf("setting kv-calls: found %g, allowed are values above 0", s.KVCalls))
+		errs = append(errs, fmt.Errorf("setting kv-calls: found %g, must be above 0", s.KVCalls))
 	}
 	return errors.Join(errs...)
 }
 
-// Validate returns all errors at once.
+// Validate returns one error that joins the errors of all invalid settings.
 func (s *Sidecar) Validate() error {
 	errs := append(s.validate(),
-		required("service", s.Service), atLeast("max-in-flight", s.MaxInFlight, 1), positive("state-poll", s.StatePoll),
+		checkRequired("service", s.Service), checkMinimum("max-in-flight", s.MaxInFlight, 1), checkPositive("state-poll", s.StatePoll),
 	)
 	if s.Backend != BackendEngine && s.Backend != BackendPlain {
-		errs = append(errs, fmt.Errorf("setting backend: found %q, allowed are %q and %q", s.Backend, BackendEngine, BackendPlain))
+		errs = append(errs, fmt.Errorf("setting backend: found %q, must be %q or %q", s.Backend, BackendEngine, BackendPlain))
 	}
 	return errors.Join(errs...)
 }
 
-func required(name, value string) error {
+func checkRequired(name, value string) error {
 	if value == "" {
 		return fmt.Errorf("setting %s is required", name)
 	}
 	return nil
 }
 
-func address(name, value string) error {
+func checkAddress(name, value string) error {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("setting %s: found %q, allowed is an IP address with a port", name, value)
+		return fmt.Errorf("setting %s: found %q, must be an IP address and a port", name, value)
 	}
 	return nil
 }
 
-func positive(name string, d time.Duration) error {
+func checkPositive(name string, d time.Duration) error {
 	if d <= 0 {
-		return fmt.Errorf("setting %s: found %s, allowed are durations above 0", name, d)
+		return fmt.Errorf("setting %s: found %s, must be above 0s", name, d)
 	}
 	return nil
 }
 
-func atLeast(name string, n, least int) error {
-	if n < least {
-		return fmt.Errorf("setting %s: found %d, allowed are %d and more", name, n, least)
+func checkMinimum(name string, n, minimum int) error {
+	if n < minimum {
+		return fmt.Errorf("setting %s: found %d, must be at least %d", name, n, minimum)
 	}
 	return nil
 }
 
-// Values returns the settings by name, with durations as text.
-func (s *Entry) Values() map[string]any { return values(s) }
+// Values returns the settings by name, with durations formatted as strings.
+func (s *Entry) Values() map[string]any { return valuesByName(s) }
 
-// Values returns the settings by name, with durations as text.
-func (s *Sidecar) Values() map[string]any { return values(s) }
+// Values returns the settings by name, with durations formatted as strings.
+func (s *Sidecar) Values() map[string]any { return valuesByName(s) }
 
-func values(s any) map[string]any {
+func valuesByName(s any) map[string]any {
 	out := map[string]any{}
 	if err := mapstructure.Decode(s, &out); err != nil {
 		return map[string]any{"error": err.Error()}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a lease TTL that passes the settings' check and then stops the entry's set-up
-// with an error of another layer.
+// Guards against a lease TTL that passes the validation of the settings although the lease manager
+// rejects it when the entry starts.
 func TestLeaseTTLMustExceedTheSafetyMargin(t *testing.T) {
 	cmd := &cobra.Command{}
 	AddEntry(cmd.Flags())
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -11,7 +11,7 @@
 	"github.com/quetzallug/quetzallug/gateway"
 )
 
-// Gateway are the instruments of the gateway role.
+// Gateway holds the instruments of a gateway.
 type Gateway struct {
 	requests   metric.Int64Counter
 	duration   metric.Float64Histogram
@@ -25,58 +25,59 @@
 	unread     metric.Int64Counter
 	dropped    metric.Int64Counter
 
-	// sets holds the options of each combination of labels, which are few: no label grows with
-	// requests or callers.
-	sets sync.Map
+	// optionCache holds the options of each combination of labels, by labelKey. There are few
+	// combinations, because no label has a value per request or caller.
+	optionCache sync.Map
 }
 
 var _ gateway.Metrics = (*Gateway)(nil)
 
-// NewGateway creates the instruments of the gateway role.
+// NewGateway creates the instruments of a gateway.
 func NewGateway(m *Metrics) (*Gateway, error) {
 	b := builder{meter: m.meter}
 	g := &Gateway{
 		requests:   b.counter("quetzallug_gateway_requests", "Requests of callers, by service, kind and outcome."),
-		duration:   b.histogram("quetzallug_gateway_request_duration", "Time from a request to the end of its answer."),
-		firstEvent: b.histogram("quetzallug_gateway_first_event", "Time from a request to the first part of its answer."),
-		pause:      b.histogram("quetzallug_gateway_pause", "Time between two events of a stream."),
+		duration:   b.histogram("quetzallug_gateway_request_duration", "Time from a request to the end of its response."),
+		firstEvent: b.histogram("quetzallug_gateway_first_event", "Time from a request to the first part of its response."),
+		pause:      b.histogram("quetzallug_gateway_pause", "Time between two consecutive events of a stream."),
 		attempts:   b.counter("quetzallug_gateway_attempts", "Requests sent to backend servers, by service and outcome."),
 		refusals:   b.counter("quetzallug_gateway_refusals", "Requests refused before they ran, by service and reason."),
-		prompt:     b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and where they came from: kept, read or moved, as the choice of the backend server expected it."),
-		orders:     b.counter("quetzallug_gateway_role_orders", "Orders to change an engine's role, by service and by role and outcome."),
+		prompt:     b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and source, as expected when the backend server was chosen: kept (already in its cache), read (prefilled) or moved (transferred between servers)."),
+		orders:     b.counter("quetzallug_gateway_role_orders", "Orders to change an engine's role, by service, role and outcome."),
 		storeCalls: b.counter("quetzallug_gateway_store_calls", "Calls to the store, by operation and result."),
-		dropped:    b.counter("quetzallug_gateway_dropped_connections", "Connections of callers closed because there were too many: idle ones, or new ones if none was idle."),
-		unread:     b.counter("quetzallug_gateway_unread_requests", "Connections of callers that ended before their request's header could be read."),
+		dropped:    b.counter("quetzallug_gateway_dropped_connections", "Connections of callers closed at the connection limit, by state: idle, or new if no connection was idle."),
+		unread:     b.counter("quetzallug_gateway_unread_requests", "Connections of callers that ended before a valid request header was read."),
 	}
 	return g, b.err
 }
 
-// Watch exports what a gateway believes at the time of a scrape. No label grows with requests: services
-// and backend servers are those of the configuration and of the registrations.
-func (g *Gateway) Watch(m *Metrics, status func() *gateway.Status, linesLeftOut func() int64) error {
+// ObserveStatus adds gauges whose values are read from status and droppedLogLines when the metrics are
+// scraped. The number of label values doesn't grow with the requests: services come from the
+// configuration, backend servers from the registrations.
+func (g *Gateway) ObserveStatus(m *Metrics, status func() *gateway.Status, droppedLogLines func() int64) error {
 	b := builder{meter: m.meter}
-	ready := b.observable("quetzallug_gateway_ready", "1 if the process takes requests.")
-	config := b.observable("quetzallug_gateway_config_version", "Version of the configuration in force.")
-	storeAge := b.observable("quetzallug_gateway_store_age", "Milliseconds since the store last told all changes: the age of the configuration and of the registrations.")
-	holder := b.observable("quetzallug_gateway_orders_held", "1 if this process may give orders to engines.")
-	lines := b.observable("quetzallug_gateway_log_lines_left_out", "Log lines left out because their reader was too slow.")
-	servers := b.observable("quetzallug_gateway_servers", "Registered backend servers by service.")
-	usable := b.observable("quetzallug_gateway_usable_servers", "Backend servers that get new requests, by service.")
-	inFlight := b.observable("quetzallug_gateway_in_flight", "Requests at backend servers, by service.")
-	unread := b.observable("quetzallug_gateway_unread_tokens", "Prompt tokens sent and not read yet, by service.")
-	budget := b.observable("quetzallug_gateway_retry_budget_left", "Requests that may be sent again now, by service.")
-	conns := b.observable("quetzallug_gateway_connections", "Open connections by backend server.")
-	loadAge := b.observable("quetzallug_gateway_load_age", "Milliseconds since a backend server last told its load; -1 if it never did.")
+	ready := b.observableGauge("quetzallug_gateway_ready", "1 if the process is ready for requests.")
+	configVersion := b.observableGauge("quetzallug_gateway_config_version", "Version of the current configuration.")
+	storeAge := b.observableGauge("quetzallug_gateway_store_age", "Milliseconds since the store last confirmed that all changes were received: the age of the configuration and of the registrations.")
+	ordersHeld := b.observableGauge("quetzallug_gateway_orders_held", "1 if this process holds the lease for orders to engines.")
+	logLines := b.observableGauge("quetzallug_gateway_log_lines_left_out", "Log lines dropped because the reader of the log was too slow.")
+	servers := b.observableGauge("quetzallug_gateway_servers", "Registered backend servers by service.")
+	usable := b.observableGauge("quetzallug_gateway_usable_servers", "Backend servers that can get new requests, by service.")
+	inFlight := b.observableGauge("quetzallug_gateway_in_flight", "Requests in progress at backend servers, by service.")
+	unread := b.observableGauge("quetzallug_gateway_unread_tokens", "Prompt tokens sent to backend servers and not prefilled yet, by service.")
+	budget := b.observableGauge("quetzallug_gateway_retry_budget_left", "Retries that the budget allows now, by service.")
+	conns := b.observableGauge("quetzallug_gateway_connections", "Open connections by backend server.")
+	loadAge := b.observableGauge("quetzallug_gateway_load_age", "Milliseconds since a backend server last reported its load; -1 if it never did.")
 	if b.err != nil {
 		return b.err
 	}
 	_, err := m.meter.RegisterCallback(func(_ context.Context, o metric.Observer) error {
 		s := status()
-		o.ObserveInt64(ready, flag(s.Ready))
-		o.ObserveInt64(config, int64(s.Config)) //nolint:gosec // versions are far below 2^63
+		o.ObserveInt64(ready, boolValue(s.Ready))
+		o.ObserveInt64(configVersion, int64(s.Config)) //nolint:gosec // versions are far below 2^63
 		o.ObserveInt64(storeAge, s.StoreAgeMS)
-		o.ObserveInt64(holder, flag(s.Orders))
-		o.ObserveInt64(lines, linesLeftOut())
+		o.ObserveInt64(ordersHeld, boolValue(s.Orders))
+		o.ObserveInt64(logLines, droppedLogLines())
 		for _, v := range s.Services {
 			label := metric.WithAttributes(attribute.String("service", v.Service))
 			o.ObserveInt64(servers, int64(v.Servers), label)
@@ -91,30 +92,32 @@
 			o.ObserveInt64(loadAge, v.LoadAgeMS, label)
 		}
 		return nil
-	}, ready, config, storeAge, holder, lines, servers, usable, inFlight, unread, budget, conns, loadAge)
+	}, ready, configVersion, storeAge, ordersHeld, logLines, servers, usable, inFlight, unread, budget, conns, loadAge)
 	return err
 }
 
-func flag(b bool) int64 {
+func boolValue(b bool) int64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-type labelSet struct {
+// labelOptions holds one set of labels as options of counters and of histograms.
+type labelOptions struct {
 	add    []metric.AddOption
 	record []metric.RecordOption
 }
 
-// setKey holds up to three labels, each a name and a value. Unused names are empty.
-type setKey [6]string
+// labelKey holds up to three labels as pairs of name and value. Unused names are empty.
+type labelKey [6]string
 
-func (g *Gateway) set(labels ...string) *labelSet {
-	var key setKey
+// optionsOf returns the options of labels, which are pairs of name and value.
+func (g *Gateway) optionsOf(labels ...string) *labelOptions {
+	var key labelKey
 	copy(key[:], labels)
-	if s, ok := g.sets.Load(key); ok {
-		return s.(*labelSet)
+	if s, ok := g.optionCache.Load(key); ok {
+		return s.(*labelOptions)
 	}
 	var attributes []attribute.KeyValue
 	for i := 0; i < len(key); i += 2 {
@@ -123,25 +126,25 @@
 		}
 	}
 	o := metric.WithAttributeSet(attribute.NewSet(attributes...))
-	s, _ := g.sets.LoadOrStore(key, &labelSet{add: []metric.AddOption{o}, record: []metric.RecordOption{o}})
-	return s.(*labelSet)
+	s, _ := g.optionCache.LoadOrStore(key, &labelOptions{add: []metric.AddOption{o}, record: []metric.RecordOption{o}})
+	return s.(*labelOptions)
 }
 
 // Request implements gateway.Metrics.
 func (g *Gateway) Request(service, kind, outcome string, elapsed time.Duration) {
-	s := g.set("service", service, "kind", kind, "outcome", outcome)
+	s := g.optionsOf("service", service, "kind", kind, "outcome", outcome)
 	g.requests.Add(context.Background(), 1, s.add...)
 	g.duration.Record(context.Background(), elapsed.Seconds(), s.record...)
 }
 
 // Refusal implements gateway.Metrics.
 func (g *Gateway) Refusal(service, reason string) {
-	g.refusals.Add(context.Background(), 1, g.set("service", service, "reason", reason).add...)
+	g.refusals.Add(context.Background(), 1, g.optionsOf("service", service, "reason", reason).add...)
 }
 
 // Pause implements gateway.Metrics.
 func (g *Gateway) Pause(service string, d time.Duration) {
-	g.pause.Record(context.Background(), d.Seconds(), g.set("service", service).record...)
+	g.pause.Record(context.Background(), d.Seconds(), g.optionsOf("service", service).record...)
 }
 
 // Prompt implements gateway.Metrics.
@@ -151,39 +154,39 @@
 		tokens float64
 	}{{"kept", p.Kept}, {"read", p.Read}, {"moved", p.Moved}} {
 		if part.tokens > 0 {
-			g.prompt.Add(context.Background(), part.tokens, g.set("service", service, "source", part.source).add...)
+			g.prompt.Add(context.Background(), part.tokens, g.optionsOf("service", service, "source", part.source).add...)
 		}
 	}
 }
 
 // RoleOrder implements gateway.Metrics.
 func (g *Gateway) RoleOrder(service, role, outcome string) {
-	g.orders.Add(context.Background(), 1, g.set("service", service, "role", role, "outcome", outcome).add...)
+	g.orders.Add(context.Background(), 1, g.optionsOf("service", service, "role", role, "outcome", outcome).add...)
 }
 
 // StoreCall counts a call to the store.
 func (g *Gateway) StoreCall(operation, result string) {
-	g.storeCalls.Add(context.Background(), 1, g.set("operation", operation, "result", result).add...)
+	g.storeCalls.Add(context.Background(), 1, g.optionsOf("operation", operation, "result", result).add...)
 }
 
-// Dropped counts a connection of a caller that was closed because there were too many.
-func (g *Gateway) Dropped(idle bool) {
+// DroppedConnection counts a connection of a caller that was closed at the connection limit.
+func (g *Gateway) DroppedConnection(idle bool) {
 	state := "new"
 	if idle {
 		state = "idle"
 	}
-	g.dropped.Add(context.Background(), 1, g.set("state", state).add...)
+	g.dropped.Add(context.Background(), 1, g.optionsOf("state", state).add...)
 }
 
-// Unread counts a connection that ended before its request's header could be read.
-func (g *Gateway) Unread() { g.unread.Add(context.Background(), 1) }
+// UnreadRequest counts a connection that ended before a valid request header was read.
+func (g *Gateway) UnreadRequest() { g.unread.Add(context.Background(), 1) }
 
 // FirstEvent implements gateway.Metrics.
 func (g *Gateway) FirstEvent(service, kind string, d time.Duration) {
-	g.firstEvent.Record(context.Background(), d.Seconds(), g.set("service", service, "kind", kind).record...)
+	g.firstEvent.Record(context.Background(), d.Seconds(), g.optionsOf("service", service, "kind", kind).record...)
 }
 
 // Attempt implements gateway.Metrics.
 func (g *Gateway) Attempt(service, outcome string) {
-	g.attempts.Add(context.Background(), 1, g.set("service", service, "outcome", outcome).add...)
+	g.attempts.Add(context.Background(), 1, g.optionsOf("service", service, "outcome", outcome).add...)
 }
--- a/internal/telemetry/store.go
+++ b/internal/telemetry/store.go
@@ -8,18 +8,18 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// CountKV returns a key-value service whose calls are counted by operation and result.
+// CountKV wraps kv and calls count with the operation and result of each call.
 func CountKV(kv external.KV, count func(operation, result string)) external.KV {
-	return &countedKV{kv: kv, count: count}
+	return &countingKV{kv: kv, count: count}
 }
 
-type countedKV struct {
+type countingKV struct {
 	kv    external.KV
 	count func(operation, result string)
 }
 
-// Results of calls to the key-value service.
-var kvResults = []struct {
+// kvErrorResults maps errors of the key-value service to the values of the result label.
+var kvErrorResults = []struct {
 	err    error
 	result string
 }{
@@ -32,11 +32,11 @@
 	{context.Canceled, "cancelled"},
 }
 
-func (c *countedKV) counted(operation string, err error) {
+func (c *countingKV) record(operation string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
-		for _, r := range kvResults {
+		for _, r := range kvErrorResults {
 			if errors.Is(err, r.err) {
 				result = r.result
 				break
@@ -47,57 +47,57 @@
 }
 
 // Get implements external.KV.
-func (c *countedKV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (c *countingKV) Get(ctx context.Context, key string) (external.Entry, error) {
 	e, err := c.kv.Get(ctx, key)
-	c.counted("get", err)
+	c.record("get", err)
 	return e, err
 }
 
 // List implements external.KV.
-func (c *countedKV) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
+func (c *countingKV) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
 	entries, revision, err := c.kv.List(ctx, prefix)
-	c.counted("list", err)
+	c.record("list", err)
 	return entries, revision, err
 }
 
 // CompareAndSwap implements external.KV.
-func (c *countedKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
+func (c *countingKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
 	version, err := c.kv.CompareAndSwap(ctx, key, expected, value, lease)
-	c.counted("compare_and_swap", err)
+	c.record("compare_and_swap", err)
 	return version, err
 }
 
 // Delete implements external.KV.
-func (c *countedKV) Delete(ctx context.Context, key string, expected uint64) error {
+func (c *countingKV) Delete(ctx context.Context, key string, expected uint64) error {
 	err := c.kv.Delete(ctx, key, expected)
-	c.counted("delete", err)
+	c.record("delete", err)
 	return err
 }
 
 // Watch implements external.KV.
-func (c *countedKV) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
+func (c *countingKV) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
 	events, revision, err := c.kv.Watch(ctx, prefix, after)
-	c.counted("watch", err)
+	c.record("watch", err)
 	return events, revision, err
 }
 
 // GrantLease implements external.KV.
-func (c *countedKV) GrantLease(ctx context.Context, ttl time.Duration) (external.LeaseID, error) {
+func (c *countingKV) GrantLease(ctx context.Context, ttl time.Duration) (external.LeaseID, error) {
 	id, err := c.kv.GrantLease(ctx, ttl)
-	c.counted("grant_lease", err)
+	c.record("grant_lease", err)
 	return id, err
 }
 
 // KeepAlive implements external.KV.
-func (c *countedKV) KeepAlive(ctx context.Context, id external.LeaseID) error {
+func (c *countingKV) KeepAlive(ctx context.Context, id external.LeaseID) error {
 	err := c.kv.KeepAlive(ctx, id)
-	c.counted("keep_alive", err)
+	c.record("keep_alive", err)
 	return err
 }
 
 // RevokeLease implements external.KV.
-func (c *countedKV) RevokeLease(ctx context.Context, id external.LeaseID) error {
+func (c *countingKV) RevokeLease(ctx context.Context, id external.LeaseID) error {
 	err := c.kv.RevokeLease(ctx, id)
-	c.counted("revoke_lease", err)
+	c.record("revoke_lease", err)
 	return err
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the process's metrics, scraped over HTTP.
+// Package telemetry records the metrics of a process and serves them to Prometheus.
 package telemetry
 
 import (
@@ -19,11 +19,11 @@
 	v1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// latencyBounds are histogram bounds in seconds. 0.071 and 0.73 are the latency targets
-// between tokens and of the first token.
+// latencyBounds are the bucket boundaries of the histograms in seconds. 0.071 and 0.73 are the latency
+// targets for the time between tokens and for the first token.
 var latencyBounds = []float64{0.001, 0.002, 0.005, 0.01, 0.02, 0.035, 0.05, 0.071, 0.1, 0.2, 0.4, 0.73, 1, 2, 5, 10, 30}
 
-// Metrics are the instruments of a process.
+// Metrics holds the registry of a process and the instruments of entries and sidecars.
 type Metrics struct {
 	registry *prometheus.Registry
 	meter    metric.Meter
@@ -39,29 +39,30 @@
 	roleChanges   metric.Int64Counter
 	kvCalls       metric.Int64Counter
 
-	// kinds holds the options of each kind of request, by kindKey. They are built once, because
-	// building them costs four allocations for each token.
-	kinds sync.Map
-	// outcomes holds the options of each end of an attempt, by outcomeKey.
-	outcomes sync.Map
+	// requestOptions caches the options of each service and kind of request, by requestKey: building
+	// them takes four allocations, and they are needed for each token.
+	requestOptions sync.Map
+	// attemptOptions caches the options of each outcome of an attempt, by attemptKey.
+	attemptOptions sync.Map
 }
 
-type outcomeKey struct {
+type attemptKey struct {
 	outcome v1.Outcome
 	reason  v1.Reason
 }
 
-type kindKey struct{ service, kind string }
+type requestKey struct{ service, kind string }
 
-// kindOptions are the labels of one kind in the forms that instruments take.
-type kindOptions struct {
+// instrumentOptions holds one set of labels as options of histograms and of counters.
+type instrumentOptions struct {
 	record []metric.RecordOption
 	add    []metric.AddOption
 }
 
 var _ entry.Metrics = (*Metrics)(nil)
 
-// New returns the metrics of a process, with those of the Go runtime and the process itself.
+// New creates the metrics of a process, which include those of the Go runtime and of the operating
+// system's process.
 func New() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -71,16 +72,16 @@
 	}
 	provider := sdk.NewMeterProvider(sdk.WithReader(exporter))
 	m := &Metrics{registry: registry, meter: provider.Meter("quetzallug")}
-	return m, m.create()
+	return m, m.createInstruments()
 }
 
-func (m *Metrics) create() error {
+func (m *Metrics) createInstruments() error {
 	b := builder{meter: m.meter}
 	m.requests = b.counter("quetzallug_requests", "Requests by service, kind, outcome and reason.")
-	m.onTime = b.counter("quetzallug_goodput", "Requests answered whole within their deadline.")
-	m.duration = b.histogram("quetzallug_request_duration", "Time from a request to the end of its answer.")
-	m.firstToken = b.histogram("quetzallug_first_token", "Time from a request to the first part of its answer.")
-	m.betweenTokens = b.histogram("quetzallug_between_tokens", "Time between tokens of an answer.")
+	m.onTime = b.counter("quetzallug_goodput", "Requests answered completely within their deadline.")
+	m.duration = b.histogram("quetzallug_request_duration", "Time from a request to the end of its response.")
+	m.firstToken = b.histogram("quetzallug_first_token", "Time from a request to the first part of its response.")
+	m.betweenTokens = b.histogram("quetzallug_between_tokens", "Time between tokens of a response.")
 	m.retries = b.counter("quetzallug_retries", "Attempts after the first, by cause.")
 	m.attempts = b.counter("quetzallug_attempts", "Attempts at a sidecar by outcome and reason.")
 	m.inFlight = b.gauge("quetzallug_in_flight", "Attempts in flight at a sidecar.")
@@ -89,13 +90,13 @@
 	return b.err
 }
 
-// builder creates instruments and keeps the first error.
+// builder creates instruments and stores the first error.
 type builder struct {
 	meter metric.Meter
 	err   error
 }
 
-func (b *builder) keep(err error) {
+func (b *builder) setError(err error) {
 	if b.err == nil {
 		b.err = err
 	}
@@ -103,32 +104,32 @@
 
 func (b *builder) counter(name, help string) metric.Int64Counter {
 	c, err := b.meter.Int64Counter(name, metric.WithDescription(help))
-	b.keep(err)
+	b.setError(err)
 	return c
 }
 
 func (b *builder) gauge(name, help string) metric.Int64Gauge {
 	g, err := b.meter.Int64Gauge(name, metric.WithDescription(help))
-	b.keep(err)
+	b.setError(err)
 	return g
 }
 
 func (b *builder) floatCounter(name, help string) metric.Float64Counter {
 	c, err := b.meter.Float64Counter(name, metric.WithDescription(help))
-	b.keep(err)
+	b.setError(err)
 	return c
 }
 
-func (b *builder) observable(name, help string) metric.Int64ObservableGauge {
+func (b *builder) observableGauge(name, help string) metric.Int64ObservableGauge {
 	g, err := b.meter.Int64ObservableGauge(name, metric.WithDescription(help))
-	b.keep(err)
+	b.setError(err)
 	return g
 }
 
 func (b *builder) histogram(name, help string) metric.Float64Histogram {
 	h, err := b.meter.Float64Histogram(name, metric.WithDescription(help), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(latencyBounds...))
-	b.keep(err)
+	b.setError(err)
 	return h
 }
 
@@ -137,8 +138,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Observe exports a value that is read when the metrics are scraped.
-func (m *Metrics) Observe(name, help string, read func() int64) error {
+// ObserveCounter adds a counter whose value is read when the metrics are scraped.
+func (m *Metrics) ObserveCounter(name, help string, read func() int64) error {
 	_, err := m.meter.Int64ObservableCounter(name, metric.WithDescription(help),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
 			o.Observe(read())
@@ -147,14 +148,14 @@
 	return err
 }
 
-func (m *Metrics) labels(service, kind string) *kindOptions {
-	key := kindKey{service, kind}
-	if o, ok := m.kinds.Load(key); ok {
-		return o.(*kindOptions)
+func (m *Metrics) optionsOf(service, kind string) *instrumentOptions {
+	key := requestKey{service, kind}
+	if o, ok := m.requestOptions.Load(key); ok {
+		return o.(*instrumentOptions)
 	}
 	set := metric.WithAttributeSet(attribute.NewSet(attribute.String("service", service), attribute.String("kind", kind)))
-	o, _ := m.kinds.LoadOrStore(key, &kindOptions{record: []metric.RecordOption{set}, add: []metric.AddOption{set}})
-	return o.(*kindOptions)
+	o, _ := m.requestOptions.LoadOrStore(key, &instrumentOptions{record: []metric.RecordOption{set}, add: []metric.AddOption{set}})
+	return o.(*instrumentOptions)
 }
 
 // Request implements entry.Metrics.
@@ -163,19 +164,19 @@
 	m.requests.Add(ctx, 1, metric.WithAttributes(attribute.String("service", service), attribute.String("kind", kind),
 		attribute.String("outcome", outcome), attribute.String("reason", string(reason))))
 	if onTime {
-		m.onTime.Add(ctx, 1, m.labels(service, kind).add...)
+		m.onTime.Add(ctx, 1, m.optionsOf(service, kind).add...)
 	}
-	m.duration.Record(ctx, elapsed.Seconds(), m.labels(service, kind).record...)
+	m.duration.Record(ctx, elapsed.Seconds(), m.optionsOf(service, kind).record...)
 }
 
 // FirstToken implements entry.Metrics.
 func (m *Metrics) FirstToken(service, kind string, d time.Duration) {
-	m.firstToken.Record(context.Background(), d.Seconds(), m.labels(service, kind).record...)
+	m.firstToken.Record(context.Background(), d.Seconds(), m.optionsOf(service, kind).record...)
 }
 
 // BetweenTokens implements entry.Metrics.
 func (m *Metrics) BetweenTokens(service, kind string, d time.Duration) {
-	m.betweenTokens.Record(context.Background(), d.Seconds(), m.labels(service, kind).record...)
+	m.betweenTokens.Record(context.Background(), d.Seconds(), m.optionsOf(service, kind).record...)
 }
 
 // Retry implements entry.Metrics.
@@ -186,11 +187,11 @@
 
 // Attempt implements sidecar.Metrics.
 func (m *Metrics) Attempt(outcome v1.Outcome, reason v1.Reason) {
-	key := outcomeKey{outcome, reason}
-	o, ok := m.outcomes.Load(key)
+	key := attemptKey{outcome, reason}
+	o, ok := m.attemptOptions.Load(key)
 	if !ok {
 		set := attribute.NewSet(attribute.String("outcome", outcome.String()), attribute.String("reason", reason.String()))
-		o, _ = m.outcomes.LoadOrStore(key, []metric.AddOption{metric.WithAttributeSet(set)})
+		o, _ = m.attemptOptions.LoadOrStore(key, []metric.AddOption{metric.WithAttributeSet(set)})
 	}
 	m.attempts.Add(context.Background(), 1, o.([]metric.AddOption)...)
 }
@@ -198,7 +199,7 @@
 // InFlight implements sidecar.Metrics.
 func (m *Metrics) InFlight(n int) { m.inFlight.Record(context.Background(), int64(n)) }
 
-// RoleChange counts an ordered role change.
+// RoleChange counts an order that changes the role of an engine.
 func (m *Metrics) RoleChange(pool, from, to string) {
 	m.roleChanges.Add(context.Background(), 1, metric.WithAttributes(
 		attribute.String("pool", pool), attribute.String("from", from), attribute.String("to", to)))
