--- a/internal/app/callers.go
+++ b/internal/app/callers.go
@@ -10,95 +10,102 @@
 	"github.com/quetzallug/quetzallug/gateway"
 )
 
-// callerConns bounds the connections of callers and watches how they end.
+// connTracker limits the number of caller connections and reports connections that end before a request
+// was read.
 //
-// Callers that return on a new connection each time leave their old ones idle. Once a process has no
-// descriptors left, it accepts nothing for up to a second, and requests wait unread until their callers
-// are gone. Above the limit, the connection that has been idle for longest is closed for each new one; a
-// request that crosses the close was not read and may be sent again. If none is idle, the new one is
-// closed.
-type callerConns struct {
-	limit     int
-	onUnread  func(from net.Addr)
+// Callers that open a new connection for each request leave their old ones idle. When a process runs out
+// of file descriptors, it accepts no connections for up to a second, and requests stay unread until their
+// callers have disconnected. connTracker therefore closes the connection that has been idle longest when
+// a new one exceeds the limit. A request that arrives on it during the close was not read and may be sent
+// again. If no connection is idle, the new one is closed.
+type connTracker struct {
+	limit int
+	// onUnread is called for a connection that ended before the header of its request was read.
+	onUnread func(from net.Addr)
+	// onDropped is called for a connection that is closed because of the limit. idle is false if it is
+	// the new one.
 	onDropped func(idle bool)
 
 	mu    sync.Mutex
-	conns map[net.Conn]*callerConn
-	// idle holds the connections without a request, the one that has been idle for longest first.
+	conns map[net.Conn]*trackedConn
+	// idle holds the connections without a request. The one that has been idle longest is first.
 	idle list.List
 }
 
-type callerConn struct {
+type trackedConn struct {
 	net.Conn
-	// reading is true while bytes of a request were read and its handler has not begun.
-	reading bool
-	idle    *list.Element
+	// readingHeader is true from the first byte of a request until its handler is called.
+	readingHeader bool
+	// idleElement is the element of connTracker.idle; nil if the connection is not idle.
+	idleElement *list.Element
 }
 
-func newCallerConns(limit int) *callerConns {
-	return &callerConns{limit: limit, onUnread: func(net.Addr) {}, onDropped: func(bool) {}, conns: make(map[net.Conn]*callerConn)}
+func newConnTracker(limit int) *connTracker {
+	return &connTracker{limit: limit, onUnread: func(net.Addr) {}, onDropped: func(bool) {}, conns: make(map[net.Conn]*trackedConn)}
 }
 
-type callerKey struct{}
+// trackedConnKey is the key of the *trackedConn in the context of a request.
+type trackedConnKey struct{}
 
-// attach makes the server use the limit. Its handler must be set.
-func (t *callerConns) attach(srv *http.Server) {
+// attach applies the limit to the connections of srv, whose handler must already be set.
+func (t *connTracker) attach(srv *http.Server) {
 	next := srv.Handler
 	srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
-		return gateway.WithCaller(context.WithValue(ctx, callerKey{}, t.add(c)), c)
+		return gateway.WithCaller(context.WithValue(ctx, trackedConnKey{}, t.add(c)), c)
 	}
 	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(callerKey{}).(*callerConn); ok {
+		if c, ok := r.Context().Value(trackedConnKey{}).(*trackedConn); ok {
 			t.mu.Lock()
-			c.reading = false
+			c.readingHeader = false
 			t.mu.Unlock()
 		}
 		next.ServeHTTP(w, r)
 	})
-	srv.ConnState = t.changed
+	srv.ConnState = t.stateChanged
 }
 
-// add counts a new connection and closes another one if there are too many.
-func (t *callerConns) add(c net.Conn) *callerConn {
+// add registers a new connection. If the limit is exceeded, it closes one.
+func (t *connTracker) add(c net.Conn) *trackedConn {
 	t.mu.Lock()
-	added := &callerConn{Conn: c}
+	added := &trackedConn{Conn: c}
 	t.conns[c] = added
-	var drop *callerConn
+	var dropped *trackedConn
 	if len(t.conns) > t.limit {
-		drop = added
+		dropped = added
 		if first := t.idle.Front(); first != nil {
-			drop = t.idle.Remove(first).(*callerConn)
-			drop.idle = nil
+			dropped = t.idle.Remove(first).(*trackedConn)
+			dropped.idleElement = nil
 		}
 	}
 	t.mu.Unlock()
-	if drop != nil {
-		t.onDropped(drop != added)
-		_ = drop.Close()
+	if dropped != nil {
+		t.onDropped(dropped != added)
+		_ = dropped.Close()
 	}
 	return added
 }
 
-func (t *callerConns) changed(conn net.Conn, to http.ConnState) {
+// stateChanged is the ConnState hook of the server.
+func (t *connTracker) stateChanged(conn net.Conn, state http.ConnState) {
 	t.mu.Lock()
 	c := t.conns[conn]
 	if c == nil {
 		t.mu.Unlock()
 		return
 	}
-	if c.idle != nil {
-		t.idle.Remove(c.idle)
-		c.idle = nil
+	if c.idleElement != nil {
+		t.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 	unread := false
-	switch to {
+	switch state {
 	case http.StateActive:
-		c.reading = true
+		c.readingHeader = true
 	case http.StateIdle:
-		c.idle = t.idle.PushBack(c)
+		c.idleElement = t.idle.PushBack(c)
 	case http.StateClosed, http.StateHijacked:
 		delete(t.conns, conn)
-		unread = c.reading
+		unread = c.readingHeader
 	case http.StateNew:
 	}
 	t.mu.Unlock()
--- a/internal/app/common.go
+++ b/internal/app/common.go
@@ -1,4 +1,4 @@
-// Package app wires the daemon's roles with fx.
+// Package app assembles the applications of the daemon (entry, sidecar and gateway) with fx.
 package app
 
 import (
@@ -29,7 +29,7 @@
 	"github.com/quetzallug/quetzallug/kernel"
 	"github.com/quetzallug/quetzallug/membership"
 
-	// Adapters register themselves with the kernel.
+	// The adapters register themselves with the kernel when they are imported.
 	_ "github.com/quetzallug/quetzallug/modules/backendhttp"
 	_ "github.com/quetzallug/quetzallug/modules/enginehttp"
 	_ "github.com/quetzallug/quetzallug/modules/instanceshttp"
@@ -37,26 +37,28 @@
 	_ "github.com/quetzallug/quetzallug/modules/weightshttp"
 )
 
-// stopSlack is added to the drain timeout for the rest of a graceful shutdown.
-const stopSlack = 5 * time.Second
+// stopMargin is the part of the stop timeout for shutdown work after requests are drained.
+const stopMargin = 5 * time.Second
 
-// identity names a process.
+// identity identifies a run of an instance.
 type identity struct {
 	self        external.Instance
 	incarnation string
 }
 
-// newIncarnation returns a time-ordered identifier, so that the later start of a slot wins.
+// newIncarnation returns an identifier that orders by time, so that the latest start of an instance
+// replaces earlier ones.
 func newIncarnation() (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
-		return "", eris.Wrap(err, "generate incarnation")
+		return "", eris.Wrap(err, "generate incarnation ID")
 	}
 	return id.String(), nil
 }
 
-// background runs a function from start to stop of the process, and waits for its end.
-func background(lc fx.Lifecycle, run func(ctx context.Context)) {
+// runInBackground calls run when the application starts. When it stops, runInBackground cancels the
+// context of run and waits until run returns or the stop timeout ends.
+func runInBackground(lc fx.Lifecycle, run func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	lc.Append(fx.Hook{
@@ -67,19 +69,19 @@
 			}()
 			return nil
 		},
-		OnStop: func(stop context.Context) error {
+		OnStop: func(stopCtx context.Context) error {
 			cancel()
 			select {
 			case <-done:
-			case <-stop.Done():
+			case <-stopCtx.Done():
 			}
 			return nil
 		},
 	})
 }
 
-// load provisions an adapter and cleans it up at the end.
-func load[T any](lc fx.Lifecycle, id string, s kernel.Settings) (T, error) {
+// loadModule loads a module and cleans it up when the application stops.
+func loadModule[T any](lc fx.Lifecycle, id string, s kernel.Settings) (T, error) {
 	v, err := kernel.Load[T](context.Background(), id, s)
 	if err != nil {
 		return v, eris.Wrap(err, "load module")
@@ -88,14 +90,15 @@
 	return v, nil
 }
 
-// observeTraffic exports a counter as two metrics, such as quetzallug_kv_bytes_in.
+// observeTraffic adds the metrics quetzallug_NAME_bytes_in and quetzallug_NAME_bytes_out, which read a
+// traffic counter.
 func observeTraffic(m *telemetry.Metrics, name, what string, t *traffic.Counter) error {
 	return errors.Join(
 		m.ObserveCounter("quetzallug_"+name+"_bytes_in", what+" bytes received.", t.In.Load),
 		m.ObserveCounter("quetzallug_"+name+"_bytes_out", what+" bytes sent.", t.Out.Load))
 }
 
-// countTraffic exports the bytes that an adapter moves, if it can count them.
+// countTraffic adds metrics for the traffic of an adapter, if the adapter can count it.
 func countTraffic(m *telemetry.Metrics, adapter any, name, what string) error {
 	c, ok := adapter.(interface{ CountTraffic(*traffic.Counter) })
 	if !ok {
@@ -106,75 +109,77 @@
 	return observeTraffic(m, name, what, t)
 }
 
-func newKV(lc fx.Lifecycle, c *settings.Common, m *telemetry.Metrics, perSecond float64) (external.KV, error) {
-	kv, err := load[external.KV](lc, c.KVModule, kernel.Settings{"address": c.KVAddress})
+func newKV(lc fx.Lifecycle, c *settings.Common, m *telemetry.Metrics, callsPerSecond float64) (external.KV, error) {
+	kv, err := loadModule[external.KV](lc, c.KVModule, kernel.Settings{"address": c.KVAddress})
 	if err != nil {
 		return nil, err
 	}
 	if err := countTraffic(m, kv, "kv", "Key-value service"); err != nil {
 		return nil, err
 	}
-	return kvbudget.New(kv, perSecond, m.KVCall), nil
+	return kvbudget.New(kv, callsPerSecond, m.KVCall), nil
 }
 
-// control is the traffic between the system's own processes other than answers.
-type control struct {
+// controlClients holds the clients for the traffic between the cluster's processes other than responses to
+// callers, and the counter of that traffic.
+type controlClients struct {
 	clients *rpc.Clients
 	traffic *traffic.Counter
 }
 
-func newControl(lc fx.Lifecycle, c *settings.Common, m *telemetry.Metrics, log logrus.FieldLogger) (*control, error) {
+func newControlClients(lc fx.Lifecycle, c *settings.Common, m *telemetry.Metrics, log logrus.FieldLogger) (*controlClients, error) {
 	t := &traffic.Counter{}
 	err := observeTraffic(m, "control", "Control", t)
 	clients, clientsErr := newClients(lc, c, t, log)
 	err = errors.Join(err, clientsErr)
-	return &control{clients: clients, traffic: t}, err
+	return &controlClients{clients: clients, traffic: t}, err
 }
 
-// newClients returns clients of the cluster's other processes that end with this process.
+// newClients returns clients for the cluster's other processes, which are closed when the application
+// stops.
 func newClients(lc fx.Lifecycle, c *settings.Common, t *traffic.Counter, log logrus.FieldLogger) (*rpc.Clients, error) {
 	tlsConfig, err := c.TLS().Load()
 	if err != nil {
 		return nil, err
 	}
-	clients := rpc.NewClients(rpc.ClientConfig{Control: t, TLS: tlsConfig, Interceptors: []connect.Interceptor{newAuth(c, log)}})
+	clients := rpc.NewClients(rpc.ClientConfig{Control: t, TLS: tlsConfig, Interceptors: []connect.Interceptor{newAuthInterceptor(c, log)}})
 	lc.Append(fx.StopHook(clients.Close))
 	return clients, nil
 }
 
-func newAuth(c *settings.Common, log logrus.FieldLogger) connect.Interceptor {
+func newAuthInterceptor(c *settings.Common, log logrus.FieldLogger) connect.Interceptor {
 	return peerauth.NewInterceptor(peerauth.Credentials{Cluster: c.Cluster, Key: c.Key}, log)
 }
 
-func newStore(log logrus.FieldLogger) *dissemination.Store {
+func newDocumentStore(log logrus.FieldLogger) *dissemination.Store {
 	return dissemination.NewStore(func(r dissemination.Refusal) {
 		log.WithFields(logrus.Fields{"service": r.Service, "revision": r.Revision}).WithError(r.Err).
-			Warn("document is not put in force")
+			Warn("document rejected")
 	})
 }
 
-// newAgent returns the agent that keeps the store up to date, and runs it.
-func newAgent(lc fx.Lifecycle, id identity, c *settings.Common, store *dissemination.Store, kv external.KV, ctl *control, log logrus.FieldLogger) *dissemination.Agent {
+// newAgent returns an agent that keeps the document store up to date while the application runs.
+func newAgent(lc fx.Lifecycle, id identity, c *settings.Common, store *dissemination.Store, kv external.KV, ctl *controlClients, log logrus.FieldLogger) *dissemination.Agent {
 	agent := dissemination.NewAgent(dissemination.Config{
 		Self: id.self, Store: store, KV: kv,
 		Dial: func(in external.Instance) dissemination.Fetcher {
 			return &entry.DocumentFetcher{Clients: ctl.clients, Cluster: c.Cluster, Address: in.Address}
 		},
-		Log: func(err error) { log.WithError(err).Debug("documents: source failed") },
+		Log: func(err error) { log.WithError(err).Debug("cannot fetch documents from a source") },
 	})
-	background(lc, agent.Run)
+	runInBackground(lc, agent.Run)
 	return agent
 }
 
-// logChanges writes a line for each document that comes into force.
-func logChanges(lc fx.Lifecycle, store *dissemination.Store, log logrus.FieldLogger) {
-	background(lc, func(ctx context.Context) {
-		seen := map[string]uint64{}
+// logDocumentChanges logs each document that takes effect.
+func logDocumentChanges(lc fx.Lifecycle, store *dissemination.Store, log logrus.FieldLogger) {
+	runInBackground(lc, func(ctx context.Context) {
+		logged := map[string]uint64{}
 		for {
 			changed := store.Changed()
 			for name, f := range store.Snapshot() {
-				if f.Revision > seen[name] {
-					seen[name] = f.Revision
+				if f.Revision > logged[name] {
+					logged[name] = f.Revision
 					log.WithFields(logrus.Fields{"service": name, "revision": f.Revision, "deleted": f.Deleted}).
 						Info("document in force")
 				}
@@ -188,37 +193,38 @@
 	})
 }
 
-func newView(c *settings.Common) (*membership.View, error) {
+func newMembershipView(c *settings.Common) (*membership.View, error) {
 	set := membership.DefaultSettings()
 	set.PollInterval = c.InstancesPoll
 	return membership.NewView(set, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// followInstances tells the agent of each new view of the instances.
-func followInstances(lc fx.Lifecycle, view *membership.View, agent *dissemination.Agent) {
-	background(lc, func(ctx context.Context) {
+// forwardInstances passes each new version of the membership view to the agent.
+func forwardInstances(lc fx.Lifecycle, view *membership.View, agent *dissemination.Agent) {
+	runInBackground(lc, func(ctx context.Context) {
 		var version uint64
-		tick := time.NewTicker(instancesTick)
-		defer tick.Stop()
+		ticker := time.NewTicker(instancesCheckInterval)
+		defer ticker.Stop()
 		for {
 			if s := view.Snapshot(); s.Version != version {
 				version = s.Version
-				agent.SetInstances(instancesOf(s))
+				agent.SetInstances(usableInstances(s))
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-tick.C:
+			case <-ticker.C:
 			}
 		}
 	})
 }
 
-// instancesTick is the time between looks for a new view of the instances.
-const instancesTick = 200 * time.Millisecond
+// instancesCheckInterval is the time between checks for a new version of the membership view.
+const instancesCheckInterval = 200 * time.Millisecond
 
-func instancesOf(s *membership.Snapshot) []external.Instance {
-	var all []external.Instance
+// usableInstances returns the members of a membership view that are not ejected.
+func usableInstances(s *membership.Snapshot) []external.Instance {
+	var instances []external.Instance
 	for _, m := range s.Members {
 		in := m.Instance
 		switch m.View {
@@ -227,13 +233,15 @@
 		case membership.StateLeaving:
 			in.State = external.InstanceLeaving
 		}
-		all = append(all, in)
+		instances = append(instances, in)
 	}
-	return all
+	return instances
 }
 
-// serve listens at start and stops gracefully within the stop context.
-func serve(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, address string, tlsConfig *tls.Config, wrap func(net.Listener) net.Listener, before func(context.Context)) {
+// serve serves srv on address while the application runs. When the application stops, beforeStop is
+// called while requests are still accepted; then requests in progress may finish until the stop timeout
+// ends.
+func serve(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, address string, tlsConfig *tls.Config, wrap func(net.Listener) net.Listener, beforeStop func(context.Context)) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
 			var lcfg net.ListenConfig
@@ -251,9 +259,9 @@
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
-			before(ctx)
+			beforeStop(ctx)
 			if err := srv.Shutdown(ctx); err != nil {
-				log.WithError(err).Warn("requests were cut at the bound of the graceful shutdown")
+				log.WithError(err).Warn("requests aborted at the end of the stop timeout")
 				return srv.Close()
 			}
 			return nil
@@ -261,9 +269,10 @@
 	})
 }
 
+// plainListener returns l unchanged: its traffic is not counted.
 func plainListener(l net.Listener) net.Listener { return l }
 
-// fxLogger writes fx's own events at debug level and its errors at error level.
+// fxLogger returns a logger that writes the events of fx, including its errors, at debug level.
 func fxLogger(log *logrus.Logger) fxevent.Logger {
 	return &fxevent.ConsoleLogger{W: log.WriterLevel(logrus.DebugLevel)}
 }
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -29,27 +29,27 @@
 	"github.com/quetzallug/quetzallug/retry"
 )
 
-// decisionLogSize bounds the decisions kept for the operators' tool.
+// decisionLogSize is the number of planning decisions kept for the command line tool.
 const decisionLogSize = 4096
 
-// Entry returns the daemon's entry role.
+// Entry returns the application that runs an entry.
 func Entry(s *settings.Entry, log *logrus.Logger) *fx.App {
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxLogger(log) }),
-		fx.StopTimeout(s.LameDuck+s.DrainTimeout+stopSlack),
+		fx.StopTimeout(s.LameDuck+s.DrainTimeout+stopMargin),
 		fx.Supply(s, &s.Common, log),
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
-			telemetry.New, newControl, newStore, newAgent, newView,
+			telemetry.New, newControlClients, newDocumentStore, newAgent, newMembershipView,
 			entry.NewAdmission, entryIdentity, entryConfig, entryKV, newInstanceList, newFleet, newCommitter, newClaimer,
-			newLease, newPlanning, newEntry, newPeer, newDecisions,
+			newLeaseManager, newPlanning, newEntry, newPeer, newDecisionLog,
 		),
-		// Hooks stop in reverse order: a stopping entry first gives up its pools.
-		fx.Invoke(logChanges, followInstances, runMembership, serveEntry, runPlanning),
+		// Stop hooks run in reverse order: at a stop, the entry releases its pools first.
+		fx.Invoke(logDocumentChanges, forwardInstances, runMembership, serveEntry, runPlanning),
 	)
 }
 
-func newDecisions() *entry.DecisionLog { return entry.NewDecisionLog(decisionLogSize) }
+func newDecisionLog() *entry.DecisionLog { return entry.NewDecisionLog(decisionLogSize) }
 
 func entryIdentity(s *settings.Entry) (identity, error) {
 	inc, err := newIncarnation()
@@ -69,13 +69,13 @@
 	return newKV(lc, &s.Common, m, s.KVCalls)
 }
 
-func newFleet(cfg entry.Config, view *membership.View, ctl *control) *entry.Fleet {
+func newFleet(cfg entry.Config, view *membership.View, ctl *controlClients) *entry.Fleet {
 	return entry.NewFleet(cfg.Cluster, cfg.DataCentre, view, ctl.clients, xxhash.Sum64String(cfg.Instance))
 }
 
 func runMembership(lc fx.Lifecycle, view *membership.View, list external.InstanceList, f *entry.Fleet, log logrus.FieldLogger) {
-	background(lc, membership.NewRunner(view, list, f, log).Run)
-	background(lc, f.Run)
+	runInBackground(lc, membership.NewRunner(view, list, f, log).Run)
+	runInBackground(lc, f.Run)
 }
 
 func newCommitter(lc fx.Lifecycle, s *settings.Entry, kv external.KV, log logrus.FieldLogger) (*once.Committer, error) {
@@ -88,13 +88,14 @@
 	return c, err
 }
 
-func newClaimer(cfg entry.Config, view *membership.View, c *once.Committer, ctl *control) *once.Router {
+func newClaimer(cfg entry.Config, view *membership.View, c *once.Committer, ctl *controlClients) *once.Router {
 	entries := func() []external.Instance { return view.Snapshot().Entries() }
 	return once.NewRouter(cfg.Instance, entries, &entry.ClaimForwarder{Clients: ctl.clients, Cluster: cfg.Cluster}, c)
 }
 
-// newLease returns the manager of pool leases. The holder's name differs between restarts.
-func newLease(s *settings.Entry, id identity, kv external.KV, store *dissemination.Store, view *membership.View, log logrus.FieldLogger) (*lease.Manager, error) {
+// newLeaseManager returns the manager of pool leases. The holder's name contains the incarnation, so that
+// it is different after each restart.
+func newLeaseManager(s *settings.Entry, id identity, kv external.KV, store *dissemination.Store, view *membership.View, log logrus.FieldLogger) (*lease.Manager, error) {
 	docs := &entry.DocumentsInForce{Store: store}
 	return lease.NewManager(kv, lease.Config{
 		Holder: s.Instance + "/" + id.incarnation, TTL: s.LeaseTTL, MaxPools: s.MaxPools,
@@ -105,12 +106,13 @@
 	})
 }
 
-// poolShare is the number of pools that one of several entries may hold. It is twice the mean, so
-// that all pools find a holder while half of the entries are gone and still listed. Without it, the
-// first entries to poll after a restart of all would take max-pools each, and the probes of eight
-// pools of 32 engines exceed an entry's 4 KB/s for control.
+// poolShare returns the number of pools that one entry may hold. It is twice the mean, so that every
+// pool has a holder while up to half of the listed entries are down. Without this limit, the first entries
+// to poll after a restart of all entries would acquire max-pools each, and the probes of eight pools of
+// 32 engines need more than the 4 KB/s that an entry may use for control traffic.
 //
-// An entry whose list is still empty takes no pool: it knows neither its share nor the sidecars.
+// An entry whose instance list is still empty acquires no pools: it knows neither its share nor the
+// sidecars.
 func poolShare(pools, entries int) int {
 	if entries == 0 {
 		return 0
@@ -118,7 +120,7 @@
 	return max(1, (2*pools+entries-1)/entries)
 }
 
-func newPlanning(s *settings.Entry, leases *lease.Manager, store *dissemination.Store, view *membership.View, f *entry.Fleet, admit *entry.Admission, kv external.KV, ctl *control, m *telemetry.Metrics, d *entry.DecisionLog, log logrus.FieldLogger) *planning.Loop {
+func newPlanning(s *settings.Entry, leases *lease.Manager, store *dissemination.Store, view *membership.View, f *entry.Fleet, admit *entry.Admission, kv external.KV, ctl *controlClients, m *telemetry.Metrics, d *entry.DecisionLog, log logrus.FieldLogger) *planning.Loop {
 	return planning.New(planning.Config{
 		Interval: s.PlanInterval, Leases: leases, KV: kv,
 		Documents: &entry.DocumentsInForce{Store: store},
@@ -136,12 +138,12 @@
 }
 
 func runPlanning(lc fx.Lifecycle, leases *lease.Manager, p *planning.Loop) {
-	background(lc, leases.Run)
-	background(lc, p.Run)
+	runInBackground(lc, leases.Run)
+	runInBackground(lc, p.Run)
 }
 
 func newEntry(lc fx.Lifecycle, s *settings.Entry, cfg entry.Config, store *dissemination.Store, agent *dissemination.Agent, f *entry.Fleet, admit *entry.Admission, claims *once.Router, m *telemetry.Metrics, d *entry.DecisionLog, log logrus.FieldLogger) (*entry.Entry, error) {
-	// Answers travel on their own connections, so that control traffic can be counted.
+	// Responses use separate connections, so that control traffic can be counted.
 	clients, err := newClients(lc, &s.Common, nil, log)
 	if err != nil {
 		return nil, err
@@ -172,24 +174,24 @@
 	})
 }
 
-func serveEntry(lc fx.Lifecycle, sd fx.Shutdowner, s *settings.Entry, e *entry.Entry, p *entry.Peer, f *entry.Fleet, store *dissemination.Store, ctl *control, m *telemetry.Metrics, log logrus.FieldLogger) error {
+func serveEntry(lc fx.Lifecycle, sd fx.Shutdowner, s *settings.Entry, e *entry.Entry, p *entry.Peer, f *entry.Fleet, store *dissemination.Store, ctl *controlClients, m *telemetry.Metrics, log logrus.FieldLogger) error {
 	tlsConfig, err := s.TLS().Load()
 	if err != nil {
 		return err
 	}
-	peers := http.NewServeMux()
-	peers.Handle(quetzallugv1connect.NewPeerServiceHandler(p, rpc.PeerOptions(newAuth(&s.Common, log))...))
-	h := &health{profile: s.Profile, ready: entryReady(store, f, time.Now())}
-	h.register(peers, m)
-	peerServer := rpc.NewServer(peers)
-	count := func(l net.Listener) net.Listener { return traffic.Listener(l, ctl.traffic) }
-	// Hooks stop in reverse order: callers are drained before peers are cut off.
-	serve(lc, sd, log, peerServer, s.PeerListen, tlsConfig, count, func(context.Context) {})
-
-	callers := http.NewServeMux()
-	h.register(callers, m)
-	callers.Handle("/", e.Handler())
-	srv := rpc.NewServer(h.closeWhenStopping(callers))
+	peerMux := http.NewServeMux()
+	peerMux.Handle(quetzallugv1connect.NewPeerServiceHandler(p, rpc.PeerOptions(newAuthInterceptor(&s.Common, log))...))
+	h := &health{profile: s.Profile, ready: entryReadiness(store, f, time.Now())}
+	h.register(peerMux, m)
+	peerServer := rpc.NewServer(peerMux)
+	countControl := func(l net.Listener) net.Listener { return traffic.Listener(l, ctl.traffic) }
+	// Stop hooks run in reverse order: callers are drained before the peer listener closes.
+	serve(lc, sd, log, peerServer, s.PeerListen, tlsConfig, countControl, func(context.Context) {})
+
+	callerMux := http.NewServeMux()
+	h.register(callerMux, m)
+	callerMux.Handle("/", e.Handler())
+	srv := rpc.NewServer(h.closeWhenStopping(callerMux))
 	serve(lc, sd, log, srv, s.Listen, nil, plainListener, func(ctx context.Context) {
 		h.stopping.Store(true)
 		log.WithField("for", s.LameDuck.String()).Info("stopping: the readiness check fails, requests are still served")
@@ -198,21 +200,23 @@
 	return nil
 }
 
-// reportWait bounds how long an entry waits for reports before it is ready, so that a service
-// whose workers are all down does not keep new entries from serving the others.
-const reportWait = 5 * time.Second
+// maxReportWait limits how long an entry waits for reports before it is ready. A service whose workers
+// are all down must not prevent new entries from serving the other services.
+const maxReportWait = 5 * time.Second
 
-// entryReady returns the readiness check of an entry: it needs documents, and reports of workers.
-func entryReady(store *dissemination.Store, f *entry.Fleet, started time.Time) func() (bool, string) {
+// entryReadiness returns the readiness check of an entry. An entry is ready once it has documents and
+// reports of workers.
+func entryReadiness(store *dissemination.Store, f *entry.Fleet, started time.Time) func() (bool, string) {
 	var reported atomic.Bool
 	return func() (bool, string) {
 		if !hasDocuments(store) {
 			return false, "no document is in force"
 		}
-		if !reported.Load() && !f.Reported() && time.Since(started) < reportWait {
+		if !reported.Load() && !f.Reported() && time.Since(started) < maxReportWait {
 			return false, "workers have not reported yet"
 		}
-		// Workers that fail later do not make the entry unready: the others have the same view.
+		// Workers that fail later do not make the entry unready, because the other entries would be
+		// unready for the same reason.
 		reported.Store(true)
 		return true, ""
 	}
--- a/internal/app/entry_test.go
+++ b/internal/app/entry_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against pools that no entry may take, also while half of the entries are gone.
+// Guards against shares that leave a pool without a holder, even while half of the listed entries are down.
 func TestPoolShare(t *testing.T) {
-	assert.Zero(t, poolShare(3, 0), "the list is not known yet")
+	assert.Zero(t, poolShare(3, 0), "an entry with an empty list takes no pools")
 	for entries := 1; entries < 400; entries++ {
 		for _, pools := range []int{0, 1, 3, 40} {
 			share := poolShare(pools, entries)
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	// gcPercent trades processor time for memory: the heap of a gateway is small and its garbage is
-	// short-lived.
+	// gcPercent is the garbage collection target. The heap of a gateway is small and its garbage
+	// short-lived, so that frequent collections cost little processor time and save memory.
 	gcPercent = 100
-	// sweepInterval is the time between looks for connections that have been idle for too long.
+	// sweepInterval is the interval at which upstream connections that were idle too long are closed.
 	sweepInterval = time.Second
 )
 
-// Adapter is what an installation's module provides to a gateway.
+// Adapter is the interface of the modules that connect a gateway to an installation.
 type Adapter interface {
 	gateway.Source
 	gateway.Codec
 	gateway.Orders
 }
 
-// Gateway returns the daemon's gateway role.
+// Gateway returns the application that runs a gateway.
 //
 // droppedLogLines returns the number of log lines dropped so far.
 func Gateway(s *settings.Gateway, log *logrus.Logger, droppedLogLines func() int64) *fx.App {
@@ -46,38 +46,38 @@
 	debug.SetGCPercent(gcPercent)
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxLogger(log) }),
-		fx.StopTimeout(s.Grace+stopSlack),
+		fx.StopTimeout(s.Grace+stopMargin),
 		fx.Supply(s, log),
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
 			telemetry.New, telemetry.NewGateway, newAdapter, newGateway, newGatewayHealth, newFeed, gateway.NewRoster,
 			func() *route.Holder { return &route.Holder{} }, newUpstream, newLeases, newStatus,
 		),
-		// Hooks stop in reverse order.
+		// Stop hooks run in reverse order, so failReadiness comes first.
 		fx.Invoke(
 			func(m *telemetry.Metrics, g *telemetry.Gateway, status statusFunc) error {
 				return g.ObserveStatus(m, status, droppedLogLines)
 			},
-			runFeed, ignoreHangup, serveGateway, runRoles, failReadiness,
+			runFeed, ignoreHangup, serveGateway, runRolePlanning, failReadiness,
 		),
 	)
 }
 
-// watchShare is the part of the time in which a change must be in force that a watch may wait. The
-// rest is for the call that follows a watch which heard nothing.
-const watchShare = 0.85
+// watchWaitFraction is the part of the maximum time until a change takes effect for which a watch waits.
+// The rest is for the next watch, which returns the changes that the first one missed.
+const watchWaitFraction = 0.85
 
 func newAdapter(lc fx.Lifecycle, s *settings.Gateway, m *telemetry.Gateway) (Adapter, error) {
-	wait := time.Duration(watchShare * float64(min(s.ConfigBound, s.DrainBound)))
-	a, err := load[Adapter](lc, s.Adapter, kernel.Settings{"address": s.AdapterAddress, "watch-wait": wait.String()})
+	wait := time.Duration(watchWaitFraction * float64(min(s.ConfigBound, s.DrainBound)))
+	a, err := loadModule[Adapter](lc, s.Adapter, kernel.Settings{"address": s.AdapterAddress, "watch-wait": wait.String()})
 	if err != nil {
 		return nil, err
 	}
-	return &countedAdapter{KV: telemetry.CountKV(a, m.StoreCall), Decoder: a, Codec: a, Orders: a}, nil
+	return &countingAdapter{KV: telemetry.CountKV(a, m.StoreCall), Decoder: a, Codec: a, Orders: a}, nil
 }
 
-// countedAdapter is an adapter whose calls to the store are counted.
-type countedAdapter struct {
+// countingAdapter is an adapter that counts its calls to the store.
+type countingAdapter struct {
 	external.KV
 	gateway.Decoder
 	gateway.Codec
@@ -87,7 +87,7 @@
 func newUpstream(lc fx.Lifecycle) *upstream.Pool {
 	p := upstream.NewPool()
 	lc.Append(fx.StopHook(p.Close))
-	background(lc, func(ctx context.Context) {
+	runInBackground(lc, func(ctx context.Context) {
 		for ctx.Err() == nil {
 			pause.For(ctx, sweepInterval)
 			p.Sweep(time.Now())
@@ -106,35 +106,35 @@
 	return gateway.NewFeed(a, t, r, log)
 }
 
-func runFeed(lc fx.Lifecycle, f *gateway.Feed) { background(lc, f.Run) }
+func runFeed(lc fx.Lifecycle, f *gateway.Feed) { runInBackground(lc, f.Run) }
 
-// leaseMarginShare is the part of a lease's time to live that is kept as its safety margin.
-const leaseMarginShare = 7
+// leaseMarginDivisor is the ratio between the time to live of a lease and its safety margin.
+const leaseMarginDivisor = 7
 
-// newLeases returns the manager of the lease for orders, or nil if there are to be none.
+// newLeases returns the manager of the lease for orders, or nil if this instance sends no orders.
 func newLeases(s *settings.Gateway, a Adapter, log logrus.FieldLogger) (*lease.Manager, error) {
 	if s.LeaseTTL == 0 {
-		log.Info("no orders to engines: lease-ttl is 0s")
-		return nil, nil //nolint:nilnil // without orders there is no lease
+		log.Info("this instance sends no orders to engines because lease-ttl is 0s")
+		return nil, nil //nolint:nilnil // nil means that no orders are sent
 	}
 	return lease.NewManager(a, lease.Config{
-		Holder: s.Instance, Pools: []string{gateway.RolesPool}, TTL: s.LeaseTTL, SafetyMargin: s.LeaseTTL / leaseMarginShare,
-		MaxPools: 1, PollSpacing: leasePoll, Log: log,
+		Holder: s.Instance, Pools: []string{gateway.RolesPool}, TTL: s.LeaseTTL, SafetyMargin: s.LeaseTTL / leaseMarginDivisor,
+		MaxPools: 1, PollSpacing: leasePollInterval, Log: log,
 	})
 }
 
-// runRoles competes for the right to give orders and plans the roles of engines while it is held.
-func runRoles(lc fx.Lifecycle, s *settings.Gateway, leases *lease.Manager, a Adapter, t *route.Holder, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) {
+// runRolePlanning competes for the lease for orders, and plans the roles of engines while it is held.
+func runRolePlanning(lc fx.Lifecycle, s *settings.Gateway, leases *lease.Manager, a Adapter, t *route.Holder, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) {
 	if leases == nil {
 		return
 	}
-	background(lc, leases.Run)
-	// A holder that lost its lease without notice may give orders until the TTL is over.
+	runInBackground(lc, leases.Run)
+	// A previous holder that did not notice the loss of its lease may send orders until the TTL expires.
 	roles := gateway.NewRoles(s.Instance, s.LeaseTTL+s.OrderGuard, a, leases, t, r, p, m, log)
-	background(lc, roles.Run)
+	runInBackground(lc, roles.Run)
 }
 
-// statusFunc returns what the process believes now.
+// statusFunc returns the current status of the process.
 type statusFunc func() *gateway.Status
 
 func newStatus(g *gateway.Gateway, h *health, leases *lease.Manager) statusFunc {
@@ -152,22 +152,22 @@
 	}
 }
 
-// leasePoll is the mean time between two polls of an instance for a free lease. Each poll is a call
-// that is paid for, and roles are seldom changed.
-const leasePoll = 8 * time.Second
+// leasePollInterval is the mean time between two attempts of an instance to acquire a free lease. Each
+// attempt costs a call to the store, and role changes are rare.
+const leasePollInterval = 8 * time.Second
 
-// ignoreHangup notes SIGHUP. The settings are flags and environment variables, which a running
-// process cannot read again.
+// ignoreHangup logs and ignores SIGHUP. The settings are flags and environment variables, which a
+// running process cannot reload.
 func ignoreHangup(lc fx.Lifecycle, log logrus.FieldLogger) {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGHUP)
-	background(lc, func(ctx context.Context) {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	runInBackground(lc, func(ctx context.Context) {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-c:
-				log.Info("reload asked for; the settings are read at start only")
+			case <-signals:
+				log.Info("SIGHUP ignored: settings are only read at startup")
 			}
 		}
 	})
--- a/internal/app/gatewayhttp.go
+++ b/internal/app/gatewayhttp.go
@@ -20,76 +20,77 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send a request's header.
+	// headerTimeout limits the time in which a caller must send the header of a request.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than installations let callers keep idle connections, so that a caller
-	// does not send on a connection that is being closed.
+	// idleTimeout is longer than callers in installations keep idle connections, so that a caller does
+	// not send a request on a connection that the gateway is closing.
 	idleTimeout = 90 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes limits the size of the header of a request.
 	maxHeaderBytes = 64 << 10
-	// callerShare is the part of the process's descriptors that connections of callers may take. The rest
-	// is for backend servers, the store and files.
-	callerShare = 0.6
+	// callerConnFraction is the part of the process's file descriptors that connections of callers may use.
+	// The rest is for connections to backend servers and to the store, and for files.
+	callerConnFraction = 0.6
 )
 
 // newGatewayHealth returns the readiness check of a gateway.
 func newGatewayHealth(g *gateway.Gateway) *health { return &health{ready: g.Ready} }
 
-// failReadiness is the first hook of a stop: the balancer takes seconds to notice, and the lease for
-// orders is given up meanwhile.
+// failReadiness makes the readiness check fail when the process stops. Its hook runs first, because the
+// load balancer takes seconds to notice; the lease for orders is released in that time.
 func failReadiness(lc fx.Lifecycle, h *health, log logrus.FieldLogger) {
 	lc.Append(fx.StopHook(func() {
 		h.stopping.Store(true)
-		h.stopped = time.Now()
+		h.stoppingSince = time.Now()
 		log.Info("stopping: the readiness check fails, requests are still served")
 	}))
 }
 
-// drainShare is the part of the grace time after which requests that are still unanswered are broken
-// off. The rest is for the process's own end.
-const drainShare = 0.9
+// drainFraction is the part of the grace time after which requests that are still in progress are
+// aborted. The rest is for the shutdown of the process itself.
+const drainFraction = 0.9
 
 func serveGateway(lc fx.Lifecycle, sd fx.Shutdowner, s *settings.Gateway, h *health, g *gateway.Gateway, m *telemetry.Metrics, gm *telemetry.Gateway, status statusFunc, log logrus.FieldLogger) {
 	gin.SetMode(gin.ReleaseMode)
-	checks := gin.New()
+	healthHandler := gin.New()
 	mux := http.NewServeMux()
 	h.register(mux, m)
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(status()); err != nil {
-			log.WithError(err).Info("status not written")
+			log.WithError(err).Info("cannot write the status response")
 		}
 	})
-	checks.NoRoute(func(c *gin.Context) {
+	healthHandler.NoRoute(func(c *gin.Context) {
 		c.Status(http.StatusOK)
 		mux.ServeHTTP(c.Writer, c.Request)
 	})
-	callers := gin.New()
-	callers.NoRoute(func(c *gin.Context) {
+	callerHandler := gin.New()
+	callerHandler.NoRoute(func(c *gin.Context) {
 		c.Status(http.StatusOK)
 		h.closeWhenStopping(g).ServeHTTP(c.Writer, c.Request)
 	})
-	// Hooks stop in reverse order: callers are drained before the readiness check ends.
-	end := func() time.Time { return h.stopped.Add(time.Duration(drainShare * float64(s.Grace))) }
+	// Stop hooks run in reverse order: the callers' listener is drained before those of the readiness
+	// check and the metrics are closed.
+	drainDeadline := func() time.Time { return h.stoppingSince.Add(time.Duration(drainFraction * float64(s.Grace))) }
 	for _, addr := range []string{s.MetricsListen, s.ReadyListen} {
 		if addr != "" {
-			serveHTTP(lc, sd, log, newServer(checks, log), addr, end, func(context.Context) {})
+			serveHTTP(lc, sd, log, newServer(healthHandler, log), addr, drainDeadline, func(context.Context) {})
 		}
 	}
-	srv := newServer(callers, log)
-	conns := newCallerConns(int(callerShare * float64(s.MaxFiles)))
+	srv := newServer(callerHandler, log)
+	conns := newConnTracker(int(callerConnFraction * float64(s.MaxFiles)))
 	conns.onUnread = func(from net.Addr) {
 		gm.UnreadRequest()
 		log.WithField("caller", from.String()).Info("connection ended before its request could be read")
 	}
 	conns.onDropped = func(idle bool) { gm.DroppedConnection(idle) }
 	conns.attach(srv)
-	serveHTTP(lc, sd, log, srv, s.Listen, end, func(ctx context.Context) {
-		pause.For(ctx, time.Until(h.stopped.Add(min(s.LameDuck, s.Grace/2))))
+	serveHTTP(lc, sd, log, srv, s.Listen, drainDeadline, func(ctx context.Context) {
+		pause.For(ctx, time.Until(h.stoppingSince.Add(min(s.LameDuck, s.Grace/2))))
 	})
 }
 
-// newServer returns a server with the limits of a gateway's listeners.
+// newServer returns a server with the timeouts and limits of a gateway's listeners.
 func newServer(h http.Handler, log logrus.FieldLogger) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -97,7 +98,7 @@
 	}
 }
 
-// errorLog writes what net/http reports, such as failures to accept, as structured lines.
+// errorLog logs the errors that net/http reports, such as failures to accept a connection.
 type errorLog struct{ log logrus.FieldLogger }
 
 // Write implements io.Writer.
@@ -106,9 +107,10 @@
 	return len(line), nil
 }
 
-// serveHTTP serves from start to stop. beforeStop runs while requests are still accepted; requests that
-// are unanswered at the end are broken off.
-func serveHTTP(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, addr string, end func() time.Time, beforeStop func(context.Context)) {
+// serveHTTP serves srv on addr while the application runs. When the application stops, beforeStop is
+// called while requests are still accepted; then requests in progress may finish until drainDeadline,
+// after which they are aborted.
+func serveHTTP(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, addr string, drainDeadline func() time.Time, beforeStop func(context.Context)) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
 			l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
@@ -126,10 +128,10 @@
 		},
 		OnStop: func(ctx context.Context) error {
 			beforeStop(ctx)
-			drain, cancel := context.WithDeadline(ctx, end())
+			drain, cancel := context.WithDeadline(ctx, drainDeadline())
 			defer cancel()
 			if err := srv.Shutdown(drain); err != nil {
-				log.WithError(err).Warn("requests broken off at the end of the grace time")
+				log.WithError(err).Warn("requests aborted at the end of the grace time")
 				return srv.Close()
 			}
 			return nil
--- a/internal/app/gatewayhttp_test.go
+++ b/internal/app/gatewayhttp_test.go
@@ -16,8 +16,8 @@
 	"github.com/quetzallug/quetzallug/internal/memnet"
 )
 
-// serveInMemory serves on a network in memory and returns how callers connect. stop must be called before
-// the bubble ends.
+// serveInMemory serves srv on an in-memory network. dial connects a caller; stop must be called before the
+// synctest bubble ends.
 func serveInMemory(t *testing.T, srv *http.Server) (dial func() (net.Conn, error), stop func()) {
 	t.Helper()
 	const address = "10.0.0.1:1"
@@ -38,33 +38,37 @@
 	}
 }
 
-// Guards against callers that hold a connection for ever with an unfinished header, or that fill the
-// memory with one, and against such connections that nothing counts. Good requests beside them are
-// answered.
+// Guards against callers that occupy a connection indefinitely with an incomplete header or exhaust the
+// memory with a large one, and against such connections that aren't counted. Valid requests on other
+// connections are answered.
 func TestUnreadableRequests(t *testing.T) {
 	const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for name, tc := range map[string]struct {
 		text string
-		// pause is the time between two bytes.
-		pause   time.Duration
-		leave   bool
-		counted int
-		within  time.Duration
-		answer  string
+		// pause is the time between two bytes; 0 sends all bytes at once.
+		pause time.Duration
+		// disconnect makes the caller close the connection after the text.
+		disconnect bool
+		// unread is the expected number of connections reported as unread.
+		unread int
+		// within is the maximum time until the connection ends.
+		within time.Duration
+		// response is a part of the expected response.
+		response string
 	}{
-		"one byte a second":    {text: request, pause: time.Second, counted: 1, within: headerTimeout},
-		"never ending header":  {text: "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes), counted: 1, within: time.Second, answer: "431"},
-		"no request":           {text: "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n", counted: 1, within: time.Second, answer: "400"},
-		"leaves in the header": {text: "GET / HTTP/1.1\r\nHo", leave: true, counted: 1, within: time.Second},
-		"good, then leaves":    {text: request + request, leave: true, within: time.Second, answer: "200"},
-		"nothing at all":       {leave: true, within: time.Second},
+		"one byte a second":    {text: request, pause: time.Second, unread: 1, within: headerTimeout},
+		"never ending header":  {text: "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes), unread: 1, within: time.Second, response: "431"},
+		"no request":           {text: "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n", unread: 1, within: time.Second, response: "400"},
+		"leaves in the header": {text: "GET / HTTP/1.1\r\nHo", disconnect: true, unread: 1, within: time.Second},
+		"good, then leaves":    {text: request + request, disconnect: true, within: time.Second, response: "200"},
+		"nothing at all":       {disconnect: true, within: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				srv := newServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }), logrus.New())
-				counted := 0
-				conns := newCallerConns(100)
-				conns.onUnread = func(net.Addr) { counted++ }
+				unread := 0
+				conns := newConnTracker(100)
+				conns.onUnread = func(net.Addr) { unread++ }
 				conns.attach(srv)
 				dial, stop := serveInMemory(t, srv)
 				defer stop()
@@ -72,45 +76,45 @@
 				started := time.Now()
 				c, err := dial()
 				require.NoError(t, err)
-				answer := make(chan string, 1)
+				response := make(chan string, 1)
 				go func() {
 					b, _ := io.ReadAll(c)
-					answer <- string(b)
+					response <- string(b)
 				}()
-				step := len(tc.text)
+				chunk := len(tc.text)
 				if tc.pause > 0 {
-					step = 1
+					chunk = 1
 				}
-				for text := tc.text; text != ""; text = text[step:] {
-					if _, err := io.WriteString(c, text[:step]); err != nil {
+				for text := tc.text; text != ""; text = text[chunk:] {
+					if _, err := io.WriteString(c, text[:chunk]); err != nil {
 						break
 					}
 					time.Sleep(tc.pause)
 				}
-				if tc.leave {
+				if tc.disconnect {
 					time.Sleep(100 * time.Millisecond)
 					_ = c.Close()
 				}
-				text := <-answer
+				received := <-response
 				require.LessOrEqual(t, time.Since(started), tc.within+tc.pause)
-				require.Contains(t, text, tc.answer)
-				good, err := dial()
+				require.Contains(t, received, tc.response)
+				other, err := dial()
 				require.NoError(t, err)
-				_, err = io.WriteString(good, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+				_, err = io.WriteString(other, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 				require.NoError(t, err)
-				b, err := io.ReadAll(good)
+				b, err := io.ReadAll(other)
 				require.NoError(t, err)
 				require.Contains(t, string(b), "ok")
 				time.Sleep(2 * time.Second)
-				require.Equal(t, tc.counted, counted)
+				require.Equal(t, tc.unread, unread)
 			})
 		})
 	}
 }
 
-// Guards against a process that runs out of descriptors because callers leave idle connections behind:
-// it accepted nothing for a second, and requests were sent on after their callers had left. Connections
-// with a request are never closed.
+// Guards against a process that runs out of file descriptors because callers leave idle connections open.
+// It then accepted no connections for a second and forwarded requests whose callers had disconnected.
+// Connections with a request in progress are never closed.
 func TestIdleConnectionsYieldToNewOnes(t *testing.T) {
 	const limit = 5
 	synctest.Test(t, func(t *testing.T) {
@@ -120,7 +124,7 @@
 			}
 			_, _ = io.WriteString(w, "ok")
 		}), logrus.New())
-		conns := newCallerConns(limit)
+		conns := newConnTracker(limit)
 		dropped := map[bool]int{}
 		conns.onDropped = func(idle bool) { dropped[idle]++ }
 		conns.attach(srv)
@@ -153,7 +157,7 @@
 			require.Contains(t, send(last, "/"), "ok", "a new caller is served")
 			time.Sleep(time.Millisecond)
 		}
-		require.Contains(t, send(last, "/"), "ok", "the connection used last stays")
+		require.Contains(t, send(last, "/"), "ok", "the most recently used connection stays open")
 		require.Equal(t, map[bool]int{true: 19}, dropped)
 		busy := open()
 		go func() { slow <- send(busy, "/slow") }()
--- a/internal/app/health.go
+++ b/internal/app/health.go
@@ -9,14 +9,15 @@
 	"github.com/quetzallug/quetzallug/internal/telemetry"
 )
 
-// health serves liveness, readiness and metrics.
+// health serves the liveness check, the readiness check, the metrics and optionally profiles.
 type health struct {
-	// profile serves profiles of the process, which any caller of the listener can read.
+	// profile enables profiles of the process, which any client of the listener can then read.
 	profile  bool
 	stopping atomic.Bool
-	// stopped is when stopping was set.
-	stopped time.Time
-	ready   func() (bool, string)
+	// stoppingSince is the time at which stopping was set.
+	stoppingSince time.Time
+	// ready returns whether the process is ready, and the reason if it isn't.
+	ready func() (bool, string)
 }
 
 func (h *health) register(mux *http.ServeMux, m *telemetry.Metrics) {
@@ -34,15 +35,16 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
-	if ok, why := h.ready(); !ok {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if ok, reason := h.ready(); !ok {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// closeWhenStopping makes each response close its connection while the balancer learns of the
-// stop. Idle connections stay open: closing one breaks a request that its caller has just sent.
+// closeWhenStopping closes a connection after the next response on it once the process is stopping, so
+// that callers reconnect through the load balancer. Idle connections stay open, because closing one would
+// fail a request that the caller has just sent on it.
 func (h *health) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if h.stopping.Load() {
--- a/internal/app/health_test.go
+++ b/internal/app/health_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a stop that closes an idle connection on which a caller is just sending, and
-// against connections that are kept for requests after the stop.
+// Guards against a stopping server that closes an idle connection while its caller sends a request, and
+// against connections that are reused after the stop began.
 func TestStoppingServerClosesConnectionsWithTheirResponses(t *testing.T) {
 	h := &health{}
 	var conns []string
@@ -27,6 +27,6 @@
 	h.stopping.Store(true)
 	require.True(t, send())
 	require.True(t, send())
-	require.Equal(t, conns[0], conns[1], "the idle connection still serves")
+	require.Equal(t, conns[0], conns[1], "the idle connection serves one more request")
 	require.NotEqual(t, conns[1], conns[2])
 }
--- a/internal/app/sidecar.go
+++ b/internal/app/sidecar.go
@@ -26,25 +26,26 @@
 )
 
 const (
-	// sidecarKVCalls is a sidecar's budget of calls to the key-value service per second. It
-	// reads its order record every 30 s, and a few records around an order.
-	sidecarKVCalls = 5
-	// leavingPoll is the time between looks whether the platform lists this instance as leaving.
-	leavingPoll = 200 * time.Millisecond
+	// sidecarKVCallsPerSecond limits a sidecar's calls to the key-value service. A sidecar reads its
+	// order record every 30 s, and accesses a few records when it executes an order.
+	sidecarKVCallsPerSecond = 5
+	// leavingCheckInterval is the time between checks whether the platform lists this instance as
+	// leaving.
+	leavingCheckInterval = 200 * time.Millisecond
 )
 
-// Sidecar returns the daemon's sidecar role.
+// Sidecar returns the application that runs a sidecar.
 func Sidecar(s *settings.Sidecar, log *logrus.Logger) *fx.App {
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxLogger(log) }),
-		fx.StopTimeout(s.LameDuck+s.DrainTimeout+stopSlack),
+		fx.StopTimeout(s.LameDuck+s.DrainTimeout+stopMargin),
 		fx.Supply(s, &s.Common, log),
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
-			telemetry.New, newControl, newStore, newAgent, newView,
-			sidecarIdentity, sidecarKV, newInstanceList, newBackends, newSidecar, newExecutor,
+			telemetry.New, newControlClients, newDocumentStore, newAgent, newMembershipView,
+			sidecarIdentity, sidecarKV, newInstanceList, newBackendClient, newSidecar, newExecutor,
 		),
-		fx.Invoke(logChanges, followInstances, pollInstances, pollEngine, followLeaving, serveSidecar),
+		fx.Invoke(logDocumentChanges, forwardInstances, pollInstances, pollEngine, watchLeaving, serveSidecar),
 	)
 }
 
@@ -56,34 +57,34 @@
 }
 
 func sidecarKV(lc fx.Lifecycle, s *settings.Sidecar, m *telemetry.Metrics) (external.KV, error) {
-	return newKV(lc, &s.Common, m, sidecarKVCalls)
+	return newKV(lc, &s.Common, m, sidecarKVCallsPerSecond)
 }
 
 func newInstanceList(lc fx.Lifecycle, c *settings.Common, m *telemetry.Metrics) (external.InstanceList, error) {
-	l, err := load[external.InstanceList](lc, c.InstancesModule, kernel.Settings{"address": c.InstancesAddress})
+	l, err := loadModule[external.InstanceList](lc, c.InstancesModule, kernel.Settings{"address": c.InstancesAddress})
 	if err != nil {
 		return nil, err
 	}
 	return l, countTraffic(m, l, "instances", "Instance list")
 }
 
-// backends holds the backend server of a sidecar: exactly one of the two is set.
-type backends struct {
+// backendClient is the client of a sidecar's backend server. Exactly one of its fields is set.
+type backendClient struct {
 	engine external.Engine
 	plain  external.Backend
 }
 
-func newBackends(lc fx.Lifecycle, s *settings.Sidecar) (*backends, error) {
+func newBackendClient(lc fx.Lifecycle, s *settings.Sidecar) (*backendClient, error) {
 	set := kernel.Settings{"address": s.BackendAddress}
 	if s.Backend == settings.BackendPlain {
-		b, err := load[external.Backend](lc, s.BackendModule, set)
-		return &backends{plain: b}, err
+		b, err := loadModule[external.Backend](lc, s.BackendModule, set)
+		return &backendClient{plain: b}, err
 	}
-	e, err := load[external.Engine](lc, s.BackendModule, set)
-	return &backends{engine: e}, err
+	e, err := loadModule[external.Engine](lc, s.BackendModule, set)
+	return &backendClient{engine: e}, err
 }
 
-func newSidecar(lc fx.Lifecycle, s *settings.Sidecar, id identity, b *backends, store *dissemination.Store, agent *dissemination.Agent, m *telemetry.Metrics, log logrus.FieldLogger) (*sidecar.Sidecar, error) {
+func newSidecar(lc fx.Lifecycle, s *settings.Sidecar, id identity, b *backendClient, store *dissemination.Store, agent *dissemination.Agent, m *telemetry.Metrics, log logrus.FieldLogger) (*sidecar.Sidecar, error) {
 	peers, err := newClients(lc, &s.Common, nil, log)
 	if err != nil {
 		return nil, err
@@ -95,23 +96,23 @@
 	}, b.engine, b.plain, &entry.DocumentsInForce{Store: store, Agent: agent}, m, log)
 }
 
-// newExecutor returns the executor of orders, nil beside a plain backend server.
-func newExecutor(lc fx.Lifecycle, sd fx.Shutdowner, s *settings.Sidecar, b *backends, kv external.KV, sc *sidecar.Sidecar, store *dissemination.Store, log logrus.FieldLogger) (*order.Executor, error) {
+// newExecutor returns the executor of orders, or nil if the backend server is not an engine.
+func newExecutor(lc fx.Lifecycle, sd fx.Shutdowner, s *settings.Sidecar, b *backendClient, kv external.KV, sc *sidecar.Sidecar, store *dissemination.Store, log logrus.FieldLogger) (*order.Executor, error) {
 	if b.engine == nil {
 		return nil, nil
 	}
-	weights, err := load[external.WeightStore](lc, s.WeightsModule, kernel.Settings{"address": s.WeightsAddress})
+	weights, err := loadModule[external.WeightStore](lc, s.WeightsModule, kernel.Settings{"address": s.WeightsAddress})
 	if err != nil {
 		return nil, err
 	}
 	e := order.NewExecutor(order.ExecutorConfig{
 		Pool: entry.PoolName(s.Service, s.DataCentre), Engine: s.Instance, KV: kv, Backend: b.engine,
 		Weights: weights, Drainer: sc, DrainTimeout: s.DrainTimeout, Log: log,
-		ModelBytes: modelBytes(store, s.Service),
+		ModelBytes: modelSize(store, s.Service),
 	})
-	background(lc, func(ctx context.Context) {
+	runInBackground(lc, func(ctx context.Context) {
 		if err := e.Run(ctx); err != nil && ctx.Err() == nil {
-			log.WithError(err).Error("this sidecar has lost its slot: it finishes its work and stops")
+			log.WithError(err).Error("another sidecar replaced this one; finishing requests and stopping")
 			sc.Leave()
 			_ = sd.Shutdown(fx.ExitCode(1))
 		}
@@ -119,8 +120,9 @@
 	return e, nil
 }
 
-// modelBytes looks up the size of a model's weights in the document in force.
-func modelBytes(store *dissemination.Store, service string) func(external.ModelVersion) int64 {
+// modelSize returns a function that returns the size of a model's weights in bytes according to the
+// current document, or 0 if the document doesn't contain the model.
+func modelSize(store *dissemination.Store, service string) func(external.ModelVersion) int64 {
 	return func(v external.ModelVersion) int64 {
 		f := store.Snapshot().Service(service)
 		if f == nil {
@@ -135,14 +137,14 @@
 	}
 }
 
-// pollInstances reads the instance list. Sidecars do not probe: entries do.
+// pollInstances polls the instance list. Only entries probe instances; sidecars don't.
 func pollInstances(lc fx.Lifecycle, c *settings.Common, view *membership.View, list external.InstanceList, log logrus.FieldLogger) {
 	r := membership.NewRunner(view, list, nil, log)
-	background(lc, func(ctx context.Context) {
+	runInBackground(lc, func(ctx context.Context) {
 		t := time.NewTicker(c.InstancesPoll)
 		defer t.Stop()
 		for n := 0; ; n++ {
-			r.Poll(ctx, n%fullListEvery == 0)
+			r.Poll(ctx, n%pollsPerFullList == 0)
 			select {
 			case <-ctx.Done():
 				return
@@ -152,21 +154,21 @@
 	})
 }
 
-// fullListEvery is the number of polls after which the whole instance list is read again.
-const fullListEvery = 30
+// pollsPerFullList is the number of polls between two reads of the full instance list.
+const pollsPerFullList = 30
 
-// pollEngine keeps the engine's state and load fresh.
+// pollEngine polls the state, the load and the cache events of the engine.
 func pollEngine(lc fx.Lifecycle, s *settings.Sidecar, sc *sidecar.Sidecar, log logrus.FieldLogger) {
-	background(lc, func(ctx context.Context) {
+	runInBackground(lc, func(ctx context.Context) {
 		t := time.NewTicker(s.StatePoll)
 		defer t.Stop()
 		for {
-			call, cancel := context.WithTimeout(ctx, s.StatePoll)
-			if err := sc.RefreshState(call); err != nil {
-				log.WithError(err).Debug("backend server does not report its state")
+			callCtx, cancel := context.WithTimeout(ctx, s.StatePoll)
+			if err := sc.RefreshState(callCtx); err != nil {
+				log.WithError(err).Debug("cannot read the state of the backend server")
 			}
-			if err := sc.RefreshCacheEvents(call); err != nil {
-				log.WithError(err).Debug("engine does not report its cache events")
+			if err := sc.RefreshCacheEvents(callCtx); err != nil {
+				log.WithError(err).Debug("cannot read the cache events of the engine")
 			}
 			cancel()
 			select {
@@ -178,10 +180,10 @@
 	})
 }
 
-// followLeaving stops new work while the platform lists this instance as leaving.
-func followLeaving(lc fx.Lifecycle, id identity, view *membership.View, sc *sidecar.Sidecar) {
-	background(lc, func(ctx context.Context) {
-		t := time.NewTicker(leavingPoll)
+// watchLeaving makes the sidecar refuse new attempts while the platform lists this instance as leaving.
+func watchLeaving(lc fx.Lifecycle, id identity, view *membership.View, sc *sidecar.Sidecar) {
+	runInBackground(lc, func(ctx context.Context) {
+		t := time.NewTicker(leavingCheckInterval)
 		defer t.Stop()
 		for {
 			if m, ok := view.Snapshot().Member(id.self.ID); ok && m.Address == id.self.Address {
@@ -203,24 +205,25 @@
 	}
 	svc := sidecar.NewService(sc, orders, entry.PoolName(s.Service, s.DataCentre), log)
 	mux := http.NewServeMux()
-	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(svc, rpc.WorkerOptions(newAuth(&s.Common, log))...))
+	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(svc, rpc.WorkerOptions(newAuthInterceptor(&s.Common, log))...))
 	h := &health{profile: s.Profile, ready: func() (bool, string) { return !sc.Draining(), "draining" }}
 	h.register(mux, m)
-	stop := func(ctx context.Context) {
+	drain := func(ctx context.Context) {
 		h.stopping.Store(true)
 		sc.Leave()
-		// Entries learn of the stop from refusals, while connections still work.
+		// The listener stays open for some time, so that entries learn of the stop from refused attempts
+		// and not from failed connections.
 		pause.For(ctx, s.LameDuck)
 		ctx, cancel := context.WithTimeout(ctx, s.DrainTimeout)
 		defer cancel()
 		if err := sc.Wait(ctx); err != nil {
-			log.WithError(eris.Wrap(err, "drain")).WithField("in_flight", sc.InFlight()).Warn("drain ended at its bound")
+			log.WithError(eris.Wrap(err, "drain")).WithField("in_flight", sc.InFlight()).Warn("requests are still in progress at the drain timeout")
 		}
 	}
 	tlsConfig, err := s.TLS().Load()
 	if err != nil {
 		return err
 	}
-	serve(lc, sd, log, rpc.NewServer(mux), s.Listen, tlsConfig, plainListener, stop)
+	serve(lc, sd, log, rpc.NewServer(mux), s.Listen, tlsConfig, plainListener, drain)
 	return nil
 }
