--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -19,15 +19,17 @@
 // plainCodec forwards headers unchanged.
 type plainCodec struct{ Codec }
 
-func (plainCodec) Call(r *http.Request) Call {
-	return Call{ID: r.Header.Get("Id"), Remaining: time.Second}
+func (plainCodec) RequestMetadata(r *http.Request) RequestMetadata {
+	return RequestMetadata{ID: r.Header.Get("Id"), Remaining: time.Second}
 }
 
-func (plainCodec) Header(received http.Header, _ *Send) http.Header { return received }
+func (plainCodec) Header(received http.Header, _ *ForwardedRequest) http.Header { return received }
 
 func (plainCodec) Answer(received http.Header) http.Header { return received }
 
-func (plainCodec) Mark(int, http.Header) Mark { return Mark{Signed: true} }
+func (plainCodec) ResponseMetadata(int, http.Header) ResponseMetadata {
+	return ResponseMetadata{Signed: true}
+}
 
 type noMetrics struct{ Metrics }
 
@@ -38,7 +40,7 @@
 // Guards against forwarding requests whose callers have disconnected. A process without free file
 // descriptors read requests a second after their arrival and forwarded four of them after their
 // callers' deadlines (randomised run mix-turns-in-flood, seed 572537457078).
-func TestRequestsOfCallersThatLeftAreNotSent(t *testing.T) {
+func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	var arrivals atomic.Int64
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -50,7 +50,7 @@
 		fx.Supply(s, log),
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
-			telemetry.New, telemetry.NewGateway, newAdapter, newGateway, newGatewayHealth, newFeed, gateway.NewRoster,
+			telemetry.New, telemetry.NewGateway, newAdapter, newGateway, newGatewayHealth, newStoreWatcher, gateway.NewRoster,
 			func() *route.Holder { return &route.Holder{} }, newUpstream, newLeases, newStatus,
 		),
 		// Stop hooks run in reverse order, so failReadiness comes first.
@@ -58,7 +58,7 @@
 			func(m *telemetry.Metrics, g *telemetry.Gateway, status statusFunc) error {
 				return g.ObserveStatus(m, status, droppedLogLines)
 			},
-			runFeed, ignoreHangup, serveGateway, runRolePlanning, failReadiness,
+			runStoreWatcher, ignoreHangup, serveGateway, runRolePlanning, failReadiness,
 		),
 	)
 }
@@ -102,11 +102,11 @@
 	}, a, t, r, p, m, log)
 }
 
-func newFeed(a Adapter, t *route.Holder, r *gateway.Roster, log logrus.FieldLogger) *gateway.Feed {
-	return gateway.NewFeed(a, t, r, log)
+func newStoreWatcher(a Adapter, t *route.Holder, r *gateway.Roster, log logrus.FieldLogger) *gateway.StoreWatcher {
+	return gateway.NewStoreWatcher(a, t, r, log)
 }
 
-func runFeed(lc fx.Lifecycle, f *gateway.Feed) { runInBackground(lc, f.Run) }
+func runStoreWatcher(lc fx.Lifecycle, w *gateway.StoreWatcher) { runInBackground(lc, w.Run) }
 
 // leaseMarginDivisor is the ratio between the time to live of a lease and its safety margin.
 const leaseMarginDivisor = 7
@@ -130,8 +130,8 @@
 	}
 	runInBackground(lc, leases.Run)
 	// A previous holder that did not notice the loss of its lease may send orders until the TTL expires.
-	roles := gateway.NewRoles(s.Instance, s.LeaseTTL+s.OrderGuard, a, leases, t, r, p, m, log)
-	runInBackground(lc, roles.Run)
+	planner := gateway.NewRolePlanner(s.Instance, s.LeaseTTL+s.OrderGuard, a, leases, t, r, p, m, log)
+	runInBackground(lc, planner.Run)
 }
 
 // statusFunc returns the current status of the process.
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -16,7 +16,7 @@
 	requests   metric.Int64Counter
 	duration   metric.Float64Histogram
 	firstEvent metric.Float64Histogram
-	pause      metric.Float64Histogram
+	eventGap   metric.Float64Histogram
 	attempts   metric.Int64Counter
 	refusals   metric.Int64Counter
 	prompt     metric.Float64Counter
@@ -39,7 +39,7 @@
 		requests:   b.counter("quetzallug_gateway_requests", "Requests of callers, by service, kind and outcome."),
 		duration:   b.histogram("quetzallug_gateway_request_duration", "Time from a request to the end of its response."),
 		firstEvent: b.histogram("quetzallug_gateway_first_event", "Time from a request to the first part of its response."),
-		pause:      b.histogram("quetzallug_gateway_pause", "Time between two consecutive events of a stream."),
+		eventGap:   b.histogram("quetzallug_gateway_pause", "Time between two consecutive events of a stream."),
 		attempts:   b.counter("quetzallug_gateway_attempts", "Requests sent to backend servers, by service and outcome."),
 		refusals:   b.counter("quetzallug_gateway_refusals", "Requests refused before they ran, by service and reason."),
 		prompt:     b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and source, as expected when the backend server was chosen: kept (already in its cache), read (prefilled) or moved (transferred between servers)."),
@@ -64,7 +64,7 @@
 	servers := b.observableGauge("quetzallug_gateway_servers", "Registered backend servers by service.")
 	usable := b.observableGauge("quetzallug_gateway_usable_servers", "Backend servers that can get new requests, by service.")
 	inFlight := b.observableGauge("quetzallug_gateway_in_flight", "Requests in progress at backend servers, by service.")
-	unread := b.observableGauge("quetzallug_gateway_unread_tokens", "Prompt tokens sent to backend servers and not prefilled yet, by service.")
+	pendingTokens := b.observableGauge("quetzallug_gateway_unread_tokens", "Prompt tokens sent to backend servers and not prefilled yet, by service.")
 	budget := b.observableGauge("quetzallug_gateway_retry_budget_left", "Retries that the budget allows now, by service.")
 	conns := b.observableGauge("quetzallug_gateway_connections", "Open connections by backend server.")
 	loadAge := b.observableGauge("quetzallug_gateway_load_age", "Milliseconds since a backend server last reported its load; -1 if it never did.")
@@ -83,7 +83,7 @@
 			o.ObserveInt64(servers, int64(v.Servers), label)
 			o.ObserveInt64(usable, int64(v.Usable), label)
 			o.ObserveInt64(inFlight, int64(v.InFlight), label)
-			o.ObserveInt64(unread, int64(v.UnreadTokens), label)
+			o.ObserveInt64(pendingTokens, int64(v.PendingTokens), label)
 			o.ObserveInt64(budget, int64(v.RetryBudgetLeft), label)
 		}
 		for _, v := range s.Servers {
@@ -92,7 +92,7 @@
 			o.ObserveInt64(loadAge, v.LoadAgeMS, label)
 		}
 		return nil
-	}, ready, configVersion, storeAge, ordersHeld, logLines, servers, usable, inFlight, unread, budget, conns, loadAge)
+	}, ready, configVersion, storeAge, ordersHeld, logLines, servers, usable, inFlight, pendingTokens, budget, conns, loadAge)
 	return err
 }
 
@@ -142,9 +142,9 @@
 	g.refusals.Add(context.Background(), 1, g.optionsOf("service", service, "reason", reason).add...)
 }
 
-// Pause implements gateway.Metrics.
-func (g *Gateway) Pause(service string, d time.Duration) {
-	g.pause.Record(context.Background(), d.Seconds(), g.optionsOf("service", service).record...)
+// EventGap implements gateway.Metrics.
+func (g *Gateway) EventGap(service string, d time.Duration) {
+	g.eventGap.Record(context.Background(), d.Seconds(), g.optionsOf("service", service).record...)
 }
 
 // Prompt implements gateway.Metrics.
@@ -152,7 +152,7 @@
 	for _, part := range [...]struct {
 		source string
 		tokens float64
-	}{{"kept", p.Kept}, {"read", p.Read}, {"moved", p.Moved}} {
+	}{{"kept", p.Cached}, {"read", p.Prefilled}, {"moved", p.Transferred}} {
 		if part.tokens > 0 {
 			g.prompt.Add(context.Background(), part.tokens, g.optionsOf("service", service, "source", part.source).add...)
 		}
