--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -37,16 +37,16 @@
 	b := builder{meter: m.meter}
 	g := &Gateway{
 		requests:   b.counter("quetzallug_gateway_requests", "Requests of callers, by service, kind and outcome."),
-		duration:   b.histogram("quetzallug_gateway_request_duration", "Time from a request to the end of its response."),
-		firstEvent: b.histogram("quetzallug_gateway_first_event", "Time from a request to the first part of its response."),
-		eventGap:   b.histogram("quetzallug_gateway_pause", "Time between two consecutive events of a stream."),
+		duration:   b.histogram("quetzallug_gateway_request_duration", "Time from a request to the end of its answer."),
+		firstEvent: b.histogram("quetzallug_gateway_first_event", "Time from a request to the first part of its answer."),
+		eventGap:   b.histogram("quetzallug_gateway_pause", "Time between two events of a stream."),
 		attempts:   b.counter("quetzallug_gateway_attempts", "Requests sent to backend servers, by service and outcome."),
 		refusals:   b.counter("quetzallug_gateway_refusals", "Requests refused before they ran, by service and reason."),
-		prompt:     b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and source, as expected when the backend server was chosen: kept (already in its cache), read (prefilled) or moved (transferred between servers)."),
-		orders:     b.counter("quetzallug_gateway_role_orders", "Orders to change an engine's role, by service, role and outcome."),
+		prompt:     b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and where they came from: kept, read or moved, as the choice of the backend server expected it."),
+		orders:     b.counter("quetzallug_gateway_role_orders", "Orders to change an engine's role, by service and by role and outcome."),
 		storeCalls: b.counter("quetzallug_gateway_store_calls", "Calls to the store, by operation and result."),
-		dropped:    b.counter("quetzallug_gateway_dropped_connections", "Connections of callers closed at the connection limit, by state: idle, or new if no connection was idle."),
-		unread:     b.counter("quetzallug_gateway_unread_requests", "Connections of callers that ended before a valid request header was read."),
+		dropped:    b.counter("quetzallug_gateway_dropped_connections", "Connections of callers closed because there were too many: idle ones, or new ones if none was idle."),
+		unread:     b.counter("quetzallug_gateway_unread_requests", "Connections of callers that ended before their request's header could be read."),
 	}
 	return g, b.err
 }
@@ -56,18 +56,18 @@
 // configuration, backend servers from the registrations.
 func (g *Gateway) ObserveStatus(m *Metrics, status func() *gateway.Status, droppedLogLines func() int64) error {
 	b := builder{meter: m.meter}
-	ready := b.observableGauge("quetzallug_gateway_ready", "1 if the process is ready for requests.")
-	configVersion := b.observableGauge("quetzallug_gateway_config_version", "Version of the current configuration.")
-	storeAge := b.observableGauge("quetzallug_gateway_store_age", "Milliseconds since the store last confirmed that all changes were received: the age of the configuration and of the registrations.")
-	ordersHeld := b.observableGauge("quetzallug_gateway_orders_held", "1 if this process holds the lease for orders to engines.")
-	logLines := b.observableGauge("quetzallug_gateway_log_lines_left_out", "Log lines dropped because the reader of the log was too slow.")
+	ready := b.observableGauge("quetzallug_gateway_ready", "1 if the process takes requests.")
+	configVersion := b.observableGauge("quetzallug_gateway_config_version", "Version of the configuration in force.")
+	storeAge := b.observableGauge("quetzallug_gateway_store_age", "Milliseconds since the store last told all changes: the age of the configuration and of the registrations.")
+	ordersHeld := b.observableGauge("quetzallug_gateway_orders_held", "1 if this process may give orders to engines.")
+	logLines := b.observableGauge("quetzallug_gateway_log_lines_left_out", "Log lines left out because their reader was too slow.")
 	servers := b.observableGauge("quetzallug_gateway_servers", "Registered backend servers by service.")
-	usable := b.observableGauge("quetzallug_gateway_usable_servers", "Backend servers that can get new requests, by service.")
-	inFlight := b.observableGauge("quetzallug_gateway_in_flight", "Requests in progress at backend servers, by service.")
-	pendingTokens := b.observableGauge("quetzallug_gateway_unread_tokens", "Prompt tokens sent to backend servers and not prefilled yet, by service.")
-	budget := b.observableGauge("quetzallug_gateway_retry_budget_left", "Retries that the budget allows now, by service.")
+	usable := b.observableGauge("quetzallug_gateway_usable_servers", "Backend servers that get new requests, by service.")
+	inFlight := b.observableGauge("quetzallug_gateway_in_flight", "Requests at backend servers, by service.")
+	pendingTokens := b.observableGauge("quetzallug_gateway_unread_tokens", "Prompt tokens sent and not read yet, by service.")
+	budget := b.observableGauge("quetzallug_gateway_retry_budget_left", "Requests that may be sent again now, by service.")
 	conns := b.observableGauge("quetzallug_gateway_connections", "Open connections by backend server.")
-	loadAge := b.observableGauge("quetzallug_gateway_load_age", "Milliseconds since a backend server last reported its load; -1 if it never did.")
+	loadAge := b.observableGauge("quetzallug_gateway_load_age", "Milliseconds since a backend server last told its load; -1 if it never did.")
 	if b.err != nil {
 		return b.err
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -78,10 +78,10 @@
 func (m *Metrics) createInstruments() error {
 	b := builder{meter: m.meter}
 	m.requests = b.counter("quetzallug_requests", "Requests by service, kind, outcome and reason.")
-	m.onTime = b.counter("quetzallug_goodput", "Requests answered completely within their deadline.")
-	m.duration = b.histogram("quetzallug_request_duration", "Time from a request to the end of its response.")
-	m.firstToken = b.histogram("quetzallug_first_token", "Time from a request to the first part of its response.")
-	m.betweenTokens = b.histogram("quetzallug_between_tokens", "Time between tokens of a response.")
+	m.onTime = b.counter("quetzallug_goodput", "Requests answered whole within their deadline.")
+	m.duration = b.histogram("quetzallug_request_duration", "Time from a request to the end of its answer.")
+	m.firstToken = b.histogram("quetzallug_first_token", "Time from a request to the first part of its answer.")
+	m.betweenTokens = b.histogram("quetzallug_between_tokens", "Time between tokens of an answer.")
 	m.retries = b.counter("quetzallug_retries", "Attempts after the first, by cause.")
 	m.attempts = b.counter("quetzallug_attempts", "Attempts at a sidecar by outcome and reason.")
 	m.inFlight = b.gauge("quetzallug_in_flight", "Attempts in flight at a sidecar.")
