--- a/lease/acquire.go
+++ b/lease/acquire.go
@@ -10,14 +10,14 @@
 	"github.com/quetzallug/quetzallug/internal/cas"
 )
 
-// maxFenceAttempts bounds the compare-and-swap loop on the fence. Only processes whose lease was
-// granted compete for it, so conflicts are rare.
+// maxFenceAttempts bounds the compare-and-swap loop on the fence. Only a session that has created
+// the holder key increments the fence, so conflicts are rare.
 const maxFenceAttempts = 4
 
 // acquire grants a lease, creates the holder key and increments the fence. On failure it revokes
 // the lease, so that an abandoned holder key does not block the pool for the rest of its TTL.
 func (m *Manager) acquire(ctx context.Context, pool string) (Authority, session, error) {
-	s := session{pool: pool, id: cas.NewID(), granted: time.Now()}
+	s := session{pool: pool, id: cas.NewID(), grantSent: time.Now()}
 	var err error
 	if s.lease, err = m.grant(ctx); err != nil {
 		return Authority{}, s, err
@@ -31,7 +31,7 @@
 		m.revoke(ctx, s)
 		return Authority{}, s, err
 	}
-	a := NewAuthority(pool, m.cfg.Holder, fence, m.validUntil(s.granted))
+	a := NewAuthority(pool, m.cfg.Holder, fence, m.validUntil(s.grantSent))
 	if !a.Valid() {
 		m.revoke(ctx, s)
 		return Authority{}, s, fmt.Errorf("acquire pool %q: %w", pool, ErrLost)
@@ -39,6 +39,8 @@
 	return a, s, nil
 }
 
+// validUntil returns the time until which a lease is safely held if its grant or last successful
+// keep-alive was sent at the given time.
 func (m *Manager) validUntil(sent time.Time) time.Time {
 	return sent.Add(m.cfg.TTL - m.cfg.SafetyMargin)
 }
@@ -63,13 +65,14 @@
 		ID:    s.id,
 		Check: m.checkUnexpired(s),
 	})
-	return wrapError("create holder of pool "+s.pool, err)
+	return toPackageError("create holder of pool "+s.pool, err)
 }
 
-// incrementFence reads the fence and increments it by one. The session's validity is checked
-// between the read and each write. While the session is valid, no other session can have
-// incremented the fence since the read, so a process that was paused past its TTL cannot increment
-// the fence of a new holder.
+// incrementFence increments the fence by one and returns the new number. The session's validity is
+// checked between the read and each write. While it is valid, no other session can begin to
+// increment the fence, so a process that was paused past its TTL cannot increment the fence of a
+// new holder. A delayed write of an earlier session may still arrive after the read. The write then
+// conflicts, and the fence is read again.
 func (m *Manager) incrementFence(ctx context.Context, s session) (uint64, error) {
 	for range maxFenceAttempts {
 		state, err := ReadPool(ctx, m.kv, s.pool)
@@ -85,7 +88,7 @@
 			return r.Fence, nil
 		}
 		if !errors.Is(err, external.ErrConflict) {
-			return 0, wrapError("increment fence of pool "+s.pool, err)
+			return 0, toPackageError("increment fence of pool "+s.pool, err)
 		}
 	}
 	return 0, fmt.Errorf("increment fence of pool %q: %w", s.pool, ErrHeld)
@@ -94,7 +97,7 @@
 // checkUnexpired returns the validity check of a session that has no authority yet.
 func (m *Manager) checkUnexpired(s session) func() error {
 	return func() error {
-		if time.Now().Before(m.validUntil(s.granted)) {
+		if time.Now().Before(m.validUntil(s.grantSent)) {
 			return nil
 		}
 		return ErrLost
@@ -109,8 +112,9 @@
 	}
 }
 
-// wrapError converts errors of the key-value service to errors of this package.
-func wrapError(operation string, err error) error {
+// toPackageError converts an error of the key-value service to one of this package, prefixed with
+// the operation; nil stays nil.
+func toPackageError(operation string, err error) error {
 	switch {
 	case err == nil:
 		return nil
--- a/lease/authority.go
+++ b/lease/authority.go
@@ -42,8 +42,8 @@
 	return a.state.checkDeadline()
 }
 
-// Done returns a channel that is closed when the end of the authority has been detected. Valid
-// may be false earlier.
+// Done returns a channel that is closed when the session is given up or when a check finds that the
+// deadline has passed, which may be later than the deadline itself.
 func (a Authority) Done() <-chan struct{} {
 	if a.state == nil {
 		closed := make(chan struct{})
--- a/lease/doc.go
+++ b/lease/doc.go
@@ -7,9 +7,9 @@
 // ID. The holder key and the fence record both contain the session ID; a pool is held if the two
 // agree.
 //
-// An Authority is valid until (monotonic time at which the last successful keep-alive was sent +
-// TTL - safety margin). An authority that has become invalid stays invalid: the process gives up
-// the session and competes again. The monotonic clock does not count the time in which the whole
+// An Authority is valid until (monotonic time at which the grant or the last successful keep-alive
+// was sent + TTL - safety margin). An authority that has become invalid stays invalid: the process
+// gives up the session and competes again. The monotonic clock does not count the time in which the whole
 // machine is suspended; the checks that package order makes in the sidecar cover that case.
 //
 // # Lost responses
@@ -21,10 +21,10 @@
 // # Calls to the key-value service
 //
 // A holder renews each pool once per TTL/3: 0.3 writes per second and pool at the default TTL of
-// 10 s. All other processes read the state of all pools with one List call per poll. The poll
-// interval increases with the number of competitors (Config.Competitors), so that a group of up to
-// 60 competitors makes at most 1/PollSpacing = 2 reads per second in total; in a larger group each
-// competitor polls once in 30 s. 340 entries in 5 groups make 11.3 reads per second for all pools.
-// An acquisition costs 3 writes and 1 read. A vacant pool is found by the next poll, after half a
+// 10 s. A process that may acquire more pools reads the state of all pools with one List call per
+// poll. The poll interval increases with the number of competitors (Config.Competitors), so that a
+// group of up to 60 competitors makes at most 1/PollSpacing = 2 reads per second in total; in a
+// larger group each competitor polls once in 30 s. For example, 340 competing processes in 5 groups
+// make 11.3 reads per second in total. An acquisition costs 3 writes and 1 read. A vacant pool is found by the next poll, after half a
 // second on average in a group of 4 or more competitors.
 package lease
--- a/lease/errors.go
+++ b/lease/errors.go
@@ -6,7 +6,7 @@
 var (
 	// ErrHeld means that another session holds the pool.
 	ErrHeld = errors.New("pool is held by another session")
-	// ErrLost means that the session's validity has ended.
+	// ErrLost means that the session is no longer valid.
 	ErrLost = errors.New("authority has ended")
 	// ErrUnavailable means that the key-value service did not answer; the pool's state is unknown.
 	ErrUnavailable = errors.New("pool state cannot be read or written")
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -22,12 +22,12 @@
 
 const pool = "oracolo.catania"
 
-// effect records that a process acted under an authority at a time, and whether it held the pool.
-type effect struct {
-	at      time.Time
-	fence   uint64
-	holder  string
-	current bool // the pool's records contain this holder and fence
+// action records that a process acted under an authority at a time, and whether it held the pool.
+type action struct {
+	at     time.Time
+	fence  uint64
+	holder string
+	held   bool // the pool's records contained this holder and fence
 }
 
 // simulation runs processes that compete for one pool.
@@ -42,7 +42,7 @@
 	started   int
 	processes []*fault.Process
 	managers  []*lease.Manager
-	effects   []effect
+	actions   []action
 }
 
 func newSimulation(ctx context.Context, seed uint64) *simulation {
@@ -76,14 +76,14 @@
 	sim.processes, sim.managers = append(sim.processes, p), append(sim.managers, m)
 	sim.mu.Unlock()
 	go m.Run(p.Context())
-	go sim.recordEffects(p, m)
+	go sim.recordActions(p, m)
 	return p, m
 }
 
-// recordEffects records an effect every 50 ms while the process considers its authority valid. It
+// recordActions records an action every 50 ms while the process considers its authority valid. It
 // obtains the authority before a possible pause and checks it afterwards, as a process that is
 // paused between two steps does.
-func (sim *simulation) recordEffects(p *fault.Process, m *lease.Manager) {
+func (sim *simulation) recordActions(p *fault.Process, m *lease.Manager) {
 	for p.Context().Err() == nil {
 		a, ok := m.Authority(pool)
 		select {
@@ -95,29 +95,31 @@
 		}
 		s, err := lease.ReadPool(sim.ctx, sim.store, pool)
 		sim.mu.Lock()
-		sim.effects = append(sim.effects, effect{at: time.Now(), fence: a.Fence, holder: a.Holder, current: err == nil && s.Current(a.Fence, a.Holder)})
+		sim.actions = append(sim.actions, action{at: time.Now(), fence: a.Fence, holder: a.Holder, held: err == nil && s.Current(a.Fence, a.Holder)})
 		sim.mu.Unlock()
 	}
 }
 
-// findViolations returns the violations of I3 among the recorded effects.
+// findViolations returns the violations of invariant I3 among the recorded actions: only the pool's
+// holder acts for it, each fence number has one holder, and the fence numbers of the actions never
+// decrease.
 func (sim *simulation) findViolations() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var violations []string
 	holders := map[uint64]string{}
 	var last uint64
-	for _, e := range sim.effects {
-		if !e.current {
-			violations = append(violations, fmt.Sprintf("I3: %s had an effect under fence %d at %v without holding the pool", e.holder, e.fence, e.at))
+	for _, a := range sim.actions {
+		if !a.held {
+			violations = append(violations, fmt.Sprintf("I3: %s acted under fence %d at %v without holding the pool", a.holder, a.fence, a.at))
 		}
-		if e.fence < last {
-			violations = append(violations, fmt.Sprintf("I3: effect under fence %d after one under %d", e.fence, last))
+		if a.fence < last {
+			violations = append(violations, fmt.Sprintf("I3: action under fence %d after one under %d", a.fence, last))
 		}
-		if h := holders[e.fence]; h != "" && h != e.holder {
-			violations = append(violations, fmt.Sprintf("I3: fence %d was used by %s and %s", e.fence, h, e.holder))
+		if h := holders[a.fence]; h != "" && h != a.holder {
+			violations = append(violations, fmt.Sprintf("I3: fence %d was used by %s and %s", a.fence, h, a.holder))
 		}
-		last, holders[e.fence] = max(last, e.fence), e.holder
+		last, holders[a.fence] = max(last, a.fence), a.holder
 	}
 	return violations
 }
@@ -130,27 +132,37 @@
 	}
 }
 
-var faults = []string{"killed", "paused", "down", "slow", "lost", "twice"}
+// Names of the faults. They contain no blanks, because runFaults reads them with Sscan.
+const (
+	faultKilled         = "killed"
+	faultPaused         = "paused"
+	faultKVDown         = "kv-down"
+	faultKVSlow         = "kv-slow"
+	faultResponseLost   = "response-lost"
+	faultDeliveredTwice = "delivered-twice"
+)
+
+var faults = []string{faultKilled, faultPaused, faultKVDown, faultKVSlow, faultResponseLost, faultDeliveredTwice}
 
 func (sim *simulation) injectFault(name string, p *fault.Process) {
 	switch name {
-	case "killed":
+	case faultKilled:
 		p.Kill()
 		time.AfterFunc(2*time.Second, func() {
 			if sim.ctx.Err() == nil {
 				sim.start(pool)
 			}
 		})
-	case "paused":
+	case faultPaused:
 		p.Pause(15 * time.Second)
-	case "down":
+	case faultKVDown:
 		sim.network.Down(15 * time.Second)
-	case "slow":
+	case faultKVSlow:
 		sim.network.Slow(15*time.Second, 900*time.Millisecond)
 	}
 }
 
-// Guards against two processes that act for a pool at once, effects after a lease has expired, a
+// Guards against two processes that act for a pool at once, actions after a lease has expired, a
 // fence that decreases, and a pool that stays without a holder after the faults.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -173,16 +185,16 @@
 func runFaults(sim *simulation, sequence []string) []string {
 	defer sim.stop()
 	var mu sync.Mutex
-	next := ""
+	pendingFault := "" // for the next write call
 	sim.hook = func(_ *fault.Process, c fault.Call) fault.Action {
 		mu.Lock()
 		defer mu.Unlock()
-		name := next
+		name := pendingFault
 		if c.Op == "list" || c.Op == "get" || name == "" {
 			return fault.Action{}
 		}
-		next = ""
-		return fault.Action{Lose: name == "lost", Twice: name == "twice"}
+		pendingFault = ""
+		return fault.Action{Lose: name == faultResponseLost, Twice: name == faultDeliveredTwice}
 	}
 	for range 3 {
 		sim.start(pool)
@@ -195,8 +207,8 @@
 		}
 		time.Sleep(time.Duration(wait) * time.Millisecond)
 		mu.Lock()
-		if name == "lost" || name == "twice" {
-			next = name
+		if name == faultResponseLost || name == faultDeliveredTwice {
+			pendingFault = name
 		}
 		mu.Unlock()
 		sim.mu.Lock()
@@ -307,7 +319,7 @@
 	})
 }
 
-// Guards against a shutdown that blocks the pool for the rest of the TTL, and against effects after
+// Guards against a shutdown that blocks the pool for the rest of the TTL, and against actions after
 // the lease was revoked.
 func TestShutdownRevokes(t *testing.T) {
 	inBubble(t, func(t *testing.T, sim *simulation) {
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -21,7 +21,8 @@
 // Defaults of Config.
 const (
 	DefaultTTL = 10 * time.Second
-	// DefaultSafetyMargin covers the difference in clock rates and the delay of the check.
+	// DefaultSafetyMargin covers the difference between the clock rates of the holder and the
+	// key-value service, and the time between a call of Valid and the action that it allows.
 	DefaultSafetyMargin = time.Second
 	DefaultMaxPools     = 2
 	// DefaultPollSpacing is the mean time between two polls of a group of competitors.
@@ -51,8 +52,9 @@
 	SafetyMargin time.Duration
 	// MaxPools bounds the number of pools that this process holds at once.
 	MaxPools int
-	// Share, if set, returns this process's current share of the pools, which lowers MaxPools. It
-	// is read before each poll. A pool that is already held is not given up when the share falls.
+	// Share, if set, returns the number of pools that this process should hold at present; the
+	// lower of it and MaxPools applies. It is read before each poll. A pool that is already held is
+	// not given up when the number falls.
 	Share       func() int
 	PollSpacing time.Duration
 	// Competitors returns the number of processes that compete for these pools; nil means 1.
@@ -173,13 +175,13 @@
 		m.cfg.Log.WithError(err).Warn("cannot read pool states")
 		return nil
 	}
-	var free []string
+	var vacant []string
 	for _, p := range m.poolNames() {
 		if s := states[p]; !s.Present && s.malformed == nil && !slices.Contains(held, p) {
-			free = append(free, p)
+			vacant = append(vacant, p)
 		}
 	}
-	return free[:min(capacity, len(free))]
+	return vacant[:min(capacity, len(vacant))]
 }
 
 func (m *Manager) maxPools() int {
@@ -209,7 +211,7 @@
 // runSession keeps a session alive until it is lost or ctx ends. The authority ends before the
 // lease is revoked, so that the process does not act under it after the revocation.
 func (m *Manager) runSession(ctx context.Context, a Authority, s session) {
-	reason := m.keepAlive(ctx, a, s)
+	reason := m.keepAliveUntilEnd(ctx, a, s)
 	a.end()
 	m.mu.Lock()
 	delete(m.held, a.Pool)
@@ -218,7 +220,9 @@
 	m.revoke(ctx, s)
 }
 
-func (m *Manager) keepAlive(ctx context.Context, a Authority, s session) error {
+// keepAliveUntilEnd keeps the session alive until it is lost or ctx ends, and returns the reason,
+// which is never nil.
+func (m *Manager) keepAliveUntilEnd(ctx context.Context, a Authority, s session) error {
 	interval := m.cfg.TTL / keepAlivesPerTTL
 	wait := m.jitter(interval)
 	for {
@@ -229,7 +233,7 @@
 			return ErrLost
 		}
 		sent := time.Now()
-		err := m.renew(ctx, s)
+		err := m.sendKeepAlive(ctx, s)
 		if errors.Is(err, external.ErrLeaseExpired) {
 			return fmt.Errorf("%w: %w", ErrLost, err)
 		}
@@ -244,7 +248,7 @@
 	}
 }
 
-func (m *Manager) renew(ctx context.Context, s session) error {
+func (m *Manager) sendKeepAlive(ctx context.Context, s session) error {
 	ctx, cancel := context.WithTimeout(ctx, cas.DefaultCallTimeout)
 	defer cancel()
 	return m.kv.KeepAlive(ctx, s.lease)
--- a/lease/records.go
+++ b/lease/records.go
@@ -55,7 +55,8 @@
 		s.Holder.Holder == holder && s.Holder.Session == s.Fence.Session
 }
 
-// ReadPool reads the state of one pool.
+// ReadPool returns the state of one pool, the zero value if it has no records. Its error wraps
+// ErrUnavailable or ErrBadRecord; with ErrBadRecord, only a part of the returned state is valid.
 func ReadPool(ctx context.Context, kv external.KV, pool string) (PoolState, error) {
 	states, err := readPools(ctx, kv, KeyPrefix+pool+"/")
 	if err != nil {
@@ -114,8 +115,8 @@
 
 // session is one acquisition of a pool.
 type session struct {
-	pool    string
-	id      string
-	lease   external.LeaseID
-	granted time.Time // when the grant was sent
+	pool      string
+	id        string
+	lease     external.LeaseID
+	grantSent time.Time // when the request for the lease was sent
 }
