--- a/order/attempt.go
+++ b/order/attempt.go
@@ -49,27 +49,28 @@
 
 // observeEngine updates a settled record if the engine has restarted or is not in the recorded
 // state.
-func (e *Executor) observeEngine(ctx context.Context, v versioned) error {
+func (e *Executor) observeEngine(ctx context.Context, v versionedRecord) error {
 	s, err := e.engineState(ctx)
 	if err != nil || s.Changing {
 		return err
 	}
 	event := Observe{Incarnation: e.incarnation, State: s}
 	n, err := Next(v.Record, event)
-	if err != nil || !stateChanged(n, v.Record) {
+	if err != nil || !recordChanged(n, v.Record) {
 		return err
 	}
 	e.lastRecord, err = e.store.write(ctx, v, event, nil)
 	return err
 }
 
-// executeOrder drains the engine, acquires weights and applies the order. It sets the outcome or
-// returns an error. In either case the engine accepts new work again when it returns.
-func (e *Executor) executeOrder(ctx context.Context, v versioned) error {
-	id := BeginDrain{Incarnation: e.incarnation, Fence: v.Fence, Number: v.Number}
+// executeOrder drains the engine, acquires weights and applies the order. It sets
+// unrecordedOutcome or returns an error. In either case the engine accepts new work again when it
+// returns.
+func (e *Executor) executeOrder(ctx context.Context, v versionedRecord) error {
+	begin := BeginDrain{Incarnation: e.incarnation, Fence: v.Fence, Number: v.Number}
 	var err error
 	if v.Phase == PhasePlanned {
-		if v, err = e.store.write(ctx, v, id, nil); err != nil {
+		if v, err = e.store.write(ctx, v, begin, nil); err != nil {
 			return err
 		}
 	}
@@ -78,7 +79,8 @@
 		return e.handlePrepareError(ctx, v.Number, err)
 	}
 	if v.Phase == PhaseDraining {
-		if v, err = e.store.write(ctx, v, BeginExecute(id), nil); err != nil {
+		// BeginExecute has the same fields as BeginDrain.
+		if v, err = e.store.write(ctx, v, BeginExecute(begin), nil); err != nil {
 			return err
 		}
 	}
@@ -141,11 +143,11 @@
 
 // authoriseApply reads the record and the pool again, immediately before the order is applied. It
 // returns nil if the record is unchanged, the pool is held under the order's fence number, and the
-// reads began at most EffectBound ago. It then marks the order as executing, under the mutex that
-// Seal takes too.
-func (e *Executor) authoriseApply(ctx context.Context, v versioned) error {
+// reads began at most EffectBound ago. It then sets executingOrder, under the mutex that Seal takes
+// too, so that Seal either comes first or reports the order.
+func (e *Executor) authoriseApply(ctx context.Context, v versionedRecord) error {
 	began := time.Now()
-	now, err := e.store.read(ctx)
+	current, err := e.store.read(ctx)
 	if err != nil {
 		return err
 	}
@@ -153,30 +155,30 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrStore, err)
 	}
-	if err := checkIncarnation(now.Record, e.incarnation); err != nil {
+	if err := checkIncarnation(current.Record, e.incarnation); err != nil {
 		return err
 	}
-	if now.version != v.version {
-		return ErrConflict
+	if current.version != v.version {
+		return fmt.Errorf("record version %d, expected %d: %w", current.version, v.version, ErrConflict)
 	}
 	if !pool.Current(v.Fence, pool.Fence.Holder) {
-		return fmt.Errorf("order fence %d, pool fence %d, held %t: %w", v.Fence, pool.Fence.Fence, pool.Present, ErrStaleFence)
+		return fmt.Errorf("pool is not held under fence %d (pool fence %d, holder key present: %t): %w", v.Fence, pool.Fence.Fence, pool.Present, ErrStaleFence)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if v.Fence != e.highestFence {
-		return ErrConflict
+		return fmt.Errorf("engine sealed under fence %d, order has fence %d: %w", e.highestFence, v.Fence, ErrConflict)
 	}
 	if age := time.Since(began); age > EffectBound {
-		return fmt.Errorf("%v after the read, at most %v: %w", age, EffectBound, ErrTooSlow)
+		return fmt.Errorf("%v since the reads began, at most %v allowed: %w", age, EffectBound, ErrTooSlow)
 	}
 	e.executingOrder = v.Number
 	return nil
 }
 
-// applyOrder sends the order to the engine and sets the outcome.
-func (e *Executor) applyOrder(ctx context.Context, v versioned) error {
-	event, err := e.applyToBackend(ctx, v)
+// applyOrder sends the order to the engine and sets unrecordedOutcome.
+func (e *Executor) applyOrder(ctx context.Context, v versionedRecord) error {
+	event, err := e.applyToEngine(ctx, v)
 	e.mu.Lock()
 	e.executingOrder = 0
 	e.mu.Unlock()
@@ -186,12 +188,12 @@
 	e.unrecordedOutcome = &outcome{number: v.Number, event: event}
 	e.cfg.Log.WithFields(logrus.Fields{
 		"engine": e.cfg.Engine, "fence": v.Fence, "order": v.Number, "role": v.Config.Role, "outcome": fmt.Sprintf("%T", event),
-	}).Info("order executed")
+	}).Info("order ended")
 	return nil
 }
 
-// applyToBackend returns the event that ends the order, or an error if the sidecar is stopping.
-func (e *Executor) applyToBackend(ctx context.Context, v versioned) (Event, error) {
+// applyToEngine returns the event that ends the order, or an error if the sidecar is stopping.
+func (e *Executor) applyToEngine(ctx context.Context, v versionedRecord) (Event, error) {
 	applyCtx, cancel := context.WithTimeout(ctx, e.cfg.ApplyTimeout)
 	defer cancel()
 	err := e.cfg.Backend.Apply(applyCtx, external.EngineOrder{Fence: v.Fence, Number: v.Number, Config: v.Config})
@@ -225,17 +227,18 @@
 	return s.StartID
 }
 
-// setFailed sets the outcome of an order that did not reach the engine.
+// setFailed sets unrecordedOutcome for an order that did not reach the engine.
 func (e *Executor) setFailed(number uint64, detail string) {
 	e.unrecordedOutcome = &outcome{number: number, event: Fail{Incarnation: e.incarnation, Number: number, Detail: detail}}
 	e.cfg.Log.WithFields(logrus.Fields{"engine": e.cfg.Engine, "order": number, "detail": detail}).Warn("order not executed")
 }
 
-// writeOutcome records the outcome of an order. On failure it keeps the outcome for a later call.
+// writeOutcome writes unrecordedOutcome to the record. On failure it keeps the outcome for a later
+// call.
 func (e *Executor) writeOutcome(ctx context.Context) error {
 	var err error
 	for range maxOutcomeWrites {
-		var v versioned
+		var v versionedRecord
 		if v, err = e.store.read(ctx); err != nil {
 			return err
 		}
@@ -256,7 +259,8 @@
 	return err
 }
 
-// steadyState waits until the engine answers and is not changing.
+// steadyState returns the engine's state once it is not changing. It returns ErrEngine if that takes
+// longer than ApplyTimeout or if ctx ends.
 func (e *Executor) steadyState(ctx context.Context) (external.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ApplyTimeout)
 	defer cancel()
--- a/order/engine_test.go
+++ b/order/engine_test.go
@@ -18,7 +18,7 @@
 	sidecar       string
 	fence, number uint64
 	config        external.EngineConfig
-	// inFlight is the number of requests in flight that may not be interrupted when an apply begins.
+	// inFlight is the number of requests in flight that must not be interrupted when an apply begins.
 	inFlight      int
 	acceptingWork bool // the sidecar accepted new work when the apply began
 	// executing is the order number in the response to a seal.
@@ -159,7 +159,7 @@
 	return d.inFlight, d.draining
 }
 
-// generateRequests starts a request that may not be interrupted every 300 ms unless the sidecar is
+// generateRequests starts a request that must not be interrupted every 300 ms unless the sidecar is
 // draining.
 func (d *fakeDrainer) generateRequests(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -180,7 +180,14 @@
 	}
 }
 
-// findViolations returns the violations of the invariants in a history.
+// findViolations returns the violations of the invariants in a history:
+//
+//   - I1: the engine executes one order at a time, in ascending order of their numbers.
+//   - I2: an order interrupts no request that must not be interrupted, and is applied only while the
+//     sidecar accepts no new work.
+//   - I3: an order is applied only if the pool was held under its fence number within the last
+//     500 ms, and not after a seal under a higher one, unless the seal reported it as executing. The
+//     fence numbers of the orders never decrease.
 func findViolations(events []historyEvent) []string {
 	var violations []string
 	report := func(invariant string, e historyEvent, format string, a ...any) {
--- a/order/errors.go
+++ b/order/errors.go
@@ -12,7 +12,8 @@
 	ErrNotClaimed = errors.New("no sidecar has claimed the engine")
 	// ErrSuperseded means that another sidecar with a higher incarnation has claimed the engine.
 	ErrSuperseded = errors.New("another sidecar has claimed the engine")
-	// ErrStaleFence means that the fence number is lower than one already seen.
+	// ErrStaleFence means that the fence number is lower than one already seen, or that the pool is
+	// no longer held under it.
 	ErrStaleFence = errors.New("fence number is stale")
 )
 
@@ -30,13 +31,16 @@
 	ErrNotReady = errors.New("sidecar has not established its state")
 	// ErrWrongEngine means that a message is for another pool or engine.
 	ErrWrongEngine = errors.New("message is for another engine")
-	// ErrForgedFence means that the key-value service does not confirm the fence number and holder.
+	// ErrForgedFence means that the key-value service does not confirm the fence number and holder,
+	// for example because the pool has changed hands since the message was sent.
 	ErrForgedFence = errors.New("pool record does not confirm the fence number and holder")
-	// ErrTooSlow means that the effect would begin too long after the read that allows it.
-	ErrTooSlow = errors.New("read before effect is too old")
-	// ErrEngine means that the engine's state cannot be established.
+	// ErrTooSlow means that the order would be applied more than EffectBound after the start of the
+	// reads that allow it.
+	ErrTooSlow = errors.New("authorising read is too old")
+	// ErrEngine means that the engine's state cannot be read, or that it keeps changing.
 	ErrEngine = errors.New("engine state is not established")
-	// ErrDrain means that requests that may not be interrupted did not finish in time.
+	// ErrDrain means that the engine could not be drained: either the drain could not begin, or
+	// requests that must not be interrupted did not finish in time.
 	ErrDrain = errors.New("drain did not finish")
 	// ErrWeights means that the weight store did not grant a load.
 	ErrWeights = errors.New("weights were not granted")
@@ -44,8 +48,9 @@
 
 // Errors of record storage.
 var (
-	// ErrConflict means that another process changed the record.
-	ErrConflict = errors.New("order record was changed by another process")
+	// ErrConflict means that another process changed the record, or that a new planner sealed the
+	// engine.
+	ErrConflict = errors.New("order record or seal was changed by another process")
 	// ErrStore means that the record or the pool state could not be read or written. A write may
 	// have taken effect.
 	ErrStore = errors.New("order record cannot be read or written")
--- a/order/executor.go
+++ b/order/executor.go
@@ -16,8 +16,8 @@
 )
 
 // EffectBound is the maximum time between the start of the reads that allow an order and its
-// application to the engine. It is far below the lease's TTL: if the process is paused in between
-// for long enough that another planner can have sealed the engine, the reads are discarded.
+// application to the engine. It is far below the lease's TTL: after a pause in which another planner
+// could have sealed the engine, the reads from before the pause are too old to be used.
 const EffectBound = 500 * time.Millisecond
 
 // claimWait is the delay after a claim. It covers the time in which an earlier sidecar may still
@@ -31,7 +31,8 @@
 	DefaultDrainTimeout  = 2 * time.Minute
 	DefaultWeightTimeout = 2 * time.Minute
 	DefaultApplyTimeout  = 2 * time.Minute
-	// DefaultPollInterval amounts to 21 reads per second for 640 sidecars.
+	// DefaultPollInterval is the mean time between two reads of the record without a notice; 640
+	// sidecars then make 21 reads per second.
 	DefaultPollInterval = 30 * time.Second
 	// DefaultStateInterval is the time between state requests to the engine on loopback.
 	DefaultStateInterval = 2 * time.Second
@@ -71,14 +72,14 @@
 
 	// lastRecord and unrecordedOutcome are used only by the goroutine of Run. That goroutine writes
 	// incarnation with mu held and reads it without.
-	lastRecord        versioned
+	lastRecord        versionedRecord
 	unrecordedOutcome *outcome
 
 	mu             sync.Mutex // guards the fields below
 	incarnation    uint64
 	ready          bool
 	superseded     bool
-	highestFence   uint64 // highest fence number of a seal, or of the pool at start
+	highestFence   uint64 // highest fence number of a seal, or of the pool at start; lower ones are refused
 	executingOrder uint64 // number of the order being applied, 0 if none
 }
 
@@ -123,7 +124,7 @@
 	}
 	stateTicker := time.NewTicker(e.cfg.StateInterval)
 	defer stateTicker.Stop()
-	wait, delay := time.Duration(0), time.Duration(0)
+	wait, retryDelay := time.Duration(0), time.Duration(0)
 	for {
 		timer := time.NewTimer(wait)
 		err := e.waitForTrigger(ctx, timer, stateTicker)
@@ -137,17 +138,17 @@
 		case errors.Is(err, ErrSuperseded):
 			return e.markSuperseded(err)
 		case err != nil:
-			delay = min(max(minRetryDelay, 2*delay), maxRetryDelay)
-			wait = e.jitter(delay)
+			retryDelay = min(max(minRetryDelay, 2*retryDelay), maxRetryDelay)
+			wait = e.jitter(retryDelay)
 			e.cfg.Log.WithField("engine", e.cfg.Engine).WithError(err).Warn("order record not processed; retrying")
 		default:
-			delay, wait = 0, e.jitter(e.cfg.PollInterval)
+			retryDelay, wait = 0, e.jitter(e.cfg.PollInterval)
 		}
 	}
 }
 
 // waitForTrigger returns when the record must be read: after a notice, when the timer fires, or
-// when the engine's state differs from the record.
+// when the engine's state would change the record.
 func (e *Executor) waitForTrigger(ctx context.Context, timer *time.Timer, stateTicker *time.Ticker) error {
 	for {
 		select {
@@ -158,15 +159,16 @@
 		case <-timer.C:
 			return nil
 		case <-stateTicker.C:
-			if e.engineDiverged(ctx) {
+			if e.recordOutdated(ctx) {
 				return nil
 			}
 		}
 	}
 }
 
-// engineDiverged reports whether the engine's state differs from the last record that was read.
-func (e *Executor) engineDiverged(ctx context.Context) bool {
+// recordOutdated reports whether the engine's state would change the last record that was read. It
+// returns false while an order is in progress or the engine is changing.
+func (e *Executor) recordOutdated(ctx context.Context) bool {
 	s, err := e.engineState(ctx)
 	if err != nil || s.Changing || !e.lastRecord.Phase.Settled() {
 		return false
@@ -222,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	if stateChanged(n, v.Record) {
+	if recordChanged(n, v.Record) {
 		if v, err = e.store.write(ctx, v, Resolve{Incarnation: e.incarnation, State: s}, nil); err != nil {
 			return err
 		}
@@ -255,7 +257,8 @@
 	return nil
 }
 
-func stateChanged(a, b Record) bool {
+// recordChanged reports whether an event changed a field that must be stored.
+func recordChanged(a, b Record) bool {
 	return a.Phase != b.Phase || a.Number != b.Number || a.StartID != b.StartID || a.Unknown != b.Unknown
 }
 
@@ -311,7 +314,7 @@
 	return e.incarnation, e.ready
 }
 
-// HighestFence returns the highest fence number under which the engine is sealed.
+// HighestFence returns the lowest fence number that the sidecar still accepts.
 func (e *Executor) HighestFence() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -335,7 +338,7 @@
 	return nil
 }
 
-// checkFence refuses a fence number other than the one under which the engine is sealed.
+// checkFence refuses a fence number other than highestFence.
 func (e *Executor) checkFence(fence uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -348,6 +351,7 @@
 	return nil
 }
 
+// jitter returns d, changed at random by up to 20 %.
 func (e *Executor) jitter(d time.Duration) time.Duration {
 	return d*4/5 + time.Duration(e.cfg.Random()*float64(d)*2/5)
 }
--- a/order/faults_test.go
+++ b/order/faults_test.go
@@ -39,9 +39,9 @@
 type faultTiming string
 
 const (
-	before faultTiming = "before"
-	during faultTiming = "during"
-	after  faultTiming = "after"
+	timingBefore faultTiming = "before"
+	timingDuring faultTiming = "during"
+	timingAfter  faultTiming = "after"
 )
 
 // injectFault injects a fault that does not apply to a single call.
@@ -103,9 +103,9 @@
 	}
 	inject := func() { sim.injectFault(name, p) }
 	switch at {
-	case before:
+	case timingBefore:
 		return fault.Action{Before: inject}
-	case after:
+	case timingAfter:
 		return fault.Action{After: inject}
 	}
 	return fault.Action{Before: func() { time.AfterFunc(midCallDelay, inject) }}
@@ -114,7 +114,7 @@
 // protocolStep is a step of a protocol, recognised by the call that it makes.
 type protocolStep struct {
 	protocol, name string
-	invariant      string
+	invariant      string // invariants that the step must keep; see findViolations
 	match          func(observedCall) bool
 	// setup brings about the situation in which the step occurs; nil if it needs none.
 	setup func(*simulation)
@@ -213,11 +213,11 @@
 	at     faultTiming
 	faults []string
 
-	mu        sync.Mutex
-	injected  bool
-	setupDone bool
-	pending   string // a fault that applies to the next call with an effect
-	executing map[string]bool
+	mu            sync.Mutex
+	firstInjected bool
+	setupDone     bool
+	pending       string          // a fault for the next call that injectPending accepts
+	executing     map[string]bool // by process name: its last record write set PhaseExecuting
 }
 
 const faultSpacing = time.Second
@@ -248,21 +248,21 @@
 			inj.step.setup(sim)
 		}
 	}
-	if inj.injected {
+	if inj.firstInjected {
 		return inj.injectPending(sim, p, c)
 	}
 	if sim.observe != nil || !inj.step.match(k) {
 		return fault.Action{}
 	}
-	inj.injected = true
+	inj.firstInjected = true
 	for i, name := range inj.faults[1:] {
 		time.AfterFunc(time.Duration(i+1)*faultSpacing, func() { inj.injectOrDefer(sim, name, p) })
 	}
 	return sim.faultAction(inj.faults[0], inj.at, p)
 }
 
-// injectOrDefer injects a fault now, or at the next call that has an effect if the fault applies to
-// a single call.
+// injectOrDefer injects a fault now, or at the next call that injectPending accepts if the fault
+// applies to a single call.
 func (inj *faultInjector) injectOrDefer(sim *simulation, name string, p *fault.Process) {
 	if name == faultLost || name == faultDuplicate {
 		inj.mu.Lock()
@@ -273,14 +273,15 @@
 	sim.injectFault(name, p)
 }
 
-// injectPending injects the pending fault, if any, at a call that has an effect.
+// injectPending injects the pending fault, if any, at a write to the key-value service or a call of
+// a sidecar.
 func (inj *faultInjector) injectPending(sim *simulation, p *fault.Process, c fault.Call) fault.Action {
 	switch c.Op {
 	case "cas", "grant", "keepalive", "seal", "notify":
 		name := inj.pending
 		inj.pending = ""
 		if name != "" {
-			return sim.faultAction(name, after, p)
+			return sim.faultAction(name, timingAfter, p)
 		}
 	}
 	return fault.Action{}
--- a/order/guards_test.go
+++ b/order/guards_test.go
@@ -88,10 +88,10 @@
 	fx.setHook(func(_ *simulation, p *fault.Process, c fault.Call) fault.Action {
 		inj.mu.Lock()
 		defer inj.mu.Unlock()
-		if k := inj.classify(p, c); inj.injected || !match(k) {
+		if k := inj.classify(p, c); inj.firstInjected || !match(k) {
 			return fault.Action{}
 		}
-		inj.injected = true
+		inj.firstInjected = true
 		return do(p)
 	})
 }
--- a/order/machine.go
+++ b/order/machine.go
@@ -11,8 +11,8 @@
 	next(Record) (Record, error)
 }
 
-// Next returns the record after an event. It neither changes r nor performs I/O. The caller sets
-// the write ID.
+// Next returns the record after an event. If it refuses the event, it returns r and an error. It
+// neither changes r nor performs I/O. The caller sets the write ID.
 func Next(r Record, e Event) (Record, error) {
 	if _, claim := e.(Claim); r.Phase == "" && !claim {
 		return r, ErrNotClaimed
@@ -95,6 +95,7 @@
 		r.Phase, r.StartID = PhasePlanned, e.State.StartID
 	case PhaseDone, PhaseFailed:
 		if r.Number == 0 {
+			// No order is recorded: take over the engine's number and configuration.
 			r.Number, r.Config, r.StartID = e.State.Number, e.State.Config, e.State.StartID
 			return r, nil
 		}
@@ -137,6 +138,8 @@
 	return BeginDrain(e).advancePhase(r, PhaseDraining, PhaseExecuting)
 }
 
+// advancePhase moves the order of e from one phase to another. BeginExecute uses it too, because it
+// has the same fields as BeginDrain and needs the same checks.
 func (e BeginDrain) advancePhase(r Record, from, to Phase) (Record, error) {
 	if err := checkIncarnation(r, e.Incarnation); err != nil {
 		return r, err
@@ -169,7 +172,7 @@
 	Incarnation, Number uint64
 	StartID             string
 	Detail              string
-	// Unknown means that the engine may have been changed in part.
+	// Unknown means that the engine may have been changed in part. It becomes Record.Unknown.
 	Unknown bool
 }
 
@@ -212,7 +215,7 @@
 	return !s.Changing && s.Number == r.Number && sameConfig(s.Config, r.Config)
 }
 
-// markDivergence marks a settled record as unknown if the engine is not in the recorded state, and
+// markDivergence sets Unknown in a settled record if the engine is not in the recorded state, and
 // updates its start ID. After a failed order the engine keeps an earlier order number, so only a
 // restart can be detected.
 func markDivergence(r Record, s external.EngineState) Record {
--- a/order/matrix_test.go
+++ b/order/matrix_test.go
@@ -19,7 +19,7 @@
 		return "does not apply: the drainer is called within the process"
 	}
 	if s.name == "execute" && f == faultDuplicate {
-		return "the adapter must not send an order twice; an engine that ignores fence numbers would run a late copy"
+		return "the client of the engine must not send an order twice; an engine that ignores fence numbers would run a late copy"
 	}
 	return ""
 }
@@ -28,12 +28,12 @@
 func faultTimings(s protocolStep, f string) []faultTiming {
 	switch {
 	case f == faultLost, f == faultDuplicate:
-		return []faultTiming{after}
+		return []faultTiming{timingAfter}
 	case s.name == "execute" && f == faultPaused:
 		// A pause between the last check and the send is a known limitation, declared as cell "send".
-		return []faultTiming{during, after}
+		return []faultTiming{timingDuring, timingAfter}
 	}
-	return []faultTiming{before, during, after}
+	return []faultTiming{timingBefore, timingDuring, timingAfter}
 }
 
 func cell(s protocolStep, faults ...string) faultmatrix.Cell {
@@ -51,7 +51,7 @@
 			defer sim.stop()
 			sim.setHook(inj.hook)
 			violations := sim.run()
-			if !inj.injected {
+			if !inj.firstInjected {
 				violations = append(violations, "the step did not occur")
 			}
 			if len(violations) > 0 {
--- a/order/planner.go
+++ b/order/planner.go
@@ -16,7 +16,8 @@
 	"github.com/quetzallug/quetzallug/lease"
 )
 
-// sidecarTimeout bounds one call to a sidecar. A seal makes the sidecar read the key-value service.
+// sidecarTimeout bounds one call to a sidecar. It exceeds cas.DefaultCallTimeout, because a sidecar
+// reads the key-value service before it answers a seal.
 const sidecarTimeout = 3 * time.Second
 
 // Planner issues orders to the engines of the pools that this process holds.
@@ -91,7 +92,7 @@
 
 // adopt writes the record even if its order is settled, so that a write of an earlier planner that
 // is still in flight fails because the version has changed.
-func (p *Planner) adopt(ctx context.Context, a lease.Authority, s store) (versioned, error) {
+func (p *Planner) adopt(ctx context.Context, a lease.Authority, s store) (versionedRecord, error) {
 	for range maxAdoptAttempts {
 		v, err := s.read(ctx)
 		if err != nil {
@@ -102,7 +103,7 @@
 			return n, err
 		}
 	}
-	return versioned{}, ErrConflict
+	return versionedRecord{}, fmt.Errorf("adopt %q: %d attempts: %w", s.key, maxAdoptAttempts, ErrConflict)
 }
 
 // Issue records a new order for an engine and notifies its sidecar. If the notice is lost, the
@@ -119,8 +120,9 @@
 	return p.issue(ctx, a, engine, v, config)
 }
 
-// Reconcile issues the recorded configuration again if the engine is not in the recorded state,
-// and reports whether it did. It also repeats the notice of an order that is still planned.
+// Reconcile issues the recorded configuration again if the engine is not in the recorded state. It
+// returns the new record, or the one read if no order was issued, and whether one was. It also
+// repeats the notice of an order that is still planned.
 func (p *Planner) Reconcile(ctx context.Context, a lease.Authority, engine string) (Record, bool, error) {
 	if err := p.checkSealed(a, engine); err != nil {
 		return Record{}, false, err
@@ -149,8 +151,8 @@
 }
 
 // Records returns the records of a pool by engine name, in one call to the key-value service. A
-// planner of many engines needs to call Reconcile only for those whose record is marked unknown or
-// still planned.
+// planner of many engines needs to call Reconcile only for those whose record is still planned or
+// has Unknown set.
 func (p *Planner) Records(ctx context.Context, pool string) (map[string]Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, cas.DefaultCallTimeout)
 	defer cancel()
@@ -172,7 +174,7 @@
 	return records, nil
 }
 
-func (p *Planner) issue(ctx context.Context, a lease.Authority, engine string, v versioned, config external.EngineConfig) (Record, error) {
+func (p *Planner) issue(ctx context.Context, a lease.Authority, engine string, v versionedRecord, config external.EngineConfig) (Record, error) {
 	s := store{kv: p.kv, key: Key(a.Pool, engine)}
 	n, err := s.write(ctx, v, Issue{Fence: a.Fence, Config: config}, func() error { return checkAuthority(a) })
 	if err != nil {
--- a/order/property_test.go
+++ b/order/property_test.go
@@ -33,7 +33,8 @@
 }
 
 // injectIntoLiving injects a fault into one of the living entries and sidecars. A fault that
-// applies to a single call is injected at the next call that has an effect.
+// applies to a single call is injected at the next write to the key-value service or call of a
+// sidecar.
 func (sim *simulation) injectIntoLiving(inj *faultInjector, f timedFault) {
 	sim.mu.Lock()
 	var living []*fault.Process
@@ -59,7 +60,8 @@
 		faults := timedFaults().Draw(rt, "faults")
 		checksFence := rapid.Bool().Draw(rt, "engine checks fence")
 		violations := runInBubble(t, func(t *testing.T) []string {
-			inj := &faultInjector{injected: true, setupDone: true, executing: map[string]bool{}}
+			// No step: only injectOrDefer injects faults.
+			inj := &faultInjector{firstInjected: true, setupDone: true, executing: map[string]bool{}}
 			sim := newSimulation(t, 7, checksFence)
 			defer sim.stop()
 			sim.setHook(inj.hook)
--- a/order/record.go
+++ b/order/record.go
@@ -6,7 +6,8 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Phase is the stage that an order has reached.
+// Phase is the stage that an order has reached. It is empty until a sidecar claims the engine, and
+// done if no order has been issued.
 type Phase string
 
 // Phases of an order.
@@ -23,7 +24,7 @@
 
 // Record describes the last order of one engine. It is stored at order/<pool>/<engine>. Number 0
 // means that no order has been issued; Config is then the configuration that the engine reported
-// when it was first claimed.
+// at the last start of a sidecar.
 type Record struct {
 	// Fence is the fence number of the planner that last issued or adopted the order.
 	Fence uint64 `json:"fence"`
@@ -39,7 +40,7 @@
 	Incarnation uint64 `json:"incarnation"`
 	// StartID is the engine's start ID when the record was last compared with its state.
 	StartID string `json:"start_id,omitempty"`
-	// Unknown means that the engine's state is not the recorded one.
+	// Unknown means that the engine's state is, or may be, different from the recorded one.
 	Unknown bool   `json:"unknown,omitempty"`
 	Detail  string `json:"detail,omitempty"`
 }
--- a/order/sidecar.go
+++ b/order/sidecar.go
@@ -36,7 +36,8 @@
 type Drainer interface {
 	// BeginDrain stops the engine from accepting new work.
 	BeginDrain(ctx context.Context) error
-	// Wait returns when no request that a planned change may not interrupt is in flight.
+	// Wait returns nil when all requests that a planned change must not interrupt have ended, or the
+	// error of ctx.
 	Wait(ctx context.Context) error
 	// EndDrain lets the engine accept new work again.
 	EndDrain()
--- a/order/store.go
+++ b/order/store.go
@@ -16,34 +16,34 @@
 	key string
 }
 
-// versioned is a record with the version of its key. Version 0 means that the key is absent.
-type versioned struct {
+// versionedRecord is a record with the version of its key. Version 0 means that the key is absent.
+type versionedRecord struct {
 	Record
 	version uint64
 }
 
-func (s store) read(ctx context.Context) (versioned, error) {
+func (s store) read(ctx context.Context) (versionedRecord, error) {
 	e, err := cas.Get(ctx, s.kv, s.key, 0)
 	if errors.Is(err, external.ErrNotFound) {
-		return versioned{}, nil
+		return versionedRecord{}, nil
 	}
 	if err != nil {
-		return versioned{}, fmt.Errorf("read %q: %w: %w", s.key, ErrStore, err)
+		return versionedRecord{}, fmt.Errorf("read %q: %w: %w", s.key, ErrStore, err)
 	}
 	return decode(e)
 }
 
-func decode(e external.Entry) (versioned, error) {
-	v := versioned{version: e.Version}
+func decode(e external.Entry) (versionedRecord, error) {
+	v := versionedRecord{version: e.Version}
 	if err := json.Unmarshal(e.Value, &v.Record); err != nil {
-		return versioned{}, fmt.Errorf("read %q: %w: %w", e.Key, ErrBadRecord, err)
+		return versionedRecord{}, fmt.Errorf("read %q: %w: %w", e.Key, ErrBadRecord, err)
 	}
 	return v, nil
 }
 
 // write applies an event to a record that was read before and stores the result. check, if not
 // nil, runs before each attempt to store it.
-func (s store) write(ctx context.Context, v versioned, e Event, check func() error) (versioned, error) {
+func (s store) write(ctx context.Context, v versionedRecord, e Event, check func() error) (versionedRecord, error) {
 	n, err := Next(v.Record, e)
 	if err != nil {
 		return v, err
@@ -58,7 +58,7 @@
 	})
 	switch {
 	case err == nil:
-		return versioned{Record: n, version: version}, nil
+		return versionedRecord{Record: n, version: version}, nil
 	case errors.Is(err, ErrNoAuthority):
 		return v, err
 	case errors.Is(err, external.ErrConflict):
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -50,7 +50,7 @@
 	random   *rand.Rand
 	entries  []*fault.Process
 	sidecars []*sidecar
-	// noRequests disables requests for new sidecars.
+	// noRequests means that sidecars started from now on get no requests.
 	noRequests bool
 	// dialOldestUntil is the time until which planners reach the oldest living sidecar.
 	dialOldestUntil time.Time
@@ -140,15 +140,15 @@
 }
 
 func (sim *simulation) plan(p *fault.Process, m *lease.Manager, planner *order.Planner) {
-	ctx, owned := p.Context(), uint64(0)
+	ctx, ownedFence := p.Context(), uint64(0)
 	for ctx.Err() == nil {
 		if a, ok := m.Authority(pool); ok {
-			if owned != a.Fence {
+			if ownedFence != a.Fence {
 				if _, err := planner.Own(ctx, a, engineName); err == nil {
-					owned = a.Fence
+					ownedFence = a.Fence
 				}
 			}
-			if owned == a.Fence {
+			if ownedFence == a.Fence {
 				sim.planOnce(ctx, a, planner)
 			}
 		}
