--- a/cmd/quetzallug-bench/main.go
+++ b/cmd/quetzallug-bench/main.go
@@ -1,5 +1,5 @@
-// Command quetzallug-bench measures the product as separate processes on loopback. See
-// docs/performance.md and docs/CAPACITY.md.
+// Command quetzallug-bench measures quetzallug in separate processes on loopback, and its routing
+// decisions in simulated time. See docs/performance.md and docs/CAPACITY.md.
 package main
 
 import (
@@ -32,7 +32,8 @@
 	}
 }
 
-// workspace returns the folder of the programs, a folder for logs, and its removal.
+// workspace returns the directory of the programs, a temporary directory for log files and a function
+// that removes the temporary directory. It builds the programs unless --bin names their directory.
 func workspace(cmd *cobra.Command) (bin, dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "quetzallug-bench-")
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 	f := cmd.Flags()
 	f.Float64Var(&cfg.Rate, "rate", 1000, "requests per second")
-	f.DurationVar(&cfg.Duration, "duration", 5*time.Second, "time of load on each path per round")
+	f.DurationVar(&cfg.Duration, "duration", 5*time.Second, "duration of the load on each path per round")
 	f.IntVar(&cfg.Rounds, "rounds", 5, "number of rounds")
 	f.StringVar(&profiles, "profiles", "", "folder for CPU profiles of entry and sidecar; empty for none")
 	return cmd
@@ -105,7 +106,7 @@
 			if err != nil {
 				return err
 			}
-			return report(cmd, samples)
+			return reportCapacity(cmd, samples)
 		},
 	}
 	f := cmd.Flags()
@@ -175,7 +176,8 @@
 	return cmd
 }
 
-func report(cmd *cobra.Command, samples []bench.Sample) error {
+// reportCapacity prints the fits of the samples, and writes samples and fits to the --data directory.
+func reportCapacity(cmd *cobra.Command, samples []bench.Sample) error {
 	fits := bench.Fits(samples)
 	if data, _ := cmd.Flags().GetString("data"); data != "" {
 		if err := bench.WriteSamples(filepath.Join(data, "capacity.csv"), samples); err != nil {
@@ -188,13 +190,14 @@
 	return bench.PrintFits(os.Stdout, fits)
 }
 
+// parseSizes parses a comma-separated list of sizes such as 2x4.
 func parseSizes(list string) ([]bench.Size, error) {
 	var sizes []bench.Size
 	for s := range strings.SplitSeq(list, ",") {
 		e, w, _ := strings.Cut(s, "x")
-		entries, err1 := strconv.Atoi(e)
-		sidecars, err2 := strconv.Atoi(w)
-		if err1 != nil || err2 != nil || entries < 1 || sidecars < 1 {
+		entries, entriesErr := strconv.Atoi(e)
+		sidecars, sidecarsErr := strconv.Atoi(w)
+		if entriesErr != nil || sidecarsErr != nil || entries < 1 || sidecars < 1 {
 			return nil, fmt.Errorf("size %q: want entries x sidecars, such as 8x64", s)
 		}
 		sizes = append(sizes, bench.Size{Entries: entries, Sidecars: sidecars})
--- a/cmd/quetzallug-bench/mix.go
+++ b/cmd/quetzallug-bench/mix.go
@@ -15,35 +15,35 @@
 	var seeds, parallel int
 	cmd := &cobra.Command{
 		Use:   "mix",
-		Short: "Play loads against the gateway's decisions and other policies on a model of engines",
-		Long: `mix plays days over a deployment in simulated time, once for each policy and seed, and prints what
-callers got. With --data it also writes the results as JSON and a plot; --previous shows the results of an
-earlier version beside those of this one. A run of all examples takes about half a minute.`,
+		Short: "Compare the gateway's routing decisions with other policies on simulated engines",
+		Long: `mix simulates days of load on a deployment, once for each policy and seed, and prints the results
+that callers see. With --data it also writes the results as JSON and a plot; --previous shows the results of
+an earlier version beside those of this one. A run of all examples takes about half a minute.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			d, err := gatewaybench.ReadDeployment(deployment)
 			if err != nil {
 				return err
 			}
-			var list []*gatewaybench.Day
+			var loaded []*gatewaybench.Day
 			for _, path := range days {
 				day, err := gatewaybench.ReadDay(path, d)
 				if err != nil {
 					return err
 				}
-				list = append(list, day)
+				loaded = append(loaded, day)
 			}
-			var before []gatewaybench.Row
+			var previousRows []gatewaybench.Row
 			if previous != "" {
-				if before, err = gatewaybench.ReadRows(previous); err != nil {
+				if previousRows, err = gatewaybench.ReadRows(previous); err != nil {
 					return err
 				}
 			}
-			rows, err := gatewaybench.Compare(cmd.Context(), d, list, policies, seeds, parallel)
+			rows, err := gatewaybench.Compare(cmd.Context(), d, loaded, policies, seeds, parallel)
 			if err != nil {
 				return err
 			}
-			rows = gatewaybench.Merge(rows, before)
+			rows = gatewaybench.Merge(rows, previousRows)
 			if data, _ := cmd.Flags().GetString("data"); data != "" {
 				if err := gatewaybench.WriteData(data, rows); err != nil {
 					return err
@@ -53,11 +53,11 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&deployment, "deployment", "mix/board.yaml", "file of the deployment")
-	f.StringSliceVar(&days, "days", []string{"mix/days/flood.yaml"}, "files of the days")
-	f.StringSliceVar(&policies, "policies", gatewaybench.Policies, "policies to play")
+	f.StringVar(&deployment, "deployment", "mix/board.yaml", "file that describes the deployment")
+	f.StringSliceVar(&days, "days", []string{"mix/days/flood.yaml"}, "files that describe the days of load")
+	f.StringSliceVar(&policies, "policies", gatewaybench.Policies, "policies to compare")
 	f.StringVar(&previous, "previous", "", "JSON file that an earlier version wrote with --data; empty for none")
 	f.IntVar(&seeds, "seeds", 3, "number of seeds")
-	f.IntVar(&parallel, "parallel", max(1, runtime.NumCPU()/2), "runs at a time")
+	f.IntVar(&parallel, "parallel", max(1, runtime.NumCPU()/2), "number of simulations that run at once")
 	return cmd
 }
--- a/cmd/quetzallug-standin/commands.go
+++ b/cmd/quetzallug-standin/commands.go
@@ -19,7 +19,8 @@
 
 const (
 	envPrefix = "QUETZALLUG_STANDIN"
-	// journalLimit bounds the memory of a stand-in that runs for hours.
+	// journalLimit is the number of journal records that a stand-in keeps. It limits the memory of a
+	// stand-in that runs for hours.
 	journalLimit = 200_000
 )
 
@@ -34,23 +35,25 @@
 	return root
 }
 
-// standin describes a subcommand: build returns the handler and what to close after the server.
+// standin describes a subcommand. build returns the handler and a function that is called after the
+// server has stopped.
 type standin struct {
 	use, short string
 	build      func(v *viper.Viper) (http.Handler, func() error, error)
 }
 
-// command returns the subcommand, whose flags can also be set by QUETZALLUG_STANDIN_* variables.
+// command returns the subcommand. Its flags can also be set by QUETZALLUG_STANDIN_* environment
+// variables.
 func (s standin) command(log *logrus.Logger) *cobra.Command {
 	v := viper.New()
 	cmd := &cobra.Command{
 		Use: s.use, Short: s.short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			h, closer, err := s.build(v)
+			h, closeHandler, err := s.build(v)
 			if err != nil {
 				return err
 			}
-			defer func() { _ = closer() }()
+			defer func() { _ = closeHandler() }()
 			return serve(cmd.Context(), log.WithField("standin", s.use), v.GetString("listen"), h)
 		},
 	}
@@ -62,12 +65,12 @@
 	return cmd
 }
 
-func noClose() error { return nil }
+func nothingToClose() error { return nil }
 
 func newKV(log *logrus.Logger) *cobra.Command {
 	cmd := standin{"kv", "key-value service", func(v *viper.Viper) (http.Handler, func() error, error) {
 		s := kv.NewStore(kv.Limits{Writes: v.GetFloat64("writes"), Reads: v.GetFloat64("reads")})
-		return s.Handler(), noClose, nil
+		return s.Handler(), nothingToClose, nil
 	}}.command(log)
 	cmd.Flags().Float64("writes", 500, "writes per second, 0 for no limit")
 	cmd.Flags().Float64("reads", 2000, "reads per second, 0 for no limit")
@@ -76,15 +79,15 @@
 
 func newInstances(log *logrus.Logger) *cobra.Command {
 	cmd := standin{"instances", "lagging instance list", func(v *viper.Viper) (http.Handler, func() error, error) {
-		return instances.New(v.GetDuration("lag")).Handler(), noClose, nil
+		return instances.New(v.GetDuration("lag")).Handler(), nothingToClose, nil
 	}}.command(log)
-	cmd.Flags().Duration("lag", 0, "time before a change shows")
+	cmd.Flags().Duration("lag", 0, "delay until a change becomes visible")
 	return cmd
 }
 
 func newWeights(log *logrus.Logger) *cobra.Command {
 	cmd := standin{"weights", "rate-limited weight store", func(v *viper.Viper) (http.Handler, func() error, error) {
-		return weights.New(v.GetInt64("rate")).Handler(), noClose, nil
+		return weights.New(v.GetInt64("rate")).Handler(), nothingToClose, nil
 	}}.command(log)
 	cmd.Flags().Int64("rate", weights.DefaultBytesPerSecond, "bytes per second")
 	return cmd
@@ -95,7 +98,7 @@
 		s := backend.New(backend.Config{
 			ServiceTime: v.GetDuration("service-time"), Limit: v.GetInt("limit"), JournalLimit: journalLimit,
 		})
-		return s.Handler(), noClose, nil
+		return s.Handler(), nothingToClose, nil
 	}}.command(log)
 	cmd.Flags().Duration("service-time", backend.DefaultServiceTime, "time of one request, negative for none")
 	cmd.Flags().Int("limit", backend.DefaultLimit, "requests that run at once")
@@ -115,14 +118,14 @@
 	f.String("name", "engine", "name, from which the start ID is derived")
 	f.Uint64("seed", 1, "seed of start IDs and cache event gaps")
 	f.String("role", string(external.RoleMixed), "role at the first start: prefill, decode or mixed")
-	// The environment variables of the two lists are separated by spaces.
+	// In the environment variables of the next two flags, list items are separated by spaces.
 	f.StringSlice("model", nil, "model loaded at the first start, as name or name@version; repeatable")
 	f.StringSlice("adapter", nil, "adapter loaded at the first start, as name or name@version; repeatable")
 	f.Int("pieces", engine.DefaultPieces, "capacity in pieces of 1,024 tokens")
 	f.Int("max-running", engine.DefaultMaxRunning, "requests that run at once")
 	f.Duration("load-lag", 0, "age of load reports")
 	f.Duration("order-time", engine.DefaultOrderTime, "time of one order")
-	f.Bool("check-fence", true, "refuse orders with an old fence number")
+	f.Bool("check-fence", true, "refuse orders with an outdated fence number")
 	f.Bool("instant", false, "generate without step time, for benchmarks")
 	return cmd
 }
@@ -138,7 +141,7 @@
 		Name: v.GetString("name"),
 		Seed: v.GetUint64("seed"),
 		Initial: external.EngineConfig{
-			Role: role, Models: versions(v.GetStringSlice("model")), Adapters: versions(v.GetStringSlice("adapter")),
+			Role: role, Models: parseVersions(v.GetStringSlice("model")), Adapters: parseVersions(v.GetStringSlice("adapter")),
 		},
 		Pieces:       v.GetInt("pieces"),
 		MaxRunning:   v.GetInt("max-running"),
@@ -150,7 +153,8 @@
 	}, nil
 }
 
-func versions(names []string) []external.ModelVersion {
+// parseVersions parses models or adapters given as name or name@version.
+func parseVersions(names []string) []external.ModelVersion {
 	var out []external.ModelVersion
 	for _, n := range names {
 		name, version, _ := strings.Cut(n, "@")
--- a/cmd/quetzallug-standin/main.go
+++ b/cmd/quetzallug-standin/main.go
@@ -1,4 +1,5 @@
-// Command quetzallug-standin serves one stand-in of the platform over HTTP. It is test equipment.
+// Command quetzallug-standin serves one stand-in of the platform or of a backend server over HTTP. It
+// is for tests and benchmarks only.
 package main
 
 import (
--- a/cmd/quetzallug-standin/main_test.go
+++ b/cmd/quetzallug-standin/main_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a stand-in that does not start or stop, and against flags or
-// environment variables that have no effect.
+// Guards against a stand-in that does not start or stop, and against flags and environment variables
+// that are ignored.
 func TestEachStandInServesAndStops(t *testing.T) {
 	t.Setenv("QUETZALLUG_STANDIN_MODEL", "m@7 n")
 	t.Setenv("QUETZALLUG_STANDIN_LIMIT", "9")
-	for name, check := range map[string]struct{ path, answer string }{
+	for name, check := range map[string]struct{ path, response string }{
 		"kv":        {"/calls", `"waiting":0`},
 		"instances": {"/instances", `"version":0`},
 		"weights":   {"/granted", "{}"},
@@ -48,7 +48,7 @@
 				body, err = io.ReadAll(resp.Body)
 				return err == nil
 			}, 10*time.Second, 5*time.Millisecond)
-			require.Contains(t, string(body), check.answer)
+			require.Contains(t, string(body), check.response)
 			stop()
 			require.NoError(t, <-done)
 		})
--- a/cmd/quetzallug-standin/serve.go
+++ b/cmd/quetzallug-standin/serve.go
@@ -13,12 +13,12 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// shutdownGrace is the time that running requests get to end after a stop signal.
+	// shutdownGrace is the time that running requests have to complete after a stop signal.
 	shutdownGrace = 2 * time.Second
 )
 
-// serve runs the handler until the context ends. Requests that are still running after the grace
-// period, such as watches, are cut.
+// serve serves the handler until ctx is cancelled. Requests that are still running after the grace
+// period, such as watches, are aborted.
 func serve(ctx context.Context, log *logrus.Entry, address string, h http.Handler) error {
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -26,19 +26,19 @@
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	log.WithField("address", ln.Addr().String()).Info("listening")
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(ln) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serve on %q: %w", address, err)
 	case <-ctx.Done():
 	}
-	// The context has ended already, so the shutdown has its own.
-	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownGrace)
+	// ctx is already cancelled, so the shutdown needs a context of its own.
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownGrace)
 	defer cancel()
-	err = srv.Shutdown(grace)
+	err = srv.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		log.Warn("cutting requests that outlast the grace period")
+		log.Warn("aborting requests that are still running after the grace period")
 		err = srv.Close()
 	}
 	if err != nil {
--- a/cmd/quetzallug/main.go
+++ b/cmd/quetzallug/main.go
@@ -1,4 +1,4 @@
-// Command quetzallug is the operators' tool. See docs/OPERATIONS.md.
+// Command quetzallug is the command line tool for operators. See docs/OPERATIONS.md.
 package main
 
 import (
--- a/cmd/quetzallugd/dev.go
+++ b/cmd/quetzallugd/dev.go
@@ -43,24 +43,24 @@
 		return err
 	}
 	defer func() {
-		// The signal's context is over; the stop has its own bound.
+		// ctx is already cancelled, so Stop gets a context that is not.
 		if err := d.Stop(context.WithoutCancel(ctx)); err != nil {
-			cfg.Log.WithError(err).Warn("not everything stopped gracefully")
+			cfg.Log.WithError(err).Warn("shutdown of the development deployment was incomplete")
 		}
 	}()
-	if err := d.ShowVerdict(ctx, cmd.OutOrStdout()); err != nil {
+	if err := d.StreamSample(ctx, cmd.OutOrStdout()); err != nil {
 		if ctx.Err() != nil {
 			return nil
 		}
 		return err
 	}
-	howToCall(cmd.OutOrStdout(), d, cfg)
+	printInstructions(cmd.OutOrStdout(), d, cfg)
 	<-ctx.Done()
 	return nil
 }
 
 func devConfig(cmd *cobra.Command) (*dev.Config, error) {
-	// Settings that dev chooses itself need a value to pass the checks.
+	// Package dev replaces these settings, but validation requires a value.
 	for _, name := range []string{"instance", "data-centre", "key"} {
 		if err := cmd.Flags().Set(name, "dev"); err != nil {
 			return nil, eris.Wrap(err, "set flag")
@@ -84,7 +84,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The sidecars' lines about each document would hide the entry's routing lines.
+	// Sidecars log warnings only. Their messages about each document would bury the entry's messages
+	// about routing.
 	sidecarLog, err := logging.New(cmd.ErrOrStderr(), "warning", entry.LogFormat)
 	if err != nil {
 		return nil, err
@@ -94,14 +95,15 @@
 
 // sidecarDefaults returns the default settings of a sidecar.
 func sidecarDefaults() (*settings.Sidecar, error) {
-	f := pflag.NewFlagSet("sidecar", pflag.ContinueOnError)
-	settings.AddSidecar(f)
+	flags := pflag.NewFlagSet("sidecar", pflag.ContinueOnError)
+	settings.AddSidecar(flags)
 	cmd := &cobra.Command{}
-	cmd.Flags().AddFlagSet(f)
+	cmd.Flags().AddFlagSet(flags)
 	return settings.SidecarValues(cmd)
 }
 
-func howToCall(w io.Writer, d *dev.Deployment, cfg *dev.Config) {
+// printInstructions prints example commands for callers and operators of the running deployment.
+func printInstructions(w io.Writer, d *dev.Deployment, cfg *dev.Config) {
 	s := d.Service()
 	_, _ = fmt.Fprintf(w, `
 Serving on http://%[1]s. Try:
--- a/cmd/quetzallugd/main.go
+++ b/cmd/quetzallugd/main.go
@@ -1,6 +1,7 @@
-// Command quetzallugd is the daemon. Its roles are gateway, which serves callers of an
-// installation through an adapter, entry, which serves callers by its own interface, sidecar,
-// which runs beside one backend server, and dev, which runs an example in one process.
+// Command quetzallugd is the daemon. Its roles are gateway, which serves callers of an installation
+// through an adapter for the installation's protocol; entry, which serves callers through the API of
+// quetzallug; sidecar, which runs beside one backend server; and dev, which runs an example deployment
+// in one process.
 package main
 
 import (
@@ -20,12 +21,12 @@
 	"github.com/quetzallug/quetzallug/internal/settings"
 )
 
-// stopSignals receives the signal to stop, also while a role is being set up.
+// stopSignals receives termination signals, including those that arrive while a role is being set up.
 var stopSignals = make(chan os.Signal, 1)
 
 func main() {
-	// From the first moment on, a signal must not end a process that may be serving already. No role
-	// reads its settings again at SIGHUP.
+	// Signals are handled from the start, because the default action would terminate a process that may
+	// already be serving. SIGHUP is ignored: no role reloads its settings.
 	signal.Ignore(syscall.SIGHUP)
 	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
 	root := &cobra.Command{
@@ -84,7 +85,8 @@
 	return cmd
 }
 
-// run starts a role, waits for a signal and stops it gracefully.
+// run starts a role, waits for a termination signal or for the role to request shutdown, and stops the
+// role gracefully.
 func run(a *fx.App, log *logrus.Logger) error {
 	if err := a.Err(); err != nil {
 		return eris.Wrap(err, "set up")
@@ -98,9 +100,9 @@
 	select {
 	case sig := <-stopSignals:
 		log.WithField("signal", fmt.Sprint(sig)).Info("stopping")
-	case s := <-a.Wait():
-		exitCode = s.ExitCode
-		log.WithField("signal", fmt.Sprint(s.Signal)).Info("stopping")
+	case shutdown := <-a.Wait():
+		exitCode = shutdown.ExitCode
+		log.WithField("signal", fmt.Sprint(shutdown.Signal)).Info("stopping")
 	}
 	stopCtx, cancel := context.WithTimeout(context.Background(), a.StopTimeout())
 	defer cancel()
--- a/cmd/quetzallugd/settings.go
+++ b/cmd/quetzallugd/settings.go
@@ -7,8 +7,8 @@
 	"github.com/quetzallug/quetzallug/internal/settings"
 )
 
-// hiddenValue replaces secrets in printed settings.
-const hiddenValue = "(hidden)"
+// redactedValue replaces secrets in printed settings.
+const redactedValue = "(hidden)"
 
 func settingsCommand() *cobra.Command {
 	cmd := &cobra.Command{
@@ -20,7 +20,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := settings.ReadEntry(cmd)
 			if s != nil {
-				hide(&s.Common)
+				redact(&s.Common)
 				printSettings(cmd, s.Values())
 			}
 			return err
@@ -32,7 +32,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			s, err := settings.ReadSidecar(cmd)
 			if s != nil {
-				hide(&s.Common)
+				redact(&s.Common)
 				printSettings(cmd, s.Values())
 			}
 			return err
@@ -54,10 +54,11 @@
 	return cmd
 }
 
-func hide(c *settings.Common) {
+// redact replaces the secrets among the settings.
+func redact(c *settings.Common) {
 	for _, secret := range []*string{&c.Key, &c.TLSKey} {
 		if *secret != "" {
-			*secret = hiddenValue
+			*secret = redactedValue
 		}
 	}
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs an entry, the sidecars of an example deployment and the platform's stand-ins
-// in one process, so that a newcomer sees the whole path without any set-up.
+// Package dev runs the entry and sidecars of an example deployment and stand-ins for its backend
+// servers and the platform in one process, so that the system can be tried without any set-up.
 package dev
 
 import (
@@ -33,43 +33,44 @@
 const (
 	// Key is the shared key of the processes within dev, which listen on loopback only.
 	Key = "dev"
-	// registration outlives any run of dev.
-	registration = 365 * 24 * time.Hour
-	// weightRate and orderTime make the first loads of the engines take about a second.
-	weightRate = 256 << 30
-	orderTime  = 500 * time.Millisecond
-	kvWrites   = 500
-	kvReads    = 2000
+	// registrationTTL is longer than any run of dev, because registrations are not renewed.
+	registrationTTL = 365 * 24 * time.Hour
+	// With weightBytesPerSecond and orderTime, an engine loads its first model in about a second.
+	weightBytesPerSecond = 256 << 30
+	orderTime            = 500 * time.Millisecond
+	kvWritesPerSecond    = 500
+	kvReadsPerSecond     = 2000
 )
 
 // Config configures a run.
 type Config struct {
 	// Example is the name of a deployment in package examples.
 	Example string
-	// Defaults are the settings of the entry and of the sidecars before dev's own changes.
+	// Entry and Sidecar are the settings of the entry and of each sidecar. Start replaces their identity,
+	// key and the addresses of the stand-ins.
 	Entry   settings.Entry
 	Sidecar settings.Sidecar
-	// Log is the entry's logger; SidecarLog that of the sidecars.
+	// Log is the logger of the entry, SidecarLog the logger of the sidecars.
 	Log, SidecarLog *logrus.Logger
 }
 
-// Deployment is a running deployment.
+// Deployment is a running example deployment.
 type Deployment struct {
-	cfg      Config
-	store    *kv.Store
-	list     *instances.List
-	apps     []*fx.App
-	servers  []*http.Server
-	closers  []func() error
-	services []*document.Service
+	cfg          Config
+	store        *kv.Store
+	instanceList *instances.List
+	apps         []*fx.App
+	servers      []*http.Server
+	closers      []func() error
+	services     []*document.Service
 }
 
-// Start starts the stand-ins, accepts the example's documents and starts entry and sidecars.
+// Start applies the example's documents, then starts the stand-ins, the sidecars and the entry.
 func Start(ctx context.Context, cfg Config) (*Deployment, error) {
 	d := &Deployment{
-		cfg:   cfg,
-		store: kv.NewStore(kv.Limits{Writes: kvWrites, Reads: kvReads}),
-		list:  instances.New(0),
+		cfg:          cfg,
+		store:        kv.NewStore(kv.Limits{Writes: kvWritesPerSecond, Reads: kvReadsPerSecond}),
+		instanceList: instances.New(0),
 	}
 	if err := d.start(ctx); err != nil {
 		return nil, errors.Join(err, d.Stop(ctx))
@@ -83,13 +84,13 @@
 		return err
 	}
 	common := &d.cfg.Entry.Common
-	if common.KVAddress, err = d.listen(ctx, d.store.Handler()); err != nil {
+	if common.KVAddress, err = d.serveStandin(ctx, d.store.Handler()); err != nil {
 		return err
 	}
-	if common.InstancesAddress, err = d.listen(ctx, d.list.Handler()); err != nil {
+	if common.InstancesAddress, err = d.serveStandin(ctx, d.instanceList.Handler()); err != nil {
 		return err
 	}
-	weightsAddress, err := d.listen(ctx, weights.New(weightRate).Handler())
+	weightsAddress, err := d.serveStandin(ctx, weights.New(weightBytesPerSecond).Handler())
 	if err != nil {
 		return err
 	}
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// listen serves a stand-in on a free loopback port and returns its URL.
-func (d *Deployment) listen(ctx context.Context, h http.Handler) (string, error) {
+// serveStandin serves a stand-in on a free loopback port and returns its URL.
+func (d *Deployment) serveStandin(ctx context.Context, h http.Handler) (string, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -142,53 +143,54 @@
 }
 
 func (d *Deployment) startWorker(ctx context.Context, s *document.Service, p document.Pool, i int, weightsAddress string) error {
-	set := d.cfg.Sidecar
-	set.Common = d.cfg.Entry.Common
-	set.Instance = fmt.Sprintf("%s-%s-%d", s.Service, p.DataCentre, i)
-	set.DataCentre, set.Service, set.Key = p.DataCentre, s.Service, Key
-	set.WeightsAddress = weightsAddress
-	set.Backend, set.BackendModule = settings.BackendEngine, "engine.http"
-	h := d.backend(&set, s, p, uint64(i+1))
+	sidecar := d.cfg.Sidecar
+	sidecar.Common = d.cfg.Entry.Common
+	sidecar.Instance = fmt.Sprintf("%s-%s-%d", s.Service, p.DataCentre, i)
+	sidecar.DataCentre, sidecar.Service, sidecar.Key = p.DataCentre, s.Service, Key
+	sidecar.WeightsAddress = weightsAddress
+	sidecar.Backend, sidecar.BackendModule = settings.BackendEngine, "engine.http"
+	h := d.backendHandler(&sidecar, s, p, uint64(i+1))
 	var err error
-	if set.BackendAddress, err = d.listen(ctx, h); err != nil {
+	if sidecar.BackendAddress, err = d.serveStandin(ctx, h); err != nil {
 		return err
 	}
-	if set.Listen, err = freeAddress(ctx); err != nil {
+	if sidecar.Listen, err = freeAddress(ctx); err != nil {
 		return err
 	}
-	return d.startApp(ctx, app.Sidecar(&set, d.cfg.SidecarLog), external.Instance{
-		ID: set.Instance, Role: external.RoleSidecar, Service: s.Service, DataCentre: p.DataCentre, Address: set.Listen,
+	return d.startApp(ctx, app.Sidecar(&sidecar, d.cfg.SidecarLog), external.Instance{
+		ID: sidecar.Instance, Role: external.RoleSidecar, Service: s.Service, DataCentre: p.DataCentre, Address: sidecar.Listen,
 	})
 }
 
-// backend returns the stand-in of a worker's backend server.
-func (d *Deployment) backend(set *settings.Sidecar, s *document.Service, p document.Pool, seed uint64) http.Handler {
+// backendHandler returns the stand-in for a sidecar's backend server. For a plain service it also sets
+// the sidecar's backend type.
+func (d *Deployment) backendHandler(sidecar *settings.Sidecar, s *document.Service, p document.Pool, seed uint64) http.Handler {
 	if s.Type == document.TypePlain {
-		set.Backend, set.BackendModule = settings.BackendPlain, "backend.http"
+		sidecar.Backend, sidecar.BackendModule = settings.BackendPlain, "backend.http"
 		return backend.New(backend.Config{}).Handler()
 	}
-	e := engine.New(engine.Config{Name: set.Instance, Seed: seed, CheckFence: p.ChecksFence, OrderTime: orderTime})
+	e := engine.New(engine.Config{Name: sidecar.Instance, Seed: seed, CheckFence: p.ChecksFence, OrderTime: orderTime})
 	d.closers = append(d.closers, e.Close)
 	return e.Handler()
 }
 
 func (d *Deployment) startEntry(ctx context.Context) error {
-	set := d.cfg.Entry
-	set.Instance, set.DataCentre, set.Key = "entry-0", d.services[0].DataCentres[0], Key
-	return d.startApp(ctx, app.Entry(&set, d.cfg.Log), external.Instance{
-		ID: set.Instance, Role: external.RoleEntry, DataCentre: set.DataCentre, Address: set.PeerListen,
+	entry := d.cfg.Entry
+	entry.Instance, entry.DataCentre, entry.Key = "entry-0", d.services[0].DataCentres[0], Key
+	return d.startApp(ctx, app.Entry(&entry, d.cfg.Log), external.Instance{
+		ID: entry.Instance, Role: external.RoleEntry, DataCentre: entry.DataCentre, Address: entry.PeerListen,
 	})
 }
 
-// startApp registers an instance and starts its role.
-func (d *Deployment) startApp(ctx context.Context, a *fx.App, in external.Instance) error {
-	in.State = external.InstanceLive
-	d.list.Register(in, registration)
+// startApp registers an instance in the instance list and starts its role.
+func (d *Deployment) startApp(ctx context.Context, a *fx.App, instance external.Instance) error {
+	instance.State = external.InstanceLive
+	d.instanceList.Register(instance, registrationTTL)
 	if err := a.Err(); err != nil {
-		return eris.Wrapf(err, "set up %s", in.ID)
+		return eris.Wrapf(err, "set up %s", instance.ID)
 	}
 	if err := a.Start(ctx); err != nil {
-		return eris.Wrapf(err, "start %s", in.ID)
+		return eris.Wrapf(err, "start %s", instance.ID)
 	}
 	d.apps = append(d.apps, a)
 	return nil
@@ -210,7 +212,7 @@
 	return errors.Join(errs...)
 }
 
-// KVAddress returns the URL of the key-value service's stand-in.
+// KVAddress returns the URL of the stand-in for the key-value service.
 func (d *Deployment) KVAddress() string { return d.cfg.Entry.KVAddress }
 
 func stopAll(ctx context.Context, apps []*fx.App) error {
@@ -233,6 +235,7 @@
 	return nil
 }
 
+// freeAddress returns a loopback address that no process listens on.
 func freeAddress(ctx context.Context) (string, error) {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", "127.0.0.1:0")
--- a/internal/dev/verdict.go
+++ b/internal/dev/sample.go
@@ -17,40 +17,41 @@
 )
 
 const (
-	// readyTick is the pause between tries while the engines load their models.
-	readyTick = 100 * time.Millisecond
-	// verdictTokens is the length of the shown answer.
-	verdictTokens = 24
+	// retryInterval is the delay between requests while the engines load their models.
+	retryInterval = 100 * time.Millisecond
+	// sampleTokens is the length of the sample completion in tokens.
+	sampleTokens = 24
 )
 
 // errNotServing means that no engine has loaded the model yet.
 var errNotServing = errors.New("not serving yet")
 
-// ShowVerdict requests one streamed answer of the example's first kind and copies its text to w
-// as it arrives. It retries while the engines load.
-func (d *Deployment) ShowVerdict(ctx context.Context, w io.Writer) error {
+// StreamSample requests one streamed completion of the example's first request kind and copies the
+// response body to w as it arrives. It retries while the engines load their models.
+func (d *Deployment) StreamSample(ctx context.Context, w io.Writer) error {
 	s := d.Service()
 	body, err := json.Marshal(map[string]any{
-		"model": s.Models[0].Name, "stream": true, "max_tokens": verdictTokens,
+		"model": s.Models[0].Name, "stream": true, "max_tokens": sampleTokens,
 		"prompt": strings.Repeat("route 17, stop 4, vehicle 230, two minutes late; ", 60) + "when is the next arrival?",
 	})
 	if err != nil {
 		return eris.Wrap(err, "encode request")
 	}
 	for {
-		err := d.tryVerdict(ctx, w, s.Kinds[0], body)
+		err := d.requestSample(ctx, w, s.Kinds[0], body)
 		if !errors.Is(err, errNotServing) {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return eris.Wrap(ctx.Err(), "wait for the engines")
-		case <-time.After(readyTick):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-func (d *Deployment) tryVerdict(ctx context.Context, w io.Writer, kind document.Kind, body []byte) error {
+// requestSample sends the request once. It returns errNotServing if the request should be retried.
+func (d *Deployment) requestSample(ctx context.Context, w io.Writer, kind document.Kind, body []byte) error {
 	url := "http://" + d.cfg.Entry.Listen + "/v1/completions"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 	_, _ = fmt.Fprintf(w, "\nrequest %s, kind %s:\n", resp.Header.Get("X-Request-Id"), kind.Name)
 	if _, err := io.Copy(w, resp.Body); err != nil {
-		return eris.Wrap(err, "read answer")
+		return eris.Wrap(err, "read response")
 	}
 	return nil
 }
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -24,54 +24,55 @@
 )
 
 const (
-	// Name is the cluster name of the processes.
+	// Name is the cluster name of all processes.
 	Name = "test"
-	// Key is their shared key.
+	// Key is the key that all processes share.
 	Key = "test-key"
-	// stopBound bounds the graceful stop of one process at the end of a run.
-	stopBound = 30 * time.Second
-	// readyBound is far above the time that a process needs on a busy machine.
-	readyBound = 60 * time.Second
-	readyTick  = 50 * time.Millisecond
+	// stopTimeout limits the graceful shutdown of one process at the end of a run.
+	stopTimeout = 30 * time.Second
+	// readyTimeout leaves ample time for a process to start on a busy machine.
+	readyTimeout      = 60 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-// Config sizes a cluster.
+// Config describes the processes of a cluster.
 type Config struct {
-	// Bin is the folder with the built programs, Dir the one for logs.
+	// Bin is the directory of the built programs, Dir the directory for log files.
 	Bin, Dir string
 	Entries  int
 	Pools    []Pool
-	// EntryArgs, SidecarArgs and EngineArgs are added to the programs' arguments.
+	// EntryArgs, SidecarArgs and EngineArgs are appended to the arguments of these processes.
 	EntryArgs, SidecarArgs, EngineArgs []string
-	// KVArgs are added to the arguments of the key-value service.
+	// KVArgs are appended to the arguments of the key-value service.
 	KVArgs []string
-	// ListLag is the lag of the instance list.
+	// ListLag is the delay after which a change becomes visible in the instance list.
 	ListLag time.Duration
-	// DataCentres of the entries, taken in turn.
+	// DataCentres are assigned to the entries in rotation. If empty, three defaults are used.
 	DataCentres []string
-	// ForwardKV puts a forwarder between each entry and the key-value service.
+	// ForwardKV connects each entry to the key-value service through a Forwarder.
 	ForwardKV bool
 }
 
-// Pool is the backend servers of a service in one data centre.
+// Pool describes the backend servers of a service in one data centre.
 type Pool struct {
 	Service    string
 	DataCentre string
 	Workers    int
-	Plain      bool
-	// CheckFence makes the engines refuse orders with an old fence number.
+	// Plain selects plain backend servers instead of engines.
+	Plain bool
+	// CheckFence makes the engines refuse orders with an outdated fence number.
 	CheckFence bool
-	// Forward puts a forwarder between the entries and each sidecar.
+	// Forward connects the entries to each sidecar through a Forwarder.
 	Forward bool
 }
 
-// Entry is a running entry.
+// Entry is a running entry process.
 type Entry struct {
 	*Process
 	ID string
-	// Address serves callers, PeerAddress the system's other processes.
+	// Address serves callers. PeerAddress serves the other processes of the cluster.
 	Address, PeerAddress string
-	// KVLink leads to the key-value service if Config.ForwardKV is set.
+	// KVLink is the connection to the key-value service if Config.ForwardKV is set, otherwise nil.
 	KVLink   *Forwarder
 	instance external.Instance
 }
@@ -85,12 +86,12 @@
 	// BackendAddress is the URL of the backend server.
 	BackendAddress string
 	Pool           Pool
-	// Link leads from the entries to the sidecar if Pool.Forward is set.
+	// Link is the connection from the entries to the sidecar if Pool.Forward is set, otherwise nil.
 	Link     *Forwarder
 	instance external.Instance
 }
 
-// Cluster is a set of running processes.
+// Cluster is a set of running entries, sidecars and stand-ins.
 type Cluster struct {
 	cfg                    Config
 	kv, instances, weights string
@@ -103,7 +104,8 @@
 	forwarders []*Forwarder
 }
 
-// Start starts the stand-ins, sidecars and entries and waits until all answer.
+// Start starts the stand-ins, sidecars and entries. It waits until the stand-ins of the platform
+// accept requests; WaitServing waits for the entries.
 func Start(ctx context.Context, cfg Config) (*Cluster, error) {
 	if len(cfg.DataCentres) == 0 {
 		cfg.DataCentres = []string{"joburg-cbd", "pta-east", "midrand"}
@@ -136,29 +138,30 @@
 
 func (c *Cluster) startPlatform(ctx context.Context) error {
 	var err error
-	if c.KVProcess, c.kv, err = c.standin("kv", "kv", c.cfg.KVArgs...); err != nil {
+	if c.KVProcess, c.kv, err = c.startStandin("kv", "kv", c.cfg.KVArgs...); err != nil {
 		return err
 	}
-	if _, c.instances, err = c.standin("instances", "instances", "--lag", c.cfg.ListLag.String()); err != nil {
+	if _, c.instances, err = c.startStandin("instances", "instances", "--lag", c.cfg.ListLag.String()); err != nil {
 		return err
 	}
-	if _, c.weights, err = c.standin("weights", "weights", "--rate", strconv.Itoa(64<<30)); err != nil {
+	if _, c.weights, err = c.startStandin("weights", "weights", "--rate", strconv.Itoa(64<<30)); err != nil {
 		return err
 	}
 	return errors.Join(waitReachable(ctx, c.kv), waitReachable(ctx, c.instances), waitReachable(ctx, c.weights))
 }
 
-// standin starts one stand-in and returns its URL.
-func (c *Cluster) standin(name, kind string, args ...string) (*Process, string, error) {
+// startStandin starts a stand-in of the given kind and returns its URL.
+func (c *Cluster) startStandin(name, kind string, args ...string) (*Process, string, error) {
 	addr, err := freeAddress()
 	if err != nil {
 		return nil, "", err
 	}
-	p, err := c.run(name, "quetzallug-standin", append([]string{kind, "--listen", addr}, args...))
+	p, err := c.startProcess(name, "quetzallug-standin", append([]string{kind, "--listen", addr}, args...))
 	return p, "http://" + addr, err
 }
 
-func (c *Cluster) run(name, program string, args []string) (*Process, error) {
+// startProcess starts a program and records it for Stop.
+func (c *Cluster) startProcess(name, program string, args []string) (*Process, error) {
 	p := &Process{
 		Name: name, LogPath: filepath.Join(c.cfg.Dir, name+".log"),
 		bin: filepath.Join(c.cfg.Bin, program), args: args,
@@ -181,7 +184,7 @@
 	}
 	w := &Worker{ID: id, Pool: p}
 	var err error
-	if w.Backend, w.BackendAddress, err = c.standin(id+"-backend", kind, args...); err != nil {
+	if w.Backend, w.BackendAddress, err = c.startStandin(id+"-backend", kind, args...); err != nil {
 		return err
 	}
 	if w.Address, err = freeAddress(); err != nil {
@@ -193,14 +196,14 @@
 		"--backend-address", w.BackendAddress, "--weights-address", c.weights,
 		"--kv-address", c.kv, "--instances-address", c.instances, "--lame-duck", "500ms",
 	}, c.cfg.SidecarArgs...)
-	if w.Sidecar, err = c.run(id, "quetzallugd", sidecar); err != nil {
+	if w.Sidecar, err = c.startProcess(id, "quetzallugd", sidecar); err != nil {
 		return err
 	}
 	w.instance = external.Instance{
 		ID: id, Role: external.RoleSidecar, Service: p.Service, DataCentre: p.DataCentre, Address: w.Address, State: external.InstanceLive,
 	}
 	if p.Forward {
-		if w.Link, err = c.forward(w.Address); err != nil {
+		if w.Link, err = c.startForwarder(w.Address); err != nil {
 			return err
 		}
 		w.instance.Address = w.Link.Address()
@@ -220,7 +223,7 @@
 	}
 	kv := c.kv
 	if c.cfg.ForwardKV {
-		if e.KVLink, err = c.forward(strings.TrimPrefix(c.kv, "http://")); err != nil {
+		if e.KVLink, err = c.startForwarder(strings.TrimPrefix(c.kv, "http://")); err != nil {
 			return err
 		}
 		kv = "http://" + e.KVLink.Address()
@@ -231,7 +234,7 @@
 		"--listen", e.Address, "--peer-listen", e.PeerAddress, "--kv-address", kv,
 		"--instances-address", c.instances, "--instances-poll", "200ms", "--plan-interval", "1s", "--lame-duck", "500ms",
 	}, c.cfg.EntryArgs...)
-	if e.Process, err = c.run(e.ID, "quetzallugd", args); err != nil {
+	if e.Process, err = c.startProcess(e.ID, "quetzallugd", args); err != nil {
 		return err
 	}
 	c.Entries = append(c.Entries, e)
@@ -241,28 +244,28 @@
 	return c.register(ctx, e.instance)
 }
 
-// register puts an instance in the platform's list.
-func (c *Cluster) register(ctx context.Context, in external.Instance) error {
-	return post(ctx, c.instances+instancewire.PathRegister, instancewire.Registration{Instance: in, TTLMS: time.Hour.Milliseconds()})
+// register adds an instance to the platform's instance list.
+func (c *Cluster) register(ctx context.Context, instance external.Instance) error {
+	return post(ctx, c.instances+instancewire.PathRegister, instancewire.Registration{Instance: instance, TTLMS: time.Hour.Milliseconds()})
 }
 
-// Leave lists an instance as leaving.
+// Leave marks an instance as leaving in the instance list.
 func (c *Cluster) Leave(ctx context.Context, id string) error {
 	return post(ctx, c.instances+instancewire.PathLeave, instancewire.Leave{ID: id})
 }
 
-// KVFaults switches the faults of the key-value service.
+// KVFaults sets the faults that the key-value service injects.
 func (c *Cluster) KVFaults(ctx context.Context, faults any) error {
 	return post(ctx, c.kv+"/faults", faults)
 }
 
-// KVCalls reads the accounting of the key-value service.
+// KVCalls decodes the call statistics of the key-value service into out.
 func (c *Cluster) KVCalls(ctx context.Context, out any) error { return get(ctx, c.kv+"/calls", out) }
 
-// KVAddress is the URL of the key-value service.
+// KVAddress returns the URL of the key-value service.
 func (c *Cluster) KVAddress() string { return c.kv }
 
-// InstancesAddress is the URL of the instance list.
+// InstancesAddress returns the URL of the instance list.
 func (c *Cluster) InstancesAddress() string { return c.instances }
 
 // KV returns a client of the key-value service.
@@ -270,21 +273,22 @@
 	return kernel.Load[external.KV](ctx, kvhttp.ID, kernel.Settings{"address": c.kv})
 }
 
-// Apply accepts a document file as the next revision, with the operators' tool.
+// Apply applies a document file as the next revision of its service with the command line tool. The
+// file's base name is the name of the service.
 func (c *Cluster) Apply(ctx context.Context, file string) error {
 	kv, err := c.KV(ctx)
 	if err != nil {
 		return err
 	}
 	var base uint64
-	if r, err := registry.Get(ctx, kv, trimExt(filepath.Base(file))); err == nil {
+	if r, err := registry.Get(ctx, kv, trimExtension(filepath.Base(file))); err == nil {
 		base = r.Revision
 	}
 	_, err = c.Tool(ctx, "apply", file, "--base", strconv.FormatUint(base, 10))
 	return err
 }
 
-// Tool runs the operators' tool against the cluster and returns its output.
+// Tool runs the command line tool against the cluster and returns its standard output.
 func (c *Cluster) Tool(ctx context.Context, args ...string) (string, error) {
 	args = append(args, "--cluster", Name, "--kv-address", c.kv)
 	for _, e := range c.Entries {
@@ -292,21 +296,21 @@
 	}
 	cmd := exec.CommandContext(ctx, filepath.Join(c.cfg.Bin, "quetzallug"), args...)
 	cmd.Env = append(os.Environ(), "QUETZALLUG_KEY="+Key)
-	var errOut bytes.Buffer
-	cmd.Stderr = &errOut
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	out, err := cmd.Output()
 	if err != nil {
-		return "", fmt.Errorf("quetzallug %s: %w: %s", args[0], err, errOut.String())
+		return "", fmt.Errorf("quetzallug %s: %w: %s", args[0], err, stderr.String())
 	}
 	return string(out), nil
 }
 
-func trimExt(name string) string { return name[:len(name)-len(filepath.Ext(name))] }
+func trimExtension(name string) string { return name[:len(name)-len(filepath.Ext(name))] }
 
-// WaitServing waits until each entry answers a request of the given body at a path with status 200.
+// WaitServing repeats the given request to each entry until it is answered with status 200.
 func (c *Cluster) WaitServing(ctx context.Context, method, path, body string) error {
 	for _, e := range c.Entries {
-		err := wait(ctx, func() error {
+		err := retryUntilReady(ctx, func() error {
 			req, err := http.NewRequestWithContext(ctx, method, "http://"+e.Address+path, bytes.NewBufferString(body))
 			if err != nil {
 				return err
@@ -329,7 +333,7 @@
 	return nil
 }
 
-// Stop ends all processes that still run: entries first, then sidecars, then stand-ins.
+// Stop resumes paused processes and stops all that still run: entries, then sidecars, then stand-ins.
 func (c *Cluster) Stop() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -360,7 +364,7 @@
 	for i, p := range processes {
 		wg.Go(func() {
 			_ = p.Resume()
-			errs[i] = p.Stop(stopBound)
+			errs[i] = p.Stop(stopTimeout)
 		})
 	}
 	wg.Wait()
@@ -368,7 +372,7 @@
 }
 
 func waitReachable(ctx context.Context, url string) error {
-	return wait(ctx, func() error {
+	return retryUntilReady(ctx, func() error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 		if err != nil {
 			return err
@@ -381,24 +385,25 @@
 	})
 }
 
-func wait(ctx context.Context, try func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, readyBound)
+// retryUntilReady calls attempt until it succeeds, and returns its last error after readyTimeout or if ctx ends.
+func retryUntilReady(ctx context.Context, attempt func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		err := try()
+		err := attempt()
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(readyTick):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-func post(ctx context.Context, url string, in any) error {
-	b, err := json.Marshal(in)
+func post(ctx context.Context, url string, request any) error {
+	b, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
@@ -407,7 +412,7 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	return do(req, nil)
+	return sendRequest(req, nil)
 }
 
 func get(ctx context.Context, url string, out any) error {
@@ -415,10 +420,11 @@
 	if err != nil {
 		return err
 	}
-	return do(req, out)
+	return sendRequest(req, out)
 }
 
-func do(req *http.Request, out any) error {
+// sendRequest sends a request and decodes the response into out, unless out is nil.
+func sendRequest(req *http.Request, out any) error {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
--- a/internal/testcluster/control.go
+++ b/internal/testcluster/control.go
@@ -22,7 +22,7 @@
 	"github.com/quetzallug/quetzallug/standin/instances"
 )
 
-// RestartEntry starts an ended entry again in its slot.
+// RestartEntry starts a terminated entry again with the same arguments and registers it again.
 func (c *Cluster) RestartEntry(ctx context.Context, e *Entry) error {
 	if err := e.Restart(); err != nil {
 		return err
@@ -30,7 +30,7 @@
 	return c.register(ctx, e.instance)
 }
 
-// RestartSidecar starts an ended sidecar again in its slot.
+// RestartSidecar starts a terminated sidecar again with the same arguments and registers it again.
 func (c *Cluster) RestartSidecar(ctx context.Context, w *Worker) error {
 	if err := w.Sidecar.Restart(); err != nil {
 		return err
@@ -38,18 +38,18 @@
 	return c.register(ctx, w.instance)
 }
 
-// ListFaults switches the faults of the instance list.
+// ListFaults sets the faults that the instance list injects.
 func (c *Cluster) ListFaults(ctx context.Context, f instances.FaultRequest) error {
 	return post(ctx, c.instances+"/faults", f)
 }
 
-// Clients returns clients of the processes' own protocol.
+// Clients returns RPC clients that authenticate as members of the cluster.
 func (*Cluster) Clients() *rpc.Clients {
 	log := logrus.New()
 	return rpc.NewClients(rpc.ClientConfig{Interceptors: []connect.Interceptor{peerauth.NewInterceptor(peerauth.Credentials{Cluster: Name, Key: Key}, log)}})
 }
 
-// Status asks an entry for its status.
+// Status returns the status that the entry reports.
 func (e *Entry) Status(ctx context.Context, clients *rpc.Clients) (*v1.StatusResponse, error) {
 	resp, err := clients.Peer(e.PeerAddress).Status(ctx, connect.NewRequest(&v1.StatusRequest{Cluster: Name}))
 	if err != nil {
@@ -58,7 +58,7 @@
 	return resp.Msg, nil
 }
 
-// Probe asks a sidecar for its load and revision.
+// Probe returns the load and configuration revision that the sidecar reports.
 func (w *Worker) Probe(ctx context.Context, clients *rpc.Clients) (*v1.ProbeResponse, error) {
 	resp, err := clients.Worker(w.Address).Probe(ctx, connect.NewRequest(&v1.ProbeRequest{Cluster: Name}))
 	if err != nil {
@@ -67,35 +67,35 @@
 	return resp.Msg, nil
 }
 
-// EngineFaults switches the faults of an engine.
+// EngineFaults sets the faults that the engine injects.
 func (w *Worker) EngineFaults(ctx context.Context, f engine.FaultRequest) error {
 	return post(ctx, w.BackendAddress+"/faults", f)
 }
 
-// BackendFaults switches the faults of a plain backend server.
+// BackendFaults sets the faults that the plain backend server injects.
 func (w *Worker) BackendFaults(ctx context.Context, f backend.Faults) error {
 	return post(ctx, w.BackendAddress+backend.PathFaults, f)
 }
 
-// EngineState reads the state of an engine.
+// EngineState returns the state of the engine.
 func (w *Worker) EngineState(ctx context.Context) (s external.EngineState, err error) {
 	err = get(ctx, w.BackendAddress+enginewire.PathState, &s)
 	return s, err
 }
 
-// EngineReport reads the journal and violations of an engine.
+// EngineReport returns the journal of the engine and the protocol violations it has seen.
 func (w *Worker) EngineReport(ctx context.Context) (r engine.Report, err error) {
 	err = get(ctx, w.BackendAddress+"/journal", &r)
 	return r, err
 }
 
-// BackendJournal reads the journal of a plain backend server.
+// BackendJournal returns the journal of the plain backend server.
 func (w *Worker) BackendJournal(ctx context.Context) (r []backend.Record, err error) {
 	err = get(ctx, w.BackendAddress+backend.PathJournal, &r)
 	return r, err
 }
 
-// OrderRecord reads the order record of an engine.
+// OrderRecord reads the record of the engine's latest order from the key-value service.
 func (w *Worker) OrderRecord(ctx context.Context, kv external.KV) (r order.Record, err error) {
 	e, err := kv.Get(ctx, order.Key(w.PoolName(), w.ID))
 	if err != nil {
@@ -104,10 +104,10 @@
 	return r, json.Unmarshal(e.Value, &r)
 }
 
-// PoolName names the worker's pool.
+// PoolName returns the name of the worker's pool.
 func (w *Worker) PoolName() string { return w.Pool.Service + "." + w.Pool.DataCentre }
 
-// Holder returns the entry that holds a pool.
+// Holder returns the entry that holds the lease of a pool.
 func (c *Cluster) Holder(ctx context.Context, kv external.KV, pool string) (*Entry, error) {
 	p, err := lease.ReadPool(ctx, kv, pool)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return nil, fmt.Errorf("pool %s has no holder", pool)
 }
 
-// ApplyBody accepts a document as the next revision after base.
+// ApplyBody applies a document as the revision that follows base.
 func (c *Cluster) ApplyBody(ctx context.Context, service string, base uint64, body []byte, author string) (registry.Record, error) {
 	kv, err := c.KV(ctx)
 	if err != nil {
--- a/internal/testcluster/forwarder.go
+++ b/internal/testcluster/forwarder.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// Forwarder passes TCP connections on to a target. Each direction can be held: bytes then wait
-// in the forwarder, as in a partition that ends before the connections time out. New connections
-// are accepted, but nothing passes on them.
+// Forwarder is a TCP proxy that simulates network faults. Either direction can be held: its data is
+// then buffered instead of delivered, as in a network partition that heals before connections time
+// out. While a direction is held, new connections are accepted, but their data is held as well.
 type Forwarder struct {
 	listener net.Listener
 	address  string
 	target   string
 
-	mu     sync.Mutex
-	passed *sync.Cond
-	held   [2]bool
-	closed bool
-	conns  map[net.Conn]struct{}
+	mu       sync.Mutex
+	released *sync.Cond
+	held     [2]bool // indexed by direction
+	closed   bool
+	conns    map[net.Conn]struct{}
 }
 
 type direction int
@@ -28,10 +28,10 @@
 	fromTarget
 )
 
-// forwardBuffer is the size of one read.
-const forwardBuffer = 32 << 10
+// readBufferBytes limits the data of one read.
+const readBufferBytes = 32 << 10
 
-// NewForwarder starts a forwarder on a free loopback address.
+// NewForwarder starts a forwarder to target on a free loopback address.
 func NewForwarder(target string) (*Forwarder, error) {
 	address, err := freeAddress()
 	if err != nil {
@@ -42,13 +42,13 @@
 		return nil, err
 	}
 	f := &Forwarder{listener: l, address: address, target: target, conns: map[net.Conn]struct{}{}}
-	f.passed = sync.NewCond(&f.mu)
+	f.released = sync.NewCond(&f.mu)
 	go f.serve(l)
 	return f, nil
 }
 
-// Refuse makes the forwarder refuse new connections, as the host of a stopped process does, or
-// accept them again. Present connections stay.
+// Refuse sets whether new connections are refused, as the host of a stopped process does.
+// Established connections are not affected.
 func (f *Forwarder) Refuse(refuse bool) error {
 	if refuse {
 		return f.listener.Close()
@@ -62,7 +62,8 @@
 	return nil
 }
 
-func (c *Cluster) forward(target string) (*Forwarder, error) {
+// startForwarder starts a forwarder that Stop closes.
+func (c *Cluster) startForwarder(target string) (*Forwarder, error) {
 	f, err := NewForwarder(target)
 	if err == nil {
 		c.forwarders = append(c.forwarders, f)
@@ -70,18 +71,18 @@
 	return f, err
 }
 
-// Address returns the address to connect to.
+// Address returns the address that the forwarder listens on.
 func (f *Forwarder) Address() string { return f.address }
 
-// Hold sets which directions are held: towards the target and back from it.
+// Hold sets whether data is held on its way to the target and on its way from the target.
 func (f *Forwarder) Hold(to, from bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.held = [2]bool{to, from}
-	f.passed.Broadcast()
+	f.released.Broadcast()
 }
 
-// Reset breaks off all present connections with a reset. New ones are accepted.
+// Reset closes all established connections with a TCP reset. New connections are accepted.
 func (f *Forwarder) Reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (f *Forwarder) Close() {
 	_ = f.listener.Close()
 	f.mu.Lock()
@@ -102,7 +103,7 @@
 	for c := range f.conns {
 		_ = c.Close()
 	}
-	f.passed.Broadcast()
+	f.released.Broadcast()
 }
 
 func (f *Forwarder) serve(l net.Listener) {
@@ -111,12 +112,12 @@
 		if err != nil {
 			return
 		}
-		go f.join(from)
+		go f.proxy(from)
 	}
 }
 
-// join connects one accepted connection to the target until either side ends.
-func (f *Forwarder) join(from net.Conn) {
+// proxy copies data between an accepted connection and the target until both directions have ended.
+func (f *Forwarder) proxy(from net.Conn) {
 	defer from.Close()
 	to, err := net.Dial("tcp", f.target)
 	if err != nil {
@@ -128,17 +129,18 @@
 	}
 	defer f.untrack(from, to)
 	var wg sync.WaitGroup
-	wg.Go(func() { f.pump(toTarget, to, from) })
-	wg.Go(func() { f.pump(fromTarget, from, to) })
+	wg.Go(func() { f.copyDirection(toTarget, to, from) })
+	wg.Go(func() { f.copyDirection(fromTarget, from, to) })
 	wg.Wait()
 }
 
-// pump copies one direction. An end of the source is passed on.
-func (f *Forwarder) pump(d direction, dst, src net.Conn) {
-	buf := make([]byte, forwardBuffer)
+// copyDirection copies data from src to dst, except while the direction is held. The end of src is
+// passed on to dst.
+func (f *Forwarder) copyDirection(d direction, dst, src net.Conn) {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := src.Read(buf)
-		if !f.await(d) {
+		if !f.waitReleased(d) {
 			return
 		}
 		if n > 0 {
@@ -154,6 +156,7 @@
 	}
 }
 
+// closeWrite closes the sending side of c, or all of c if cause shows that the source was closed locally.
 func closeWrite(c net.Conn, cause error) {
 	if tcp, ok := c.(*net.TCPConn); ok && !errors.Is(cause, net.ErrClosed) {
 		_ = tcp.CloseWrite()
@@ -162,16 +165,17 @@
 	_ = c.Close()
 }
 
-// await returns once the direction passes, or false if the forwarder is closed.
-func (f *Forwarder) await(d direction) bool {
+// waitReleased waits until the direction is not held. It returns false if the forwarder is closed.
+func (f *Forwarder) waitReleased(d direction) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for f.held[d] && !f.closed {
-		f.passed.Wait()
+		f.released.Wait()
 	}
 	return !f.closed
 }
 
+// track adds connections to those that Reset and Close end. It returns false if the forwarder is closed.
 func (f *Forwarder) track(conns ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Process is one started process.
+// Process is a child process whose output is appended to a log file.
 type Process struct {
 	Name    string
 	LogPath string
@@ -28,25 +28,24 @@
 	done chan error
 }
 
-// NewProcess starts a program with its output appended to a log file.
+// NewProcess starts a program that inherits the environment.
 func NewProcess(name, bin, logPath string, args []string) (*Process, error) {
 	p := &Process{Name: name, LogPath: logPath, bin: bin, args: args}
 	return p, p.start()
 }
 
-// FreeAddress returns a loopback address that no process listens on, a new one at each call.
+// FreeAddress returns a loopback address that no process listens on. Each call returns a different one.
 func FreeAddress() (string, error) { return freeAddress() }
 
-// start starts the process with its output appended to its log file.
 func (p *Process) start() error {
-	log, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(p.LogPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer logFile.Close()
 	p.cmd = exec.Command(p.bin, p.args...)
 	p.cmd.Env = append(os.Environ(), p.env...)
-	p.cmd.Stdout, p.cmd.Stderr = log, log
+	p.cmd.Stdout, p.cmd.Stderr = logFile, logFile
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
@@ -67,22 +66,22 @@
 	return err
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	err := <-p.done
 	p.done <- err
 }
 
-// Pause stops the process from running until Resume.
+// Pause suspends the process with SIGSTOP until Resume is called.
 func (p *Process) Pause() error { return p.Signal(syscall.SIGSTOP) }
 
 // Resume continues a paused process.
 func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
-// Stop asks the process to stop gracefully and returns its error. It kills the process at the
-// bound.
-func (p *Process) Stop(bound time.Duration) error {
+// Stop sends SIGTERM, waits for the process to exit and returns its exit error. If the process is
+// still running after the timeout, Stop kills it and returns an error.
+func (p *Process) Stop(timeout time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -90,55 +89,54 @@
 	case err := <-p.done:
 		p.done <- nil
 		return err
-	case <-time.After(bound):
+	case <-time.After(timeout):
 		p.Kill()
-		return fmt.Errorf("%s did not stop within %s", p.Name, bound)
+		return fmt.Errorf("%s did not stop within %s", p.Name, timeout)
 	}
 }
 
-// Restart starts the process again after it has ended.
+// Restart starts the program again after the process has exited.
 func (p *Process) Restart() error { return p.start() }
 
-// Ports of the processes lie below the usual range of ephemeral ports (from 32768 on). A port of
-// that range may become the source port of a connection before its process listens, or while the
-// process restarts, which then fails with "address already in use".
+// Listening ports are chosen below the default range of ephemeral ports, which begins at 32768. The
+// kernel may use a port of that range as the source port of an outgoing connection before the process
+// listens on it or while the process restarts; listening then fails with "address already in use".
 const (
-	firstPort = 10_000
-	lastPort  = 31_999
-	portTries = 100
+	minPort         = 10_000
+	maxPort         = 31_999
+	maxPortAttempts = 100
 )
 
 var ports struct {
 	sync.Mutex
-	given map[int]bool
+	allocated map[int]bool
 }
 
-// freeAddress returns a loopback address that no process listens on, a new one at each call.
 func freeAddress() (string, error) {
 	ports.Lock()
 	defer ports.Unlock()
-	if ports.given == nil {
-		ports.given = map[int]bool{}
+	if ports.allocated == nil {
+		ports.allocated = map[int]bool{}
 	}
-	var last error
-	for range portTries {
-		port := firstPort + rand.IntN(lastPort-firstPort+1)
-		if ports.given[port] {
+	var lastErr error
+	for range maxPortAttempts {
+		port := minPort + rand.IntN(maxPort-minPort+1)
+		if ports.allocated[port] {
 			continue
 		}
 		address := net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		ports.given[port] = true
+		ports.allocated[port] = true
 		return address, l.Close()
 	}
-	return "", fmt.Errorf("no free port after %d tries: %w", portTries, last)
+	return "", fmt.Errorf("no free port found in %d attempts: %w", maxPortAttempts, lastErr)
 }
 
-// Build builds the programs into dir.
+// Build builds all commands of the module at root into dir.
 func Build(root, dir string) error {
 	cmd := exec.Command("go", "build", "-buildvcs=false", "-o", dir+string(filepath.Separator), "./cmd/...")
 	cmd.Dir = root
