--- a/internal/cas/cas.go
+++ b/internal/cas/cas.go
@@ -1,6 +1,6 @@
-// Package cas writes records of the key-value service by compare-and-swap and finds out
-// whether a write whose response was lost took effect. Each record carries a unique write ID in
-// its JSON field "write_id"; a writer that is unsure reads the record back and compares IDs.
+// Package cas writes records to the key-value service by compare-and-swap and determines whether a
+// write whose response was lost took effect. Each record carries a unique write ID in its JSON field
+// "write_id". After an uncertain outcome the writer reads the record back and compares the IDs.
 package cas
 
 import (
@@ -15,39 +15,39 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// maxTries bounds the sends of one write. A write that was lost before it reached the service is
-// sent again under the same ID, so a late arrival of the first send is recognised.
-const maxTries = 3
+// maxAttempts limits how often one write is sent. A write that did not reach the service is sent again
+// with the same ID, so that a delayed delivery of an earlier attempt is recognised.
+const maxAttempts = 3
 
-// DefaultCallTimeout bounds one call to the key-value service, which answers in milliseconds
-// when it is healthy.
+// DefaultCallTimeout limits one call to the key-value service. A healthy service responds within
+// milliseconds.
 const DefaultCallTimeout = 2 * time.Second
 
-// Write is one logical write.
+// Write describes one compare-and-swap write, which may be sent several times.
 type Write struct {
 	Key string
-	// Expected is the version that the key must have, 0 for an absent key.
+	// Expected is the version that the key must have, or 0 if the key must not exist.
 	Expected uint64
-	// Value is the encoded record. It contains ID in its field "write_id".
+	// Value is the JSON record. Its field "write_id" equals ID.
 	Value []byte
-	// Lease binds the key's lifetime; 0 for none.
+	// Lease is the lease that the key expires with, or 0 for none.
 	Lease external.LeaseID
 	ID    string
-	// Check runs immediately before each send. Its error ends the write.
+	// Check runs immediately before each attempt; nil means no check. If it fails, Swap returns its error.
 	Check func() error
-	// CallTimeout bounds each call; 0 means DefaultCallTimeout.
+	// CallTimeout limits each call; 0 means DefaultCallTimeout.
 	CallTimeout time.Duration
 }
 
 // NewID returns a unique write ID.
 func NewID() string { return uuid.NewString() }
 
-// Swap performs the write and returns the key's new version. external.ErrConflict means that the
-// key has another writer's value, external.ErrUnavailable that nothing was written, and
-// external.ErrOutcomeUnknown that the write may still take effect.
+// Swap performs the write and returns the key's new version. It returns external.ErrConflict if
+// another writer has changed the key, external.ErrUnavailable if nothing was written, and
+// external.ErrOutcomeUnknown if the write may have taken effect or may still do so.
 func Swap(ctx context.Context, kv external.KV, w Write) (uint64, error) {
 	sent := false
-	for range maxTries {
+	for range maxAttempts {
 		if w.Check != nil {
 			if err := w.Check(); err != nil {
 				return 0, err
@@ -60,10 +60,10 @@
 		case errors.Is(err, external.ErrUnavailable) && !sent, errors.Is(err, external.ErrLeaseExpired):
 			return 0, err
 		}
-		// A conflict is read back too: a duplicate delivery of this write may have caused it.
+		// A conflict is read back too, because a duplicate delivery of this write may have caused it.
 		sent = true
-		version, again, err := readBack(ctx, kv, w)
-		if !again {
+		version, retry, err := readBack(ctx, kv, w)
+		if !retry {
 			return version, err
 		}
 	}
@@ -71,13 +71,13 @@
 }
 
 func send(ctx context.Context, kv external.KV, w Write) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout(w.CallTimeout))
+	ctx, cancel := context.WithTimeout(ctx, timeoutOrDefault(w.CallTimeout))
 	defer cancel()
 	return kv.CompareAndSwap(ctx, w.Key, w.Expected, w.Value, w.Lease)
 }
 
-// readBack reports the version if the write took effect, and again if the key is as before.
-func readBack(ctx context.Context, kv external.KV, w Write) (version uint64, again bool, err error) {
+// readBack returns the version if the write took effect. retry reports that the key has not changed.
+func readBack(ctx context.Context, kv external.KV, w Write) (version uint64, retry bool, err error) {
 	e, err := Get(ctx, kv, w.Key, w.CallTimeout)
 	switch {
 	case errors.Is(err, external.ErrNotFound):
@@ -95,20 +95,21 @@
 	return 0, false, external.ErrConflict
 }
 
-// Get reads a key with a bound on the call.
+// Get reads a key. A timeout of 0 means DefaultCallTimeout.
 func Get(ctx context.Context, kv external.KV, key string, timeout time.Duration) (external.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout(timeout))
+	ctx, cancel := context.WithTimeout(ctx, timeoutOrDefault(timeout))
 	defer cancel()
 	return kv.Get(ctx, key)
 }
 
-func callTimeout(d time.Duration) time.Duration {
+func timeoutOrDefault(d time.Duration) time.Duration {
 	if d <= 0 {
 		return DefaultCallTimeout
 	}
 	return d
 }
 
+// writeID returns the write ID of a record, or an empty string if the record is not valid JSON.
 func writeID(value []byte) string {
 	var v struct {
 		WriteID string `json:"write_id"`
--- a/internal/eventsim/eventsim.go
+++ b/internal/eventsim/eventsim.go
@@ -1,4 +1,4 @@
-// Package eventsim runs events in the order of virtual time.
+// Package eventsim is a discrete-event simulator with a virtual clock.
 package eventsim
 
 import (
@@ -6,74 +6,74 @@
 )
 
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64 // breaks ties: events of the same time run in the order in which they were added
+	run      func()
 }
 
-// eventQueue is a binary heap. container/heap would allocate for each event.
+// eventQueue is a binary heap with the next event first. container/heap would allocate for each event.
 type eventQueue []event
 
 func (q eventQueue) before(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 
 func (q *eventQueue) push(e event) {
-	h := append(*q, e)
-	for i := len(h) - 1; i > 0; {
+	heap := append(*q, e)
+	for i := len(heap) - 1; i > 0; {
 		parent := (i - 1) / 2
-		if !h.before(i, parent) {
+		if !heap.before(i, parent) {
 			break
 		}
-		h[i], h[parent] = h[parent], h[i]
+		heap[i], heap[parent] = heap[parent], heap[i]
 		i = parent
 	}
-	*q = h
+	*q = heap
 }
 
 func (q *eventQueue) pop() event {
-	h := *q
-	first, last := h[0], len(h)-1
-	h[0], h[last] = h[last], event{}
-	h = h[:last]
+	heap := *q
+	first, last := heap[0], len(heap)-1
+	heap[0], heap[last] = heap[last], event{}
+	heap = heap[:last]
 	for i := 0; ; {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < len(h); c++ {
-			if h.before(c, least) {
-				least = c
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < len(heap); child++ {
+			if heap.before(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			break
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		heap[i], heap[smallest] = heap[smallest], heap[i]
+		i = smallest
 	}
-	*q = h
+	*q = heap
 	return first
 }
 
-// Sim holds the events that are still to come. It is not safe for concurrent use.
+// Sim is a simulation with its clock and pending events. It is not safe for concurrent use.
 type Sim struct {
-	// At is the time since the start.
-	At    time.Duration
-	order uint64
-	queue eventQueue
+	// At is the virtual time that has passed since the start.
+	At       time.Duration
+	sequence uint64
+	queue    eventQueue
 }
 
-// Epoch is the time of day at the start.
+// Epoch is the virtual date and time at the start of every simulation.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Now is the time of day.
+// Now returns the virtual date and time.
 func (s *Sim) Now() time.Time { return Epoch.Add(s.At) }
 
-// After runs a function when the time has passed.
+// After schedules a function to run after a delay.
 func (s *Sim) After(d time.Duration, run func()) {
-	s.order++
-	s.queue.push(event{at: s.At + d, order: s.order, run: run})
+	s.sequence++
+	s.queue.push(event{at: s.At + d, sequence: s.sequence, run: run})
 }
 
-// Every runs a function again and again.
+// Every schedules a function to run repeatedly, for the first time after one period.
 func (s *Sim) Every(period time.Duration, run func()) {
 	s.After(period, func() {
 		run()
@@ -81,7 +81,7 @@
 	})
 }
 
-// RunUntil runs all events up to a time.
+// RunUntil runs all events up to and including a time and sets the clock to it.
 func (s *Sim) RunUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := s.queue.pop()
--- a/internal/faultmatrix/faultmatrix.go
+++ b/internal/faultmatrix/faultmatrix.go
@@ -1,6 +1,6 @@
-// Package faultmatrix is the table of protocol steps and faults that the proofs cover. A test
-// declares its cells, runs the ones it covers, and reports them. internal/tools/faultmatrix runs
-// the tests, merges the reports and writes docs/fault-matrix.md.
+// Package faultmatrix records which combinations of protocol steps and faults are tested. A test
+// declares the cells of the matrix that belong to it, runs those it covers and reports the result.
+// internal/tools/faultmatrix runs the tests, merges the reports and writes docs/fault-matrix.md.
 package faultmatrix
 
 import (
@@ -15,30 +15,30 @@
 	"testing"
 )
 
-// ReportDirEnv names the environment variable with the directory for reports. Without it, tests
-// write no reports.
+// ReportDirEnv is the environment variable that names the directory for reports. If it is not set,
+// tests write no reports.
 const ReportDirEnv = "QUETZALLUG_FAULTMATRIX_DIR"
 
-// Cell is one protocol step under one or more faults.
+// Cell is the combination of a protocol step with one or more faults.
 type Cell struct {
 	Protocol  string   `json:"protocol"`
 	Step      string   `json:"step"`
 	Faults    []string `json:"faults"`
 	Invariant string   `json:"invariant"`
-	// Covered is true only after the cell's test has run and passed.
+	// Covered reports whether the test of the cell has run and passed.
 	Covered bool `json:"covered"`
-	// Test is the name of the test that covers the cell.
+	// Test is the name of the top-level test that covers the cell.
 	Test string `json:"test,omitempty"`
-	// Reason says why a declared cell is not covered.
+	// Reason explains why a declared cell is not covered.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Name identifies the cell within all protocols.
+// Name returns a name that is unique among the cells of all protocols.
 func (c Cell) Name() string {
 	return c.Protocol + "/" + c.Step + "/" + strings.Join(c.Faults, "+")
 }
 
-// Registry holds the cells of one test.
+// Registry collects the cells of one test. It is safe for concurrent use.
 type Registry struct {
 	mu    sync.Mutex
 	cells map[string]Cell
@@ -47,7 +47,7 @@
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{cells: map[string]Cell{}} }
 
-// Declare adds cells that are not covered yet.
+// Declare adds cells and marks them as not covered.
 func (r *Registry) Declare(cells ...Cell) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// Run runs a declared cell as a parallel subtest. The cell is covered if the subtest ran to its end
-// and passed.
+// Run runs the test of a declared cell as a parallel subtest. The cell is covered if the subtest
+// passes and is not skipped.
 func (r *Registry) Run(t *testing.T, c Cell, test func(t *testing.T)) {
 	t.Helper()
 	r.mu.Lock()
@@ -80,7 +80,7 @@
 	})
 }
 
-// Cells returns the cells in order of name.
+// Cells returns the cells sorted by name.
 func (r *Registry) Cells() []Cell {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,12 +92,12 @@
 	return all
 }
 
-// Sort orders cells by name.
+// Sort sorts cells by name.
 func Sort(cells []Cell) {
 	slices.SortFunc(cells, func(a, b Cell) int { return strings.Compare(a.Name(), b.Name()) })
 }
 
-// Report writes the registry's cells to the report directory, if one is set.
+// Report writes the registry's cells to the directory that ReportDirEnv names, if it is set.
 func (r *Registry) Report(t *testing.T) {
 	t.Helper()
 	dir := os.Getenv(ReportDirEnv)
@@ -113,7 +113,8 @@
 	}
 }
 
-// writeReport writes a file of its own, because tests of several packages have the same name.
+// writeReport writes a report to a file with a unique name, because tests of several packages may have
+// the same name.
 func writeReport(dir, name string, data []byte) error {
 	f, err := os.CreateTemp(dir, name+"-*.json")
 	if err != nil {
@@ -123,7 +124,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// Load merges the reports in a directory. A cell is covered if any report covers it.
+// Load merges all reports in a directory. A cell is covered if it is covered in any report.
 func Load(dir string) ([]Cell, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -140,7 +141,7 @@
 			return nil, fmt.Errorf("report %q: %w", f, err)
 		}
 		for _, c := range cells {
-			if old, ok := merged[c.Name()]; !ok || !old.Covered {
+			if earlier, ok := merged[c.Name()]; !ok || !earlier.Covered {
 				merged[c.Name()] = c
 			}
 		}
--- a/internal/faultmatrix/faultmatrix_test.go
+++ b/internal/faultmatrix/faultmatrix_test.go
@@ -8,7 +8,7 @@
 	"github.com/quetzallug/quetzallug/internal/faultmatrix"
 )
 
-// Guards against cells that count as covered although their test did not run or was skipped.
+// Guards against counting cells as covered although their test did not run or was skipped.
 func TestOnlyPassedCellsAreCovered(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv(faultmatrix.ReportDirEnv, dir)
@@ -31,7 +31,7 @@
 	require.Equal(t, map[string]bool{"declared": false, "passed": true, "skipped": false}, covered)
 }
 
-// Guards against a report that replaces the report of a test with the same name in another package.
+// Guards against a report that overwrites the report of a test with the same name in another package.
 func TestReportsOfOneNameAreKept(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv(faultmatrix.ReportDirEnv, dir)
--- a/internal/httpjson/client.go
+++ b/internal/httpjson/client.go
@@ -1,5 +1,6 @@
-// Package httpjson holds what the HTTP adapters and the stand-ins share: a client that never
-// resends a request and tells "certainly not sent" from "outcome unknown", and JSON handlers.
+// Package httpjson provides an HTTP client and JSON handlers for the HTTP modules and the stand-ins.
+// The client never resends a request. Its errors distinguish a request that was certainly not sent from
+// one whose outcome is unknown.
 package httpjson
 
 import (
@@ -18,25 +19,25 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// Errors of a call.
+// Errors of a call without a usable response.
 var (
-	// ErrNotSent means that the server certainly did not receive the request.
+	// ErrNotSent means that the server did not receive the request.
 	ErrNotSent = errors.New("request not sent")
 	// ErrOutcomeUnknown means that the server may have processed the request.
 	ErrOutcomeUnknown = errors.New("request outcome unknown")
 )
 
 const (
-	// MaxResponseBytes bounds a response that is read whole.
+	// MaxResponseBytes limits a response that is read into memory.
 	MaxResponseBytes = 64 << 20
 	maxErrorBytes    = 64 << 10
 	maxIdleConns     = 64
-	// idleConnTimeout is short, so that a server rarely closes a connection that is being reused.
+	// idleConnTimeout is short, so that the server rarely closes a connection just as it is reused.
 	idleConnTimeout = 15 * time.Second
 	dialTimeout     = 3 * time.Second
 )
 
-// StatusError is an answer with a status other than 2xx.
+// StatusError is a response with a status other than 2xx.
 type StatusError struct {
 	Status  int    `json:"-"`
 	Code    string `json:"code"`
@@ -53,15 +54,15 @@
 	base *url.URL
 	addr string
 	http *http.Client
-	// traffic counts the bytes of later connections; nil counts nothing.
+	// traffic counts the bytes of new connections; nil disables counting.
 	traffic *traffic.Counter
 }
 
-// CountTraffic counts the bytes of the connections that are made from now on. Call it before
-// the first request.
+// CountTraffic makes the client count the bytes of new connections in t. It must be called before the
+// first request.
 func (c *Client) CountTraffic(t *traffic.Counter) { c.traffic = t }
 
-// Provision reads the setting "address", an http or https URL.
+// Provision configures the client from the setting "address", an http or https URL.
 func (c *Client) Provision(_ context.Context, s kernel.Settings) error {
 	c.addr = s["address"]
 	c.http = &http.Client{
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// NewRequest returns a request that net/http cannot resend. The path may carry a query.
-// Its error is ErrNotSent.
+// NewRequest returns a request that net/http cannot resend. The path may include a query. Errors wrap
+// ErrNotSent.
 func (c *Client) NewRequest(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
 	if path == "" || path[0] != '/' {
 		return nil, fmt.Errorf("%w: path %q does not start with a slash", ErrNotSent, path)
@@ -123,14 +124,15 @@
 	return req, nil
 }
 
-// OneShotBody returns a body that net/http cannot rewind. An empty body is not nil either:
-// net/http resends a request without body if its method or an Idempotency-Key header marks it
-// as replayable.
+// OneShotBody returns a request body that net/http cannot rewind. It is not nil even if b is empty,
+// because net/http resends a request without a body if its method or an Idempotency-Key header marks
+// it as replayable.
 func OneShotBody(b []byte) io.Reader { return oneShot{bytes.NewReader(b)} }
 
 type oneShot struct{ io.Reader }
 
-// Do sends a request. Its errors are ErrNotSent if the dial failed, otherwise ErrOutcomeUnknown.
+// Do sends a request. Errors wrap ErrNotSent if the connection could not be established, and
+// ErrOutcomeUnknown otherwise.
 func (c *Client) Do(req *http.Request) (*http.Response, error) {
 	resp, err := c.http.Do(req)
 	if err == nil {
@@ -143,8 +145,8 @@
 	return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 }
 
-// Call sends in as JSON and decodes the answer into out; both may be nil. A status other than
-// 2xx is a *StatusError.
+// Call sends in as JSON and decodes the response into out; both may be nil. A status other than 2xx is
+// returned as a *StatusError.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -181,7 +183,7 @@
 		return nil
 	}
 	e := &StatusError{Status: resp.StatusCode}
-	// A body that is not in the expected form leaves the code empty.
+	// If the body is not a JSON error, code and message stay empty.
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxErrorBytes)).Decode(e)
 	return e
 }
--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// asyncLines bounds the lines that wait for a slow reader of the log.
-	asyncLines = 2048
-	// asyncBatch is the size from which waiting lines are written at once.
-	asyncBatch = 16 << 10
-	// flushInterval bounds how long a line waits to be written with others. One write costs as much
-	// processor time as formatting a line.
+	// maxQueuedLines limits the lines that are queued while the output is blocked.
+	maxQueuedLines = 2048
+	// batchBytes is the size of a batch that is written without waiting for more lines.
+	batchBytes = 16 << 10
+	// flushInterval limits how long lines wait to be written in one batch. Lines are batched because one
+	// write takes as much CPU time as formatting a line.
 	flushInterval = 100 * time.Millisecond
 )
 
-// Async is a writer that never blocks its callers. Lines that find no room are left out and counted,
-// and the count is written once there is room again. Each Write must be whole lines.
+// Async is a writer that never blocks its callers. If its queue is full, lines are dropped and counted,
+// and the count is logged with the next batch. Each Write must consist of whole lines. It is safe for
+// concurrent use.
 type Async struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
-	closing chan struct{}
-	once    sync.Once
-	done    chan struct{}
+	out             io.Writer
+	lines           chan []byte
+	unreportedDrops atomic.Int64 // since the last line about dropped lines
+	totalDrops      atomic.Int64 // since the start
+	closing         chan struct{}
+	once            sync.Once
+	done            chan struct{}
 }
 
-// NewAsync returns a writer that passes lines on to out.
+// NewAsync returns a writer that writes to out in the background. It must be closed.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), closing: make(chan struct{}), done: make(chan struct{})}
+	a := &Async{out: out, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go a.run()
 	return a
 }
@@ -42,16 +43,16 @@
 	select {
 	case a.lines <- append([]byte(nil), line...):
 	default:
-		a.dropped.Add(1)
-		a.total.Add(1)
+		a.unreportedDrops.Add(1)
+		a.totalDrops.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were left out so far.
-func (a *Async) Dropped() int64 { return a.total.Load() }
+// Dropped returns the number of lines that have been dropped.
+func (a *Async) Dropped() int64 { return a.totalDrops.Load() }
 
-// Close writes what waits. Lines that are written afterwards may be lost.
+// Close writes the queued lines and stops the writer. Lines that are written later may be lost.
 func (a *Async) Close() error {
 	a.once.Do(func() { close(a.closing) })
 	<-a.done
@@ -69,17 +70,17 @@
 			a.drain(batch)
 			return
 		}
-		batch = a.gather(batch)
+		batch = a.collect(batch)
 		_, _ = a.out.Write(batch)
-		batch = a.note(batch[:0])
+		batch = a.appendDropNotice(batch[:0])
 	}
 }
 
-// gather adds lines for a short time, so that many lines share one write.
-func (a *Async) gather(batch []byte) []byte {
+// collect adds queued lines to the batch until it is large enough or flushInterval has passed.
+func (a *Async) collect(batch []byte) []byte {
 	t := time.NewTimer(flushInterval)
 	defer t.Stop()
-	for len(batch) < asyncBatch {
+	for len(batch) < batchBytes {
 		select {
 		case line := <-a.lines:
 			batch = append(batch, line...)
@@ -92,21 +93,22 @@
 	return batch
 }
 
+// drain writes the batch and all queued lines.
 func (a *Async) drain(batch []byte) {
 	for {
 		select {
 		case line := <-a.lines:
 			batch = append(batch, line...)
 		default:
-			_, _ = a.out.Write(a.note(batch))
+			_, _ = a.out.Write(a.appendDropNotice(batch))
 			return
 		}
 	}
 }
 
-// note adds a line about lines that were left out.
-func (a *Async) note(batch []byte) []byte {
-	n := a.dropped.Swap(0)
+// appendDropNotice appends a line with the number of lines dropped since the last such line, if any.
+func (a *Async) appendDropNotice(batch []byte) []byte {
+	n := a.unreportedDrops.Swap(0)
 	if n == 0 {
 		return batch
 	}
--- a/internal/logging/json.go
+++ b/internal/logging/json.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// jsonFormatter writes the same lines as logrus.JSONFormatter, with fields in no fixed order. It avoids
-// reflection for the types that log lines mostly hold, because a gateway writes a line per request.
+// jsonFormatter writes the same lines as logrus.JSONFormatter, except that fields are in no fixed order.
+// It avoids reflection for common types, because a gateway writes a line for each request.
 type jsonFormatter struct{}
 
 // Format implements logrus.Formatter.
@@ -34,7 +34,7 @@
 	return b.Bytes(), nil
 }
 
-// fieldName keeps a field from hiding one of the line's own.
+// fieldName renames fields that would conflict with the standard fields of a line, as logrus does.
 func fieldName(name string) string {
 	switch name {
 	case "time", "level", "msg":
--- a/internal/logging/json_test.go
+++ b/internal/logging/json_test.go
@@ -17,13 +17,13 @@
 	"server": "i-ceabf85594", "reader": "i-e71990380f", "events": 2, "instance": "edge-1",
 }
 
-// Guards against lines that differ from those of the library's own formatter.
+// Guards against lines that differ from those of logrus.JSONFormatter.
 func TestJSONEqualsTheLibrarys(t *testing.T) {
-	for _, more := range []logrus.Fields{
+	for _, extra := range []logrus.Fields{
 		{}, {"quote": `a"b\c`, "control": "a\nb", "umlaut": "ü", "bad": "\xff"}, {"error": errors.New("x"), "bool": true, "list": []string{"a"}, "nil": nil, "float": 1.5, "msg": "own", "time": 3},
 	} {
 		all := logrus.Fields{}
-		for _, m := range []logrus.Fields{fields, more} {
+		for _, m := range []logrus.Fields{fields, extra} {
 			for k, v := range m {
 				all[k] = v
 			}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging builds the process's logger.
+// Package logging creates loggers.
 package logging
 
 import (
@@ -14,11 +14,11 @@
 	FormatJSON = "json"
 )
 
-// timestampFormat has milliseconds, because the time until a document is in force everywhere is
-// read from the log lines of several processes.
+// timestampFormat includes milliseconds, because the time until a document is in force in all processes
+// is measured from their log lines.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a logger that writes lines of the given level and format to w.
+// New returns a logger that writes lines of at least the given level to w, in the given format.
 func New(w io.Writer, level, format string) (*logrus.Logger, error) {
 	l, err := logrus.ParseLevel(level)
 	if err != nil {
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory for tests in virtual time. It connects hosts with a delay, and
-// can cut, freeze and kill them.
+// Package memnet is an in-memory network for tests in virtual time. It connects hosts with a fixed
+// delay, and simulates partitions, suspended processes and crashed processes.
 package memnet
 
 import (
@@ -12,34 +12,35 @@
 )
 
 const (
+	// hopDelay is the network delay in each direction.
 	hopDelay = 500 * time.Microsecond
-	// connectTimeout equals the dial timeout of the product's clients.
+	// connectTimeout equals the dial timeout of quetzallug's RPC clients.
 	connectTimeout = time.Second
-	// linkBuffer is the number of writes in flight per direction before a writer blocks.
-	linkBuffer = 1024
+	// maxQueuedPackets is the number of packets in flight in each direction before a writer blocks.
+	maxQueuedPackets = 1024
 )
 
 var (
-	errRefused  = errors.New("connection refused")
-	errNetReset = errors.New("connection reset")
+	errRefused = errors.New("connection refused")
+	errReset   = errors.New("connection reset")
 )
 
-// Host is one process as the network sees it. A frozen host's connections and backend calls stand
-// still; its timers go on, because all hosts share one address space.
+// Host represents one process in the network. While a host is frozen, its connections and backend
+// calls are suspended. Its timers keep running, because all hosts run in the same process.
 type Host struct {
 	Name string
-	// Ctx ends when the process is killed by Cancel.
+	// Ctx is cancelled when the host is killed. Cancel cancels it.
 	Ctx    context.Context
 	Cancel context.CancelFunc
 }
 
-// Network connects hosts by address.
+// Network connects hosts. It is safe for concurrent use.
 type Network struct {
 	mu        sync.Mutex
-	changed   chan struct{}
+	changed   chan struct{} // closed and replaced at each change of frozen or cuts
 	listeners map[string]*listener
 	frozen    map[*Host]bool
-	cuts      map[[2]string]bool
+	cuts      map[[2]string]bool // by the names of sender and receiver
 	links     map[*link]bool
 }
 
@@ -51,7 +52,8 @@
 	}
 }
 
-func (n *Network) change(f func()) {
+// update changes the state of the network and wakes the goroutines that wait for a change.
+func (n *Network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -59,51 +61,51 @@
 	n.changed = make(chan struct{})
 }
 
-// Cut holds everything that one host sends to another one until it is healed.
+// Cut sets whether the data that one host sends to another is held back.
 func (n *Network) Cut(from, to string, on bool) {
-	n.change(func() { n.cuts[[2]string{from, to}] = on })
+	n.update(func() { n.cuts[[2]string{from, to}] = on })
 }
 
-// Freeze makes a host stand still, or lets it go on.
-func (n *Network) Freeze(h *Host, on bool) { n.change(func() { n.frozen[h] = on }) }
+// Freeze sets whether a host is suspended.
+func (n *Network) Freeze(h *Host, on bool) { n.update(func() { n.frozen[h] = on }) }
 
-// Kill closes the host's connections and listeners.
+// Kill cancels the host's context and closes its connections and listeners.
 func (n *Network) Kill(h *Host) {
 	h.Cancel()
 	n.mu.Lock()
-	var ends []*link
+	var hostLinks []*link
 	for l := range n.links {
 		if l.from == h || l.to == h {
-			ends = append(ends, l)
+			hostLinks = append(hostLinks, l)
 		}
 	}
-	var ls []*listener
+	var hostListeners []*listener
 	for _, l := range n.listeners {
 		if l.host == h {
-			ls = append(ls, l)
+			hostListeners = append(hostListeners, l)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range ls {
+	for _, l := range hostListeners {
 		_ = l.Close()
 	}
-	for _, l := range ends {
+	for _, l := range hostLinks {
 		l.close()
 	}
 }
 
-// Heal ends all cuts and freezes.
+// Heal removes all cuts and resumes all frozen hosts.
 func (n *Network) Heal() {
-	n.change(func() { n.frozen, n.cuts = map[*Host]bool{}, map[[2]string]bool{} })
+	n.update(func() { n.frozen, n.cuts = map[*Host]bool{}, map[[2]string]bool{} })
 }
 
-// hold waits while the direction is blocked. It returns false if done ends first.
-func (n *Network) hold(blocked func() bool, done <-chan struct{}) bool {
+// waitWhile waits while blocked returns true. It returns false if done is closed first.
+func (n *Network) waitWhile(blocked func() bool, done <-chan struct{}) bool {
 	for {
 		n.mu.Lock()
-		b, changed := blocked(), n.changed
+		isBlocked, changed := blocked(), n.changed
 		n.mu.Unlock()
-		if !b {
+		if !isBlocked {
 			return true
 		}
 		select {
@@ -114,22 +116,23 @@
 	}
 }
 
-// Stand waits while a host is frozen, and returns false if it is killed.
+// Stand waits while a host is frozen. It returns false if the host is killed.
 func (n *Network) Stand(h *Host) bool {
-	return n.hold(func() bool { return n.frozen[h] }, h.Ctx.Done()) && h.Ctx.Err() == nil
+	return n.waitWhile(func() bool { return n.frozen[h] }, h.Ctx.Done()) && h.Ctx.Err() == nil
 }
 
-// Awake is Stand for a call with a context.
+// Awake waits while a host is frozen. It returns an error if the host is killed or ctx has ended.
 func (n *Network) Awake(ctx context.Context, h *Host) error {
 	if !n.Stand(h) {
-		return errNetReset
+		return errReset
 	}
 	return ctx.Err()
 }
 
 func dialError(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Err: err} }
 
-// Dial connects a host to an address. A frozen peer accepts, as its kernel would.
+// Dial connects a host to an address. A frozen peer accepts connections, as a suspended process's
+// kernel does.
 func (n *Network) Dial(ctx context.Context, from *Host, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -142,27 +145,27 @@
 	blocked := func() bool {
 		return n.cuts[[2]string{from.Name, l.host.Name}] || n.cuts[[2]string{l.host.Name, from.Name}]
 	}
-	if !n.hold(blocked, ctx.Done()) {
+	if !n.waitWhile(blocked, ctx.Done()) {
 		return nil, dialError(os.ErrDeadlineExceeded)
 	}
-	near, nearInner := net.Pipe()
-	farInner, far := net.Pipe()
-	k := &link{net: n, from: from, to: l.host, ends: [2]net.Conn{nearInner, farInner}, done: make(chan struct{})}
+	client, clientInner := net.Pipe()
+	serverInner, server := net.Pipe()
+	k := &link{net: n, from: from, to: l.host, ends: [2]net.Conn{clientInner, serverInner}, done: make(chan struct{})}
 	n.mu.Lock()
 	n.links[k] = true
 	n.mu.Unlock()
-	go k.pump(nearInner, farInner, from, l.host)
-	go k.pump(farInner, nearInner, l.host, from)
+	go k.forward(clientInner, serverInner, from, l.host)
+	go k.forward(serverInner, clientInner, l.host, from)
 	select {
-	case l.conns <- &conn{far, "peer:1"}:
-		return &conn{near, addr}, nil
+	case l.conns <- &conn{server, "peer:1"}:
+		return &conn{client, addr}, nil
 	case <-l.closed:
 		k.close()
 		return nil, dialError(errRefused)
 	}
 }
 
-// conn gives a pipe an address of the network.
+// conn is a pipe with network addresses.
 type conn struct {
 	net.Conn
 	remote string
@@ -176,11 +179,12 @@
 func (c *conn) RemoteAddr() net.Addr { return address(c.remote) }
 func (c *conn) LocalAddr() net.Addr  { return address("local:1") }
 
-// link is one connection: two pipes with a pump per direction between them.
+// link is one connection. It consists of two pipes, with a goroutine per direction that copies between
+// them.
 type link struct {
 	net      *Network
 	from, to *Host
-	ends     [2]net.Conn
+	ends     [2]net.Conn // the inner ends of the pipes
 	once     sync.Once
 	done     chan struct{}
 }
@@ -201,9 +205,9 @@
 	due  time.Time
 }
 
-// pump moves data in one direction, delays it and holds it while the direction is blocked.
-func (k *link) pump(in, out net.Conn, from, to *Host) {
-	queue := make(chan packet, linkBuffer)
+// forward copies data in one direction with a delay, and holds it back while the direction is blocked.
+func (k *link) forward(in, out net.Conn, from, to *Host) {
+	queue := make(chan packet, maxQueuedPackets)
 	go func() {
 		defer close(queue)
 		buf := make([]byte, 32<<10)
@@ -226,18 +230,18 @@
 	}
 	for p := range queue {
 		time.Sleep(time.Until(p.due))
-		if !k.net.hold(blocked, k.done) {
+		if !k.net.waitWhile(blocked, k.done) {
 			break
 		}
 		if _, err := out.Write(p.data); err != nil {
 			break
 		}
 	}
-	// The end of a connection is held back as well.
-	k.net.hold(blocked, k.done)
+	// While the direction is blocked, the close of the connection is held back as well.
+	k.net.waitWhile(blocked, k.done)
 	k.close()
 	for range queue {
-		// Lets the reader end.
+		// Drains the queue so that the reading goroutine can exit.
 		continue
 	}
 }
@@ -251,7 +255,7 @@
 	closed chan struct{}
 }
 
-// Listen accepts connections for a host.
+// Listen returns a listener for connections to a host at an address.
 func (n *Network) Listen(h *Host, addr string) net.Listener {
 	l := &listener{net: n, host: h, addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.mu.Lock()
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause pauses a goroutine until a time has passed or its context ends.
+// Package pause pauses a goroutine for a time or until its context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether the context is still in force.
+// For waits for d or until ctx ends. It returns false if ctx has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -14,7 +14,7 @@
 	case <-ctx.Done():
 		return false
 	case <-t.C:
-		// Both may be ready at once.
+		// If both channels are ready, select chooses one at random.
 		return ctx.Err() == nil
 	}
 }
--- a/internal/peerauth/peerauth.go
+++ b/internal/peerauth/peerauth.go
@@ -1,5 +1,5 @@
-// Package peerauth authenticates the system's own processes to each other with a cluster name
-// and a shared key, carried in headers of each call.
+// Package peerauth authenticates the processes of a cluster to each other. Each call carries the
+// cluster name and a shared key in its headers.
 package peerauth
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Headers of each call between processes.
+// Headers that carry the credentials.
 const (
 	HeaderCluster = "X-Quetzallug-Cluster"
 	HeaderKey     = "X-Quetzallug-Key"
 )
 
-// Refusals of a call from a peer.
+// Errors of a call whose credentials are refused.
 var (
 	ErrWrongCluster = errors.New("peer belongs to another cluster")
 	ErrWrongKey     = errors.New("peer key is missing or wrong")
@@ -36,12 +36,13 @@
 	log   logrus.FieldLogger
 }
 
-// NewInterceptor returns an interceptor that adds the credentials to calls and checks them on
-// received calls. A refused call is logged and reaches no handler.
+// NewInterceptor returns an interceptor that adds the credentials to outgoing calls and checks those of
+// incoming calls. A refused call is logged and does not reach a handler.
 func NewInterceptor(c Credentials, log logrus.FieldLogger) connect.Interceptor {
 	return &interceptor{creds: c, key: sha256.Sum256([]byte(c.Key)), log: log}
 }
 
+// check verifies the credentials of an incoming call and logs a refusal.
 func (i *interceptor) check(header interface{ Get(string) string }, peer, procedure string) error {
 	err := i.verify(header)
 	if err == nil {
@@ -52,7 +53,8 @@
 }
 
 func (i *interceptor) verify(header interface{ Get(string) string }) error {
-	// Comparing digests takes the same time for keys of any length.
+	// Digests are compared because they have a fixed length: the time of the comparison does not depend on
+	// the length of the keys.
 	got := sha256.Sum256([]byte(header.Get(HeaderKey)))
 	if subtle.ConstantTimeCompare(got[:], i.key[:]) != 1 {
 		return ErrWrongKey
@@ -67,7 +69,7 @@
 func (i *interceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if req.Spec().IsClient {
-			i.sign(req.Header())
+			i.addCredentials(req.Header())
 			return next(ctx, req)
 		}
 		if err := i.check(req.Header(), req.Peer().Addr, req.Spec().Procedure); err != nil {
@@ -81,7 +83,7 @@
 func (i *interceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		conn := next(ctx, spec)
-		i.sign(conn.RequestHeader())
+		i.addCredentials(conn.RequestHeader())
 		return conn
 	}
 }
@@ -96,7 +98,7 @@
 	}
 }
 
-func (i *interceptor) sign(h interface{ Set(string, string) }) {
+func (i *interceptor) addCredentials(h interface{ Set(string, string) }) {
 	h.Set(HeaderCluster, i.creds.Cluster)
 	h.Set(HeaderKey, i.creds.Key)
 }
--- a/internal/peerauth/peerauth_test.go
+++ b/internal/peerauth/peerauth_test.go
@@ -31,30 +31,30 @@
 	return nil
 }
 
-// Guards against a call from a peer with the wrong cluster or key that reaches a handler.
+// Guards against a call with the wrong cluster or key that reaches a handler.
 func TestRefusedCallsReachNoHandler(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	right := peerauth.Credentials{Cluster: "a", Key: "k"}
+	valid := peerauth.Credentials{Cluster: "a", Key: "k"}
 	tests := []struct {
 		name  string
 		creds peerauth.Credentials
 		ok    bool
 	}{
-		{"right", right, true},
+		{"right", valid, true},
 		{"wrong cluster", peerauth.Credentials{Cluster: "b", Key: "k"}, false},
 		{"wrong key", peerauth.Credentials{Cluster: "a", Key: "other"}, false},
 		{"longer key", peerauth.Credentials{Cluster: "a", Key: "kk"}, false},
 		{"no key", peerauth.Credentials{Cluster: "a"}, false},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
 			w := &worker{}
 			mux := http.NewServeMux()
-			mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(w, connect.WithInterceptors(peerauth.NewInterceptor(right, log))))
+			mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(w, connect.WithInterceptors(peerauth.NewInterceptor(valid, log))))
 			srv := httptest.NewServer(mux)
 			defer srv.Close()
-			c := quetzallugv1connect.NewWorkerServiceClient(srv.Client(), srv.URL, connect.WithInterceptors(peerauth.NewInterceptor(tt.creds, log)))
+			c := quetzallugv1connect.NewWorkerServiceClient(srv.Client(), srv.URL, connect.WithInterceptors(peerauth.NewInterceptor(test.creds, log)))
 			_, err := c.Probe(t.Context(), connect.NewRequest(&v1.ProbeRequest{}))
 			s, streamErr := c.Execute(t.Context(), connect.NewRequest(&v1.ExecuteRequest{}))
 			if streamErr == nil {
@@ -62,7 +62,7 @@
 				streamErr = s.Err()
 				require.NoError(t, s.Close())
 			}
-			if tt.ok {
+			if test.ok {
 				require.NoError(t, err)
 				require.NoError(t, streamErr)
 				require.Equal(t, 2, w.calls)
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,7 +1,7 @@
-// Package rapidseed fixes the seed of property-based tests, so that CI gives the same verdict
-// each time. Test packages import it for its effect. The environment variables
-// QUETZALLUG_RAPID_SEED and QUETZALLUG_RAPID_CHECKS replace the seed and the number of checks;
-// flags of the test command come before both.
+// Package rapidseed fixes the seed of property-based tests, so that their results are reproducible.
+// Test packages import it for its side effect. The environment variables QUETZALLUG_RAPID_SEED and
+// QUETZALLUG_RAPID_CHECKS override the seed and the number of checks; flags of the test command
+// override both.
 package rapidseed
 
 import (
@@ -9,7 +9,7 @@
 	"flag"
 	"os"
 
-	// The flags of rapid must be registered first.
+	// The import makes rapid register its flags before init sets them.
 	_ "pgregory.net/rapid"
 )
 
@@ -19,13 +19,15 @@
 )
 
 func init() {
-	set("rapid.seed", cmp.Or(os.Getenv("QUETZALLUG_RAPID_SEED"), defaultSeed))
-	set("rapid.checks", cmp.Or(os.Getenv("QUETZALLUG_RAPID_CHECKS"), defaultChecks))
-	// A failure prints its seed; files of failures would change later runs.
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.seed", cmp.Or(os.Getenv("QUETZALLUG_RAPID_SEED"), defaultSeed))
+	setFlag("rapid.checks", cmp.Or(os.Getenv("QUETZALLUG_RAPID_CHECKS"), defaultChecks))
+	// Failure files are not needed, because a failure prints its seed, and rapid would replay them in
+	// later runs.
+	setFlag("rapid.nofailfile", "true")
 }
 
-func set(name, value string) {
+// setFlag sets a flag of the test binary.
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic("rapidseed: " + err.Error())
 	}
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package rpc builds the HTTP/2 servers and clients between the system's own processes.
+// Package rpc builds the HTTP/2 servers and clients for calls between the processes of a cluster.
 package rpc
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// maxConcurrentStreams is per connection; an entry has one connection to a sidecar.
+	// maxConcurrentStreams applies per connection. An entry has one connection to each sidecar.
 	maxConcurrentStreams = 4096
 	readHeaderTimeout    = 5 * time.Second
 	idleTimeout          = 2 * time.Minute
 	dialTimeout          = 1 * time.Second
-	// pingInterval and pingTimeout detect a peer that is cut off while a stream is silent.
+	// pingInterval and pingTimeout detect an unreachable peer while a stream is idle.
 	pingInterval = 2 * time.Second
 	pingTimeout  = 2 * time.Second
-	// MaxMessageBytes bounds one message.
+	// MaxMessageBytes limits one received message.
 	MaxMessageBytes = 8 << 20
-	// compressMinBytes is above the size of answers to probes and polls without news. Below it, gzip
-	// costs more processor time than all other work of such a call.
+	// compressMinBytes is larger than responses to probes and to polls without changes. For such small
+	// messages, gzip takes more CPU time than the rest of the call.
 	compressMinBytes = 1 << 10
-	compression      = "gzip"
+	gzipCompression  = "gzip"
 )
 
 // NewServer returns a server for cleartext HTTP/2 and HTTP/1.
@@ -46,7 +46,7 @@
 	}
 }
 
-// Serve serves connections of l, over TLS if a configuration is given.
+// Serve serves the connections that l accepts, with TLS if c is not nil.
 func Serve(srv *http.Server, l net.Listener, c *tls.Config) error {
 	if c == nil {
 		return srv.Serve(l)
@@ -58,17 +58,18 @@
 	return srv.ServeTLS(l, "", "")
 }
 
-// WorkerOptions are the options of the handler of WorkerService. Its frames carry a few tokens each;
-// compressing them took 62% of a sidecar's processor time.
+// WorkerOptions returns the options of the handler of WorkerService. They disable compression: frames
+// carry a few tokens each, and compressing them took 62% of the CPU time of a sidecar.
 func WorkerOptions(interceptors ...connect.Interceptor) []connect.HandlerOption {
 	return []connect.HandlerOption{
-		connect.WithCompression(compression, nil, nil),
+		connect.WithCompression(gzipCompression, nil, nil),
 		connect.WithInterceptors(interceptors...),
 		connect.WithReadMaxBytes(MaxMessageBytes),
 	}
 }
 
-// PeerOptions are the options of the handler of PeerService, which compresses documents.
+// PeerOptions returns the options of the handler of PeerService. They enable compression of large
+// messages, such as documents.
 func PeerOptions(interceptors ...connect.Interceptor) []connect.HandlerOption {
 	return []connect.HandlerOption{
 		connect.WithCompressMinBytes(compressMinBytes),
@@ -77,7 +78,7 @@
 	}
 }
 
-// Clients holds one client per address and kind of service.
+// Clients caches one client per address and service. It is safe for concurrent use.
 type Clients struct {
 	http    *http.Client
 	scheme  string
@@ -90,25 +91,25 @@
 
 // ClientConfig configures Clients.
 type ClientConfig struct {
-	// Control is for calls that have a short timeout of their own, whose bytes it counts. These
-	// clients send no pings and no TCP keep-alives: on an idle connection to each of 640 sidecars,
-	// pings alone take 5 KB/s, more than all other control traffic of an entry. The connections
-	// stay open, because a new one costs four times the bytes of a probe. Control is nil for
-	// answers, whose connections detect a peer that is cut off while a stream is silent.
+	// Control is set for clients whose calls all have a short timeout, and counts their bytes. Such
+	// clients send no pings and no TCP keep-alives: with an idle connection to each of 640 sidecars,
+	// pings alone take 5 KB/s, more than all other control traffic of an entry. Idle connections
+	// stay open, because a new one costs four times the bytes of a probe. Control is nil for clients
+	// that stream responses, which need pings to detect an unreachable peer while a stream is idle.
 	Control *traffic.Counter
-	// TLS is nil for cleartext.
+	// TLS is the TLS configuration, or nil for cleartext.
 	TLS          *tls.Config
 	Interceptors []connect.Interceptor
-	// Dial replaces the TCP dialer, for networks in memory. An error that wraps a net.OpError of
-	// operation "dial" means that nothing was sent.
+	// Dial replaces the TCP dialer, for in-memory networks in tests. An error that wraps a net.OpError
+	// with operation "dial" means that nothing was sent.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// NewClients returns clients with connections of their own.
+// NewClients returns clients that share connections with each other, but not with other Clients.
 func NewClients(cfg ClientConfig) *Clients {
-	pings, dialer := &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout}, &net.Dialer{Timeout: dialTimeout}
+	http2Config, dialer := &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout}, &net.Dialer{Timeout: dialTimeout}
 	if cfg.Control != nil {
-		pings, dialer.KeepAlive = nil, -1
+		http2Config, dialer.KeepAlive = nil, -1
 	}
 	var p http.Protocols
 	scheme := "http://"
@@ -133,7 +134,7 @@
 			return traffic.Conn(conn, cfg.Control), nil
 		},
 		IdleConnTimeout: idleTimeout,
-		HTTP2:           pings,
+		HTTP2:           http2Config,
 	}
 	return &Clients{
 		http:   &http.Client{Transport: transport},
@@ -148,16 +149,16 @@
 	}
 }
 
-// Worker returns the client of the sidecar at an address, such as 127.0.0.1:8000.
+// Worker returns the client for the sidecar at an address such as 127.0.0.1:8000.
 func (c *Clients) Worker(address string) quetzallugv1connect.WorkerServiceClient {
-	return lookup(c, c.workers, address, func() quetzallugv1connect.WorkerServiceClient {
+	return getOrCreate(c, c.workers, address, func() quetzallugv1connect.WorkerServiceClient {
 		return quetzallugv1connect.NewWorkerServiceClient(c.http, c.scheme+address, c.options...)
 	})
 }
 
-// Peer returns the client of the entry at a peer address.
+// Peer returns the client for the entry at a peer address.
 func (c *Clients) Peer(address string) quetzallugv1connect.PeerServiceClient {
-	return lookup(c, c.peers, address, func() quetzallugv1connect.PeerServiceClient {
+	return getOrCreate(c, c.peers, address, func() quetzallugv1connect.PeerServiceClient {
 		return quetzallugv1connect.NewPeerServiceClient(c.http, c.scheme+address, c.options...)
 	})
 }
@@ -165,7 +166,8 @@
 // Close closes idle connections.
 func (c *Clients) Close() { c.http.CloseIdleConnections() }
 
-func lookup[T any](c *Clients, m map[string]T, address string, create func() T) T {
+// getOrCreate returns the client for an address, and creates it on first use.
+func getOrCreate[T any](c *Clients, m map[string]T, address string, create func() T) T {
 	c.mu.RLock()
 	v, ok := m[address]
 	c.mu.RUnlock()
--- a/internal/rpc/tls.go
+++ b/internal/rpc/tls.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// TLSFiles are the certificate, its key and the authority of the cluster, each as PEM text or as
-// the path of a PEM file. All empty means no TLS.
+// TLSFiles are the certificate, its private key and the certificate authority of the cluster, each as
+// PEM text or as the path of a PEM file. If all are empty, TLS is off.
 type TLSFiles struct {
 	Cert, Key, CA string
 }
 
-// errTLSIncomplete means that some but not all TLS settings are given.
+// errTLSIncomplete means that only some of the TLS settings are given.
 var errTLSIncomplete = errors.New("settings tls-cert, tls-key and tls-ca must be given together")
 
 // Enabled reports whether TLS is configured.
 func (f TLSFiles) Enabled() bool { return f != TLSFiles{} }
 
-// Load returns the TLS configuration for both sides of a connection between peers: each side
-// must show a certificate signed by the cluster's authority. It returns nil without settings.
+// Load returns the TLS configuration for both sides of a connection between peers. Each side must
+// present a certificate signed by the cluster's certificate authority. If TLS is off, Load returns nil.
 func (f TLSFiles) Load() (*tls.Config, error) {
 	if !f.Enabled() {
 		return nil, nil
@@ -30,15 +30,15 @@
 	if f.Cert == "" || f.Key == "" || f.CA == "" {
 		return nil, errTLSIncomplete
 	}
-	cert, err := pemText("tls-cert", f.Cert)
+	cert, err := loadPEM("tls-cert", f.Cert)
 	if err != nil {
 		return nil, err
 	}
-	key, err := pemText("tls-key", f.Key)
+	key, err := loadPEM("tls-key", f.Key)
 	if err != nil {
 		return nil, err
 	}
-	ca, err := pemText("tls-ca", f.CA)
+	ca, err := loadPEM("tls-ca", f.CA)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,8 @@
 	}, nil
 }
 
-func pemText(setting, value string) ([]byte, error) {
+// loadPEM returns value if it is PEM text, and otherwise the contents of the file that it names.
+func loadPEM(setting, value string) ([]byte, error) {
 	if strings.HasPrefix(strings.TrimSpace(value), "-----BEGIN") {
 		return []byte(value), nil
 	}
--- a/internal/rpc/tls_test.go
+++ b/internal/rpc/tls_test.go
@@ -42,15 +42,16 @@
 	require.NoError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	require.NoError(t, err)
-	return &authority{t: t, cert: cert, key: key, pem: encode("CERTIFICATE", der)}
+	return &authority{t: t, cert: cert, key: key, pem: encodePEM("CERTIFICATE", der)}
 }
 
-func encode(kind string, der []byte) string {
+func encodePEM(kind string, der []byte) string {
 	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
 }
 
-// issue returns the settings of a process whose peers trust the given authority.
-func (a *authority) issue(trust *authority) *tls.Config {
+// issue returns the TLS configuration of a process with a certificate of a. The process trusts
+// certificates of the given authority.
+func (a *authority) issue(trusted *authority) *tls.Config {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -62,23 +63,23 @@
 	require.NoError(a.t, err)
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	require.NoError(a.t, err)
-	c, err := rpc.TLSFiles{Cert: encode("CERTIFICATE", der), Key: encode("EC PRIVATE KEY", keyDER), CA: trust.pem}.Load()
+	c, err := rpc.TLSFiles{Cert: encodePEM("CERTIFICATE", der), Key: encodePEM("EC PRIVATE KEY", keyDER), CA: trusted.pem}.Load()
 	require.NoError(a.t, err)
 	return c
 }
 
-type probe struct {
+type worker struct {
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
 }
 
-func (probe) Probe(context.Context, *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
+func (worker) Probe(context.Context, *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
 	return connect.NewResponse(&v1.ProbeResponse{ConfigRevision: 7}), nil
 }
 
 func serve(t *testing.T, c *tls.Config) string {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(probe{}))
+	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(worker{}))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	srv := rpc.NewServer(mux)
@@ -87,8 +88,8 @@
 	return l.Addr().String()
 }
 
-// Guards against peers without a certificate of the cluster's authority, and against a fall-back
-// to cleartext.
+// Guards against accepting a peer without a certificate of the cluster's authority, and against a
+// fallback to cleartext.
 func TestPeersAuthenticateByCertificate(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	address := serve(t, ours.issue(ours))
@@ -104,7 +105,7 @@
 	require.Error(t, call(nil), "cleartext")
 }
 
-// Guards against TLS that is silently off because a setting is missing or wrong.
+// Guards against TLS being silently off because a setting is missing or invalid.
 func TestIncompleteSettingsAreRefused(t *testing.T) {
 	for _, f := range []rpc.TLSFiles{
 		{Cert: "x"},
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,7 +1,7 @@
-// Package splitmix mixes the bits of a number, so that numbers that are close give hashes that are not.
+// Package splitmix hashes integers such that similar inputs have unrelated hashes.
 package splitmix
 
-// Mix is the finalizer of splitmix64.
+// Mix returns the output of the splitmix64 generator for state x.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/tools/faultmatrix/main.go
+++ b/internal/tools/faultmatrix/main.go
@@ -1,5 +1,5 @@
 // Command faultmatrix runs the tests that report cells of the fault matrix and writes
-// docs/fault-matrix.md. A cell is shown as covered only if its test ran and passed in this run.
+// docs/fault-matrix.md. A cell is shown as covered only if its test passed in this run.
 package main
 
 import (
@@ -61,7 +61,7 @@
 		return fmt.Errorf("write matrix: %w", err)
 	}
 	if testErr != nil {
-		return fmt.Errorf("matrix written with failed cells as not covered: %w", testErr)
+		return fmt.Errorf("tests failed; the matrix shows their cells as not covered: %w", testErr)
 	}
 	return nil
 }
@@ -75,37 +75,39 @@
 		}
 	}
 	fmt.Fprintf(&b, "%d of %d declared cells are covered.\n", covered, len(cells))
-	for _, p := range values(cells, func(c faultmatrix.Cell) string { return c.Protocol }) {
-		own := slices.DeleteFunc(slices.Clone(cells), func(c faultmatrix.Cell) bool { return c.Protocol != p })
+	for _, p := range distinct(cells, func(c faultmatrix.Cell) string { return c.Protocol }) {
+		protocolCells := slices.DeleteFunc(slices.Clone(cells), func(c faultmatrix.Cell) bool { return c.Protocol != p })
 		fmt.Fprintf(&b, "\n## %s\n\n", p)
-		renderSingles(&b, own)
-		renderPairs(&b, own)
+		renderSingles(&b, protocolCells)
+		renderPairs(&b, protocolCells)
 	}
 	renderUncovered(&b, cells)
 	return b.String()
 }
 
-func values(cells []faultmatrix.Cell, of func(faultmatrix.Cell) string) []string {
+// distinct returns the sorted distinct values of a field of the cells.
+func distinct(cells []faultmatrix.Cell, field func(faultmatrix.Cell) string) []string {
 	var all []string
 	for _, c := range cells {
-		all = append(all, of(c))
+		all = append(all, field(c))
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
+// renderSingles writes a table of the cells with one fault, and the names of their tests.
 func renderSingles(b *strings.Builder, cells []faultmatrix.Cell) {
 	table, tests := map[string]string{}, []string{}
 	cells = slices.DeleteFunc(slices.Clone(cells), func(c faultmatrix.Cell) bool { return len(c.Faults) != 1 })
 	for _, c := range cells {
-		table[c.Step+"\x00"+c.Faults[0]] = mark(c)
+		table[c.Step+"\x00"+c.Faults[0]] = coverage(c)
 		if c.Covered {
 			tests = append(tests, c.Test)
 		}
 	}
-	columns := values(cells, func(c faultmatrix.Cell) string { return c.Faults[0] })
+	columns := distinct(cells, func(c faultmatrix.Cell) string { return c.Faults[0] })
 	fmt.Fprintf(b, "| step | %s |\n|---%s|\n", strings.Join(columns, " | "), strings.Repeat("|---", len(columns)))
-	for _, s := range values(cells, func(c faultmatrix.Cell) string { return c.Step }) {
+	for _, s := range distinct(cells, func(c faultmatrix.Cell) string { return c.Step }) {
 		fmt.Fprintf(b, "| %s |", s)
 		for _, f := range columns {
 			v, ok := table[s+"\x00"+f]
@@ -120,20 +122,22 @@
 	fmt.Fprintf(b, "\nTests: %s.\n", strings.Join(slices.Compact(tests), ", "))
 }
 
-func mark(c faultmatrix.Cell) string {
+// coverage returns the invariants that the test of a covered cell checks.
+func coverage(c faultmatrix.Cell) string {
 	if c.Covered {
 		return c.Invariant
 	}
 	return "**no**"
 }
 
+// renderPairs writes the number of declared and covered cells with several faults for each step.
 func renderPairs(b *strings.Builder, cells []faultmatrix.Cell) {
 	pairs := slices.DeleteFunc(slices.Clone(cells), func(c faultmatrix.Cell) bool { return len(c.Faults) < 2 })
 	if len(pairs) == 0 {
 		return
 	}
 	b.WriteString("\n| step | pairs of faults covered | pairs declared |\n|---|---|---|\n")
-	for _, s := range values(pairs, func(c faultmatrix.Cell) string { return c.Step }) {
+	for _, s := range distinct(pairs, func(c faultmatrix.Cell) string { return c.Step }) {
 		covered, all := 0, 0
 		for _, c := range pairs {
 			if c.Step == s {
@@ -147,6 +151,7 @@
 	}
 }
 
+// renderUncovered writes a table of the cells that are not covered, with the reasons.
 func renderUncovered(b *strings.Builder, cells []faultmatrix.Cell) {
 	b.WriteString("\n## Not covered\n\n| protocol | step | faults | reason |\n|---|---|---|---|\n")
 	for _, c := range cells {
--- a/internal/tools/mutants/main.go
+++ b/internal/tools/mutants/main.go
@@ -1,5 +1,5 @@
-// Command mutants removes each guard listed in internal/mutants in a scratch copy of
-// the module and demands that the named test passes with the guard and fails without it.
+// Command mutants runs mutation tests. It applies each source change listed in internal/mutants to a
+// scratch copy of the module and checks that the named test passes without the change and fails with it.
 package main
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// testTimeout bounds one test run. A mutant that makes a test hang counts as detected only if the
-// test itself reports a failure, so the bound is generous.
+// testTimeout limits one test run. A mutant that makes a test hang counts as detected only if the test
+// itself reports a failure, so the limit leaves tests time to reach their own timeouts.
 const testTimeout = 5 * time.Minute
 
 type mutant struct {
@@ -31,8 +31,8 @@
 }
 
 var (
-	errSurvived = errors.New("not every guard is proved")
-	errNoLists  = errors.New("no list of mutants")
+	errUndetected = errors.New("not detected by their tests")
+	errNoLists    = errors.New("no list of mutants")
 )
 
 func main() {
@@ -60,33 +60,33 @@
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "MUTANT\tINVARIANT\tTEST\tRESULT")
-	bad, baseline := 0, map[string]string{}
+	undetected, baseline := 0, map[string]string{}
 	for _, m := range mutants {
 		if !strings.Contains(m.Name, only) {
 			continue
 		}
 		if _, ok := baseline[m.Test]; !ok {
-			baseline[m.Test] = test(dir, m.Test)
+			baseline[m.Test] = runTest(dir, m.Test)
 		}
-		result := "test does not pass with the guard: " + baseline[m.Test]
+		result := "test does not pass without the mutant: " + baseline[m.Test]
 		if baseline[m.Test] == passed {
-			result = try(dir, m)
+			result = runMutant(dir, m)
 		}
 		if result != detected {
-			bad++
+			undetected++
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", m.Name, m.Invariant, m.Test, result)
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("print table: %w", err)
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d mutants: %w", bad, errSurvived)
+	if undetected > 0 {
+		return fmt.Errorf("%d mutants: %w", undetected, errUndetected)
 	}
 	return nil
 }
 
-// loadAll reads the lists that match a pattern.
+// loadAll reads the lists of mutants whose file names match a pattern.
 func loadAll(pattern string) ([]mutant, error) {
 	files, err := filepath.Glob(pattern)
 	if err != nil || len(files) == 0 {
@@ -115,7 +115,7 @@
 	return mutants, nil
 }
 
-// copyModule copies the files that git knows or would add, so no build output is copied.
+// copyModule copies the files that git tracks or would add to dir, so that no build output is copied.
 func copyModule(dir string) error {
 	out, err := exec.Command("git", "ls-files", "-z", "--cached", "--others", "--exclude-standard").Output()
 	if err != nil {
@@ -124,7 +124,7 @@
 	for name := range strings.SplitSeq(strings.TrimRight(string(out), "\x00"), "\x00") {
 		data, err := os.ReadFile(name)
 		if errors.Is(err, os.ErrNotExist) {
-			continue // deleted in the work tree
+			continue // deleted in the working tree
 		}
 		if err != nil {
 			return fmt.Errorf("copy: %w", err)
@@ -146,8 +146,8 @@
 	detected = "detected"
 )
 
-// try applies one mutant, runs its test and restores the file.
-func try(dir string, m mutant) string {
+// runMutant applies one mutant, runs its test and restores the file.
+func runMutant(dir string, m mutant) string {
 	path := filepath.Join(dir, m.File)
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -160,7 +160,7 @@
 	if err := os.WriteFile(path, []byte(mutated), 0o600); err != nil {
 		return err.Error()
 	}
-	result := test(dir, m.Test)
+	result := runTest(dir, m.Test)
 	if err := os.WriteFile(path, source, 0o600); err != nil {
 		return err.Error()
 	}
@@ -173,8 +173,9 @@
 	return result
 }
 
-// test runs one test, given as "package Test/sub", and tells a test failure from a build failure.
-func test(dir, spec string) string {
+// runTest runs one test, given as "package Test/sub". It distinguishes a failed test from other errors,
+// such as a failed build.
+func runTest(dir, spec string) string {
 	pkg, name, ok := strings.Cut(spec, " ")
 	if !ok {
 		return fmt.Sprintf("test %q is not a package and a name", spec)
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,4 +1,4 @@
-// Package traffic counts the bytes that a process moves on connections.
+// Package traffic counts the bytes that are received and sent on network connections.
 package traffic
 
 import (
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// Counter counts bytes. It is safe for concurrent use.
+// Counter counts received (In) and sent (Out) bytes. It is safe for concurrent use.
 type Counter struct {
 	In, Out atomic.Int64
 }
 
-// Conn counts the bytes of a connection in t. A nil counter returns the connection unchanged.
+// Conn returns c with its bytes counted in t. If t is nil, it returns c unchanged.
 func Conn(c net.Conn, t *Counter) net.Conn {
 	if t == nil {
 		return c
@@ -36,7 +36,7 @@
 	return n, err
 }
 
-// Listener counts the bytes of accepted connections in t.
+// Listener returns l with the bytes of its accepted connections counted in t.
 func Listener(l net.Listener, t *Counter) net.Listener {
 	return &listener{Listener: l, counter: t}
 }
