--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -22,62 +22,64 @@
 	var f applyFlags
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "Make a document the next revision of its service",
-		Long: `apply checks a document and writes it to the key-value service, if the service is still at the
-base revision. The base revision comes from --base or from the comment with which 'get' begins
-a document; it is 0 for a service that does not exist or is deleted. Once apply reports the new
-revision, the document is accepted and is in force everywhere within 8 s.
+		Short: "Write a document as the next revision of its service",
+		Long: `apply validates a document and writes it to the key-value service if the service is still at the
+base revision. The base revision comes from --base or from the comment in the first line of a
+document from 'get'; it is 0 for a service that does not exist or is deleted. Once apply reports the
+new revision, the document is accepted and takes effect everywhere within 8 s.
 
-If another operator was faster, nothing is written: apply prints the difference from the winning
-document to this one on the standard output and exits with 4.
+If another change was accepted in the meantime, nothing is written: apply prints the difference from
+the accepted document to this one on standard output and exits with 4.
 
-With --delete, FILE is the name of a service, which is deleted.`,
+With --delete, the argument is the name of a service, which is deleted.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			hasBase := cmd.Flags().Changed("base")
 			return a.withKV(cmd, func(ctx context.Context, kv external.KV) error {
 				if f.delete {
-					return a.remove(ctx, kv, args[0], f.base, hasBase)
+					return a.deleteService(ctx, kv, args[0], f.base, hasBase)
 				}
 				return a.apply(ctx, kv, args[0], f.base, hasBase)
 			})
 		},
 	}
-	cmd.Flags().Uint64Var(&f.base, "base", 0, "revision that the change is based on")
-	cmd.Flags().BoolVar(&f.delete, "delete", false, "delete the service that the argument names")
+	cmd.Flags().Uint64Var(&f.base, "base", 0, "revision on which the change is based")
+	cmd.Flags().BoolVar(&f.delete, "delete", false, "delete the service named by the argument")
 	return cmd
 }
 
 func (a *app) apply(ctx context.Context, kv external.KV, name string, base uint64, hasBase bool) error {
-	f, err := a.readFile(name)
+	f, err := a.readDocument(name)
 	if err != nil {
 		return err
 	}
 	if !hasBase {
 		if !f.hasBase {
-			return usagef("%s has no revision comment of service %s: give --base, or apply a file from 'quetzallug get'", name, f.service.Service)
+			return usagef("%s has no revision comment for service %s: set --base, or apply a file from 'quetzallug get'", name, f.service.Service)
 		}
 		base = f.base
 	}
 	r, err := registry.Apply(ctx, kv, f.service.Service, base, f.body, a.v.GetString(settingAuthor))
-	return a.accepted(&r, err)
+	return a.reportWrite(&r, err)
 }
 
-func (a *app) remove(ctx context.Context, kv external.KV, service string, base uint64, hasBase bool) error {
+func (a *app) deleteService(ctx context.Context, kv external.KV, service string, base uint64, hasBase bool) error {
 	if !hasBase {
-		return usagef("--delete needs --base, the revision that you mean to delete")
+		return usagef("--delete needs --base with the revision to delete")
 	}
 	r, err := registry.Delete(ctx, kv, service, base, a.v.GetString(settingAuthor))
-	return a.accepted(&r, err)
+	return a.reportWrite(&r, err)
 }
 
-func (a *app) accepted(r *registry.Record, err error) error {
-	var c *registry.ConflictError
-	if errors.As(err, &c) {
-		if c.Diff == "" {
-			a.note("The document in force has the same content.")
+// reportWrite prints the record of an accepted write, or the difference to the accepted document after a
+// conflict.
+func (a *app) reportWrite(r *registry.Record, err error) error {
+	var conflict *registry.ConflictError
+	if errors.As(err, &conflict) {
+		if conflict.Diff == "" {
+			a.noticef("The accepted document has the same content.")
 		}
-		return errors.Join(err, a.print(c.Diff))
+		return errors.Join(err, a.print(conflict.Diff))
 	}
 	if err != nil {
 		return err
@@ -88,9 +90,9 @@
 func (a *app) diffCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff FILE",
-		Short: "Show how a document differs from the accepted one",
-		Long: `diff prints the unified difference from the accepted document to FILE, and nothing if they are
-equal. The exit code is 0 in both cases.`,
+		Short: "Compare a document with the accepted one",
+		Long: `diff prints a unified diff from the accepted document to FILE, or nothing if they are equal. The
+exit code is 0 in both cases.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.withKV(cmd, func(ctx context.Context, kv external.KV) error {
@@ -101,7 +103,7 @@
 }
 
 func (a *app) diff(ctx context.Context, kv external.KV, name string) error {
-	f, err := a.readFile(name)
+	f, err := a.readDocument(name)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -13,8 +13,8 @@
 	quetzallugv1 "github.com/quetzallug/quetzallug/gen/quetzallug/v1"
 )
 
-// drainPoll is the time between two questions while drain waits.
-const drainPoll = 500 * time.Millisecond
+// drainPollInterval is the time between two requests of drain --wait.
+const drainPollInterval = 500 * time.Millisecond
 
 type drainView struct {
 	Instance string `json:"instance"`
@@ -28,14 +28,14 @@
 	var f drainFlags
 	cmd := &cobra.Command{
 		Use:   "drain INSTANCE",
-		Short: "Give a worker no new requests and let those in flight finish",
+		Short: "Stop new requests to a worker and let those in flight complete",
 		Long: `drain tells the sidecar of a worker to refuse new requests and reports the number of requests in
-flight. It interrupts no request and may be repeated. --undo lets the worker take requests again.
---wait waits until no request is in flight, for at most --timeout.`,
+flight. It does not interrupt requests and may be repeated. With --undo the worker takes requests
+again. With --wait drain waits until no request is in flight, up to --timeout.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.undo && f.wait {
-				return usagef("--undo and --wait exclude each other")
+				return usagef("--undo and --wait cannot be used together")
 			}
 			ctx, cancel := a.withTimeout(cmd.Context())
 			defer cancel()
@@ -48,7 +48,7 @@
 }
 
 func (a *app) drain(ctx context.Context, instance string, f drainFlags) error {
-	address, err := a.findWorker(ctx, instance)
+	address, err := a.workerAddress(ctx, instance)
 	if err != nil {
 		return err
 	}
@@ -67,39 +67,40 @@
 		v := drainView{instance, r.Msg.GetDraining(), r.Msg.GetInFlight()}
 		if !f.wait || v.InFlight == 0 {
 			t := &table{header: []string{"INSTANCE", "DRAINING", "IN FLIGHT"}}
-			t.add(v.Instance, strconv.FormatBool(v.Draining), decimal(v.InFlight))
+			t.add(v.Instance, strconv.FormatBool(v.Draining), formatUint32(v.InFlight))
 			return a.emit(v, t)
 		}
-		a.note("%s: %d requests in flight", instance, v.InFlight)
+		a.noticef("%s: %d requests in flight", instance, v.InFlight)
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is draining and still has %d requests in flight; run the command again to wait longer", instance, v.InFlight)
-		case <-time.After(drainPoll):
+			return fmt.Errorf("%s is draining and still has %d requests in flight; repeat the command to wait longer", instance, v.InFlight)
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
-// drainError tells a drain that never reached the sidecar from one whose response was lost.
+// drainError distinguishes a drain that never reached the sidecar from one whose response was lost and which
+// may have taken effect.
 func drainError(instance, address string, err error) error {
 	wrapped := fmt.Errorf("drain of %s at %s: %w", instance, address, err)
-	if unreachable(err) && !notSent(err) {
-		return &unknownError{wrapped}
+	if unreachable(err) && !dialFailed(err) {
+		return &outcomeUnknownError{wrapped}
 	}
 	return wrapped
 }
 
-// findWorker looks up the sidecar's address in the membership of the entries.
-func (a *app) findWorker(ctx context.Context, instance string) (string, error) {
-	answers, err := a.askStatus(ctx)
+// workerAddress looks up the address of a worker's sidecar in the membership of the entries.
+func (a *app) workerAddress(ctx context.Context, instance string) (string, error) {
+	responses, err := a.queryStatus(ctx)
 	if err != nil {
 		return "", err
 	}
-	for _, an := range answers {
-		for _, w := range an.value.GetWorkers() {
+	for _, r := range responses {
+		for _, w := range r.value.GetWorkers() {
 			if w.GetInstance() == instance && w.GetAddress() != "" {
 				return w.GetAddress(), nil
 			}
 		}
 	}
-	return "", errors.New("none of the entries knows worker " + strconv.Quote(instance) + "; see 'quetzallug engines'")
+	return "", errors.New("no entry knows worker " + strconv.Quote(instance) + "; see 'quetzallug engines'")
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -13,27 +13,27 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Exit codes. They are part of the tool's interface.
+// Exit codes. Scripts depend on them.
 const (
-	ExitOK          = 0
-	ExitUnexpected  = 1
-	ExitUsage       = 2
-	ExitInvalid     = 3
-	ExitConflict    = 4
-	ExitUnavailable = 5
-	ExitUnknown     = 6
+	ExitOK             = 0
+	ExitUnexpected     = 1
+	ExitUsage          = 2
+	ExitInvalid        = 3
+	ExitConflict       = 4
+	ExitUnavailable    = 5
+	ExitOutcomeUnknown = 6
 )
 
 const exitCodesHelp = `Exit codes:
   0  ok
-  1  unexpected error, or the named thing does not exist
-  2  wrong usage or settings
+  1  unexpected error, or the named service, worker, request or revision does not exist
+  2  invalid arguments or settings
   3  invalid document
   4  conflict: the service is not at the base revision; nothing was written
-  5  unavailable: the key-value service or all entries cannot be reached; nothing was changed
+  5  unavailable: the key-value service, or every entry or gateway, cannot be reached; nothing was changed
   6  outcome unknown: the change was sent and may have taken effect`
 
-// usageError is a fault of the command line or the settings.
+// usageError is an error in the command line or the settings.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
@@ -41,18 +41,18 @@
 
 func usagef(format string, args ...any) error { return &usageError{fmt.Errorf(format, args...)} }
 
-// unknownError means that a request other than a document write may have taken effect.
-type unknownError struct{ err error }
+// outcomeUnknownError means that a request other than a document write may have taken effect.
+type outcomeUnknownError struct{ err error }
 
-func (e *unknownError) Error() string { return "outcome unknown: " + e.err.Error() }
-func (e *unknownError) Unwrap() error { return e.err }
+func (e *outcomeUnknownError) Error() string { return "outcome unknown: " + e.err.Error() }
+func (e *outcomeUnknownError) Unwrap() error { return e.err }
 
 func exitCode(err error) int {
 	var (
-		usage    *usageError
-		conflict *registry.ConflictError
-		unknown  *registry.OutcomeUnknownError
-		sent     *unknownError
+		usage          *usageError
+		conflict       *registry.ConflictError
+		unknownWrite   *registry.OutcomeUnknownError
+		unknownRequest *outcomeUnknownError
 	)
 	switch {
 	case err == nil:
@@ -63,14 +63,15 @@
 		return ExitInvalid
 	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.As(err, &unknown), errors.As(err, &sent), errors.Is(err, external.ErrOutcomeUnknown):
-		return ExitUnknown
+	case errors.As(err, &unknownWrite), errors.As(err, &unknownRequest), errors.Is(err, external.ErrOutcomeUnknown):
+		return ExitOutcomeUnknown
 	case errors.Is(err, external.ErrUnavailable), unreachable(err):
 		return ExitUnavailable
 	}
 	return ExitUnexpected
 }
 
+// unreachable reports whether an error means that the peer could not be reached or did not respond in time.
 func unreachable(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return true
@@ -86,14 +87,14 @@
 	return false
 }
 
-// notSent says whether a call failed before it reached the peer.
-func notSent(err error) bool {
+// dialFailed reports whether a call failed before a connection to the peer existed, so that nothing was sent.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// message adds what to do next.
-func message(err error) string {
+// errorMessage returns the text for the operator, with advice on what to do next.
+func errorMessage(err error) string {
 	text := "quetzallug: " + err.Error()
 	switch exitCode(err) {
 	case ExitInvalid:
@@ -101,11 +102,11 @@
 	case ExitUsage:
 		return text + "\nSee quetzallug --help."
 	case ExitConflict:
-		return text + "\nFetch the service again with 'quetzallug get', repeat the edit and apply it."
+		return text + "\nFetch the document again with 'quetzallug get', redo the edit and apply it."
 	case ExitUnavailable:
-		return text + "\nNothing was changed. Try again."
-	case ExitUnknown:
-		return text + "\nThe change may have taken effect. Check with 'quetzallug get' or 'quetzallug status' before you repeat it."
+		return text + "\nNothing was changed. Try again later."
+	case ExitOutcomeUnknown:
+		return text + "\nThe change may have taken effect. Check with 'quetzallug get' or 'quetzallug status' before repeating it."
 	}
 	return text
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -30,12 +30,12 @@
 	cmd := &cobra.Command{
 		Use:   "explain SUBJECT",
 		Short: "Show the decisions about a request or an engine",
-		Long: `explain asks all given entries for their recent routing and placement decisions about a request
-ID or an engine, and lists them in order of time. Entries keep decisions in memory for a short
-time only.
+		Long: `explain queries all given entries for their recent routing and placement decisions about a request
+ID or an engine, and lists them in order of time. Entries keep decisions in memory, and only for a
+short time.
 
-With --logs it reads the logs of gateways instead, from files or with - from the standard input,
-puts the lines of one request in order of time and says what happened.`,
+With --logs it reads gateway logs instead, from files or, for -, from standard input. It lists the log
+lines of one request in order of time and summarises what happened.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(logs) > 0 {
@@ -46,12 +46,12 @@
 			return a.explain(ctx, args[0])
 		},
 	}
-	cmd.Flags().StringSliceVar(&logs, "logs", nil, "files with logs of gateways, - for the standard input")
+	cmd.Flags().StringSliceVar(&logs, "logs", nil, "gateway log files, - for standard input")
 	return cmd
 }
 
 func (a *app) explain(ctx context.Context, subject string) error {
-	answers, err := askEntries(a, ctx, func(ctx context.Context, c quetzallugv1connect.PeerServiceClient) (*quetzallugv1.ExplainResponse, error) {
+	responses, err := queryEntries(a, ctx, func(ctx context.Context, c quetzallugv1connect.PeerServiceClient) (*quetzallugv1.ExplainResponse, error) {
 		r, err := c.Explain(ctx, connect.NewRequest(&quetzallugv1.ExplainRequest{Cluster: a.cluster(), Subject: subject}))
 		if err != nil {
 			return nil, err
@@ -62,17 +62,17 @@
 		return err
 	}
 	var views []decisionView
-	for _, an := range answers {
-		for _, d := range an.value.GetDecisions() {
+	for _, r := range responses {
+		for _, d := range r.value.GetDecisions() {
 			at := fromUnixMS(d.GetAtUnixMs())
 			views = append(views, decisionView{
-				at.Format(time.RFC3339Nano), an.address, d.GetSubject(), d.GetChoice(), d.GetReason(),
+				at.Format(time.RFC3339Nano), r.address, d.GetSubject(), d.GetChoice(), d.GetReason(),
 				append([]string{}, d.GetCandidates()...), at,
 			})
 		}
 	}
 	if len(views) == 0 {
-		return fmt.Errorf("none of the entries knows a recent decision about %q", subject)
+		return fmt.Errorf("no entry has a recent decision about %q", subject)
 	}
 	slices.SortStableFunc(views, func(x, y decisionView) int { return cmp.Or(x.at.Compare(y.at), cmp.Compare(x.Entry, y.Entry)) })
 	t := &table{header: []string{"TIME", "ENTRY", "SUBJECT", "CHOICE", "REASON", "CANDIDATES"}}
--- a/internal/cli/explainlogs.go
+++ b/internal/cli/explainlogs.go
@@ -11,34 +11,35 @@
 	"strings"
 )
 
-// logLine is what explain needs of one line that a gateway logs about a request.
+// logLine holds the fields of a gateway's log line about a request that explain uses.
 type logLine struct {
-	Time       string `json:"time"`
-	Instance   string `json:"instance"`
-	Message    string `json:"msg"`
-	Request    string `json:"request"`
-	Route      string `json:"route"`
-	Service    string `json:"service"`
-	Outcome    string `json:"outcome"`
-	Result     string `json:"result"`
-	Cause      string `json:"cause"`
-	Choice     string `json:"choice"`
-	Server     string `json:"server"`
-	Reader     string `json:"reader"`
-	Config     uint64 `json:"config"`
-	Sends      int    `json:"sends"`
-	Runs       int    `json:"runs"`
-	Events     int    `json:"events"`
-	Unread     int    `json:"unread"`
-	ExpectedMS int64  `json:"expected_ms"`
-	FirstMS    int64  `json:"first_ms"`
-	ElapsedMS  int64  `json:"elapsed_ms"`
-	TookMS     int64  `json:"took_ms"`
+	Time           string `json:"time"`
+	Instance       string `json:"instance"`
+	Message        string `json:"msg"`
+	Request        string `json:"request"`
+	Route          string `json:"route"`
+	Service        string `json:"service"`
+	Outcome        string `json:"outcome"`
+	Result         string `json:"result"`
+	Cause          string `json:"cause"`
+	Choice         string `json:"choice"`
+	Server         string `json:"server"`
+	Reader         string `json:"reader"`
+	Config         uint64 `json:"config"`
+	Sends          int    `json:"sends"`
+	Runs           int    `json:"runs"`
+	Events         int    `json:"events"`
+	UncachedTokens int    `json:"unread"`
+	ExpectedMS     int64  `json:"expected_ms"`
+	FirstMS        int64  `json:"first_ms"`
+	ElapsedMS      int64  `json:"elapsed_ms"`
+	TookMS         int64  `json:"took_ms"`
 }
 
-// maxLogLine bounds one line of a log.
-const maxLogLine = 1 << 20
+// maxLogLineBytes limits the length of one log line.
+const maxLogLineBytes = 1 << 20
 
+// explainLogs prints the log lines about one request and, with table output, a summary.
 func (a *app) explainLogs(files []string, id string) error {
 	var lines []logLine
 	for _, name := range files {
@@ -49,7 +50,7 @@
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line about request %q in %s", id, strings.Join(files, ", "))
+		return fmt.Errorf("no log line about request %q in %s", id, strings.Join(files, ", "))
 	}
 	slices.SortStableFunc(lines, func(x, y logLine) int { return strings.Compare(x.Time, y.Time) })
 	t := &table{header: []string{"TIME", "INSTANCE", "LINE", "RESULT", "CAUSE", "SERVER", "READER", "CHOICE"}}
@@ -62,24 +63,24 @@
 	if a.output() != "table" {
 		return nil
 	}
-	return a.print("\n" + tell(lines) + "\n")
+	return a.print("\n" + summarise(lines) + "\n")
 }
 
-// readLog returns the lines about a request. Lines that are no JSON, or carry a prefix before it, are
-// common where several logs are collected.
+// readLog returns the lines about a request. It skips lines that are not JSON and ignores text before the JSON
+// object, because both are common in logs that a collector has merged.
 func readLog(stdin io.Reader, name, id string) ([]logLine, error) {
-	in := stdin
+	input := stdin
 	if name != "-" {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, fmt.Errorf("read log: %w", err)
 		}
 		defer f.Close()
-		in = f
+		input = f
 	}
 	var out []logLine
-	scanner := bufio.NewScanner(in)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLogLine)
+	scanner := bufio.NewScanner(input)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLogLineBytes)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		start := bytes.IndexByte(text, '{')
@@ -97,30 +98,30 @@
 	return out, nil
 }
 
-// tell says in one paragraph what happened to a request.
-func tell(lines []logLine) string {
+// summarise describes in one paragraph what happened to a request.
+func summarise(lines []logLine) string {
 	var b strings.Builder
 	for _, l := range lines {
 		if l.Message == "attempt" {
 			fmt.Fprintf(&b, "An attempt at %s of service %s ended after %d ms as %s (%s). ", orNone(l.Server), l.Service, l.TookMS, l.Result, orNone(l.Cause))
 		}
 	}
-	end := slices.IndexFunc(lines, func(l logLine) bool { return l.Message == "request" })
-	if end < 0 {
-		b.WriteString("The request has no last line: its process ended, or the line was left out.")
+	last := slices.IndexFunc(lines, func(l logLine) bool { return l.Message == "request" })
+	if last < 0 {
+		b.WriteString("There is no final line about the request: the gateway process ended, or the line was left out.")
 		return b.String()
 	}
-	l := lines[end]
+	l := lines[last]
 	switch l.Outcome {
 	case "answered":
-		fmt.Fprintf(&b, "%s answered by %s: the first part after %d ms (expected %d ms), the whole after %d ms.", l.Request, orNone(l.Server), l.FirstMS, l.ExpectedMS, l.ElapsedMS)
+		fmt.Fprintf(&b, "%s answered by %s: first part after %d ms (expected %d ms), complete after %d ms.", l.Request, orNone(l.Server), l.FirstMS, l.ExpectedMS, l.ElapsedMS)
 	case "refused":
 		fmt.Fprintf(&b, "%s refused after %d ms because of %s: it did not run. ", l.Request, l.ElapsedMS, orNone(l.Cause))
 		if l.Cause == "overload" {
-			fmt.Fprintf(&b, "Its first part was expected after %d ms, with %d prompt tokens to read at %s.", l.ExpectedMS, l.Unread, orNone(strings.Trim(l.Reader+" "+l.Server, " ")))
+			fmt.Fprintf(&b, "Its first part was expected after %d ms, with %d uncached prompt tokens at %s.", l.ExpectedMS, l.UncachedTokens, orNone(strings.Trim(l.Reader+" "+l.Server, " ")))
 		}
 	case "failed":
-		fmt.Fprintf(&b, "%s got the backend server's own failure from %s (%s) after %d ms.", l.Request, orNone(l.Server), orNone(l.Cause), l.ElapsedMS)
+		fmt.Fprintf(&b, "%s was answered with an error by backend server %s (%s) after %d ms.", l.Request, orNone(l.Server), orNone(l.Cause), l.ElapsedMS)
 	default:
 		fmt.Fprintf(&b, "%s ended as %s after %d ms and %d events (%s); it may have run on %d backend servers.", l.Request, l.Outcome, l.ElapsedMS, l.Events, orNone(l.Cause), l.Runs)
 	}
--- a/internal/cli/explainlogs_test.go
+++ b/internal/cli/explainlogs_test.go
@@ -17,24 +17,25 @@
 {"cause":"stream_broken: EOF","elapsed_ms":90,"events":3,"instance":"edge-1","msg":"request","outcome":"broken","request":"r3","runs":1,"server":"i-d","time":"2026-07-28T04:40:48.000Z"}
 `
 
-// Guards against a failed request whose cause can't be told from the logs.
+// Guards against a summary that does not show the outcome and the cause of a request. The log has lines that are
+// not JSON, a line with a prefix, and a request ID that contains another one.
 func TestExplainLogs(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(file, []byte(gatewayLog), 0o600))
 	for id, want := range map[string]string{
-		"r1": "r1 refused after 0 ms because of overload: it did not run. Its first part was expected after 189 ms, with 15173 prompt tokens to read at i-p i-d.",
-		"r2": "An attempt at i-d of service llm ended after 3 ms as not_run (server_full). r2 answered by i-e: the first part after 1070 ms (expected 59 ms), the whole after 1079 ms.",
+		"r1": "r1 refused after 0 ms because of overload: it did not run. Its first part was expected after 189 ms, with 15173 uncached prompt tokens at i-p i-d.",
+		"r2": "An attempt at i-d of service llm ended after 3 ms as not_run (server_full). r2 answered by i-e: first part after 1070 ms (expected 59 ms), complete after 1079 ms.",
 		"r3": "r3 ended as broken after 90 ms and 3 events (stream_broken: EOF); it may have run on 1 backend servers.",
 	} {
-		r := runTool(t, "", "explain", id, "--logs", file)
+		r := runCLI(t, "", "explain", id, "--logs", file)
 		require.Equal(t, ExitOK, r.code, r.err)
 		require.Contains(t, r.out, want)
 	}
-	r := runTool(t, gatewayLog, "explain", "r2", "--logs", "-", "-o", "json")
+	r := runCLI(t, gatewayLog, "explain", "r2", "--logs", "-", "-o", "json")
 	require.Equal(t, ExitOK, r.code, r.err)
 	require.NotContains(t, r.out, "r22")
 	require.Contains(t, r.out, `"took_ms": 3`)
 
-	require.Equal(t, ExitUnexpected, runTool(t, "", "explain", "r9", "--logs", file).code)
-	require.Equal(t, ExitUnexpected, runTool(t, "", "explain", "r1", "--logs", file+"x").code)
+	require.Equal(t, ExitUnexpected, runCLI(t, "", "explain", "r9", "--logs", file).code)
+	require.Equal(t, ExitUnexpected, runCLI(t, "", "explain", "r1", "--logs", file+"x").code)
 }
--- a/internal/cli/file.go
+++ b/internal/cli/file.go
@@ -13,40 +13,41 @@
 	"github.com/quetzallug/quetzallug/document/registry"
 )
 
-// revisionLine is the comment with which 'get' begins a document and from which 'apply' takes
-// the base revision. It is not part of the stored document.
-var revisionLine = regexp.MustCompile(`(?m)\A# quetzallug: service (\S+) revision (\d+)\b[^\n]*\n`)
+// revisionPattern matches the first line of the output of 'get', from which 'apply' takes the base revision.
+// The line is not part of the stored document.
+var revisionPattern = regexp.MustCompile(`(?m)\A# quetzallug: service (\S+) revision (\d+)\b[^\n]*\n`)
 
 func revisionComment(r *registry.Record) string {
 	return fmt.Sprintf("# quetzallug: service %s revision %d by %q at %s\n", r.Service, r.Revision, r.Author, r.Time.UTC().Format(time.RFC3339))
 }
 
-// file is a document read from a file.
-type file struct {
+// documentFile is a document read from a file.
+type documentFile struct {
 	name    string
 	service *document.Service
-	// body has no revision comment.
+	// body is the content without the revision comment.
 	body []byte
-	// base is the revision in the comment, if hasBase is true.
+	// base is the revision in the comment. hasBase is false if there is no comment, or if it names another
+	// service.
 	base    uint64
 	hasBase bool
 }
 
-// readFile reads and validates a document; "-" is the standard input. Warnings are printed.
-func (a *app) readFile(name string) (*file, error) {
-	body, err := a.readBody(name)
+// readDocument reads and validates a document and prints the warnings. The name "-" stands for standard input.
+func (a *app) readDocument(name string) (*documentFile, error) {
+	body, err := a.readNormalised(name)
 	if err != nil {
 		return nil, err
 	}
 	s, warnings, err := document.ParseFile(name, body)
 	for _, w := range warnings {
-		a.note("warning: %v", w)
+		a.noticef("warning: %v", w)
 	}
 	if err != nil {
 		return nil, err
 	}
-	f := &file{name: name, service: s, body: body}
-	m := revisionLine.FindSubmatch(body)
+	f := &documentFile{name: name, service: s, body: body}
+	m := revisionPattern.FindSubmatch(body)
 	if m == nil {
 		return f, nil
 	}
@@ -56,18 +57,19 @@
 	return f, nil
 }
 
-func (a *app) readBody(name string) ([]byte, error) {
-	in := a.streams.In
+// readNormalised reads a file, or standard input for "-", and converts line ends to LF.
+func (a *app) readNormalised(name string) ([]byte, error) {
+	input := a.streams.In
 	if name != "-" {
 		f, err := os.Open(name) //nolint:gosec // the operator names the file
 		if err != nil {
 			return nil, &usageError{err}
 		}
 		defer func() { _ = f.Close() }()
-		in = f
+		input = f
 	}
-	// One byte above the bound, so that the validation reports the size.
-	body, err := io.ReadAll(io.LimitReader(in, document.MaxBytes+1))
+	// Reads one byte more than allowed so that validation reports a document that is too large.
+	body, err := io.ReadAll(io.LimitReader(input, document.MaxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", name, err)
 	}
--- a/internal/cli/gateway_test.go
+++ b/internal/cli/gateway_test.go
@@ -24,8 +24,8 @@
 	return srv.Listener.Addr().String()
 }
 
-// Guards against a status that fails because one of several gateways is down, that hides that it is, or
-// that counts the requests of one gateway only.
+// Guards against a status that fails because one of several gateways is down, that does not report that gateway,
+// or that counts the requests of only one gateway.
 func TestStatusAndWorkersOfGateways(t *testing.T) {
 	first := serveStatus(t, &gateway.Status{
 		Instance: "edge-1", DataCentre: "z1", Ready: true, Config: 7, StoreAgeMS: 900, Orders: true,
@@ -41,14 +41,14 @@
 	})
 	const down = "127.0.0.1:1"
 
-	r := runTool(t, "", "status", "--gateway", first+","+second, "--gateway", down)
+	r := runCLI(t, "", "status", "--gateway", first+","+second, "--gateway", down)
 	require.Equal(t, ExitOK, r.code, r.err)
 	require.Contains(t, r.err, down)
 	require.Regexp(t, `edge-1 +z1 +true +7 +900ms +true +llm +2 +1 +3 +900 +4`, r.out)
 	require.Regexp(t, `edge-2 +z2 +false \(no configuration yet\) +0 +never +false`, r.out)
 
 	t.Setenv("QUETZALLUG_GATEWAY", first+" "+second)
-	r = runTool(t, "", "workers", "-o", "json")
+	r = runCLI(t, "", "workers", "-o", "json")
 	require.Equal(t, ExitOK, r.code, r.err)
 	var workers []map[string]any
 	require.NoError(t, json.Unmarshal([]byte(r.out), &workers))
@@ -59,18 +59,18 @@
 	require.EqualValues(t, 30, workers[0]["load_age_ms"])
 	require.EqualValues(t, 2, workers[0]["seen_by"])
 	require.EqualValues(t, 1, workers[0]["usable_by"])
-	r = runTool(t, "", "workers", "--service", "api")
+	r = runCLI(t, "", "workers", "--service", "api")
 	require.Equal(t, ExitOK, r.code, r.err)
 	require.NotContains(t, r.out, "i-1")
 
 	t.Setenv("QUETZALLUG_GATEWAY", "")
-	r = runTool(t, "", "status", "--gateway", down)
+	r = runCLI(t, "", "status", "--gateway", down)
 	require.Equal(t, ExitUnavailable, r.code, r.err)
-	other := httptest.NewServer(http.NotFoundHandler())
-	defer other.Close()
-	r = runTool(t, "", "status", "--gateway", other.Listener.Addr().String())
+	notGateway := httptest.NewServer(http.NotFoundHandler())
+	defer notGateway.Close()
+	r = runCLI(t, "", "status", "--gateway", notGateway.Listener.Addr().String())
 	require.Equal(t, ExitUnexpected, r.code, r.err)
 	require.Contains(t, r.err, "status 404")
-	r = runTool(t, "", "status", "--gateway", "not an address")
+	r = runCLI(t, "", "status", "--gateway", "not an address")
 	require.NotEqual(t, ExitOK, r.code)
 }
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -10,7 +10,7 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// recordView is a record as JSON and YAML output shows it.
+// recordView is the JSON and YAML form of a record.
 type recordView struct {
 	Service  string `json:"service"`
 	Revision uint64 `json:"revision"`
@@ -31,8 +31,8 @@
 		Use:   "get SERVICE",
 		Short: "Print the accepted document of a service",
 		Long: `get prints the accepted document. The first line is a comment with the revision, from which
-'apply' takes the base revision. With --revision it prints one of the last 20 revisions; that
-comment names the old revision, so give --base to apply such a file.`,
+'apply' takes the base revision. With --revision it prints one of the last 20 revisions. The comment
+then names that old revision, so 'apply' needs --base for such a file.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.withKV(cmd, func(ctx context.Context, kv external.KV) error {
@@ -40,12 +40,12 @@
 			})
 		},
 	}
-	cmd.Flags().Uint64Var(&revision, "revision", 0, "revision from the history instead of the accepted one")
+	cmd.Flags().Uint64Var(&revision, "revision", 0, "print this revision from the history instead of the accepted one")
 	return cmd
 }
 
 func (a *app) get(ctx context.Context, kv external.KV, service string, revision uint64) error {
-	r, err := find(ctx, kv, service, revision)
+	r, err := findRevision(ctx, kv, service, revision)
 	if err != nil {
 		return err
 	}
@@ -53,21 +53,22 @@
 		return a.emit(newRecordView(&r), nil)
 	}
 	if r.Deleted {
-		a.note("service %s is deleted since revision %d by %s", r.Service, r.Revision, r.Author)
+		a.noticef("service %s has been deleted since revision %d, by %s", r.Service, r.Revision, r.Author)
 		return nil
 	}
 	return a.print(revisionComment(&r) + string(r.Body))
 }
 
-func find(ctx context.Context, kv external.KV, service string, revision uint64) (registry.Record, error) {
+// findRevision returns a revision from the history, or the current record if revision is 0.
+func findRevision(ctx context.Context, kv external.KV, service string, revision uint64) (registry.Record, error) {
 	if revision == 0 {
 		return registry.Get(ctx, kv, service)
 	}
-	past, err := registry.History(ctx, kv, service)
+	records, err := registry.History(ctx, kv, service)
 	if err != nil {
 		return registry.Record{}, err
 	}
-	for _, r := range past {
+	for _, r := range records {
 		if r.Revision == revision {
 			return r, nil
 		}
@@ -78,7 +79,7 @@
 func (a *app) historyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "history SERVICE",
-		Short: "List the last revisions of a service, newest first",
+		Short: "List the latest revisions of a service, newest first",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return a.withKV(cmd, func(ctx context.Context, kv external.KV) error {
@@ -89,16 +90,16 @@
 }
 
 func (a *app) history(ctx context.Context, kv external.KV, service string) error {
-	past, err := registry.History(ctx, kv, service)
+	records, err := registry.History(ctx, kv, service)
 	if err != nil {
 		return err
 	}
-	if len(past) == 0 {
+	if len(records) == 0 {
 		return fmt.Errorf("%w: %q has no history", registry.ErrNotFound, service)
 	}
-	views := make([]recordView, len(past))
-	for i := range past {
-		views[i] = newRecordView(&past[i])
+	views := make([]recordView, len(records))
+	for i := range records {
+		views[i] = newRecordView(&records[i])
 	}
-	return a.emit(views, recordTable(past...))
+	return a.emit(views, recordTable(records...))
 }
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml"
 )
 
-// table is the tabular form of a command's data.
+// table holds a command's data for table output.
 type table struct {
 	header []string
 	rows   [][]string
@@ -18,7 +18,8 @@
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// emit writes data in the chosen output. JSON and YAML have the same fields.
+// emit writes data to standard output in the selected format. JSON and YAML have the same fields. The table is
+// used for table output only, where an empty cell is shown as "-".
 func (a *app) emit(data any, t *table) error {
 	switch a.output() {
 	case "json":
@@ -53,6 +54,7 @@
 	return err
 }
 
+// formatTime formats a time as RFC 3339 in UTC, and the zero time as an empty string.
 func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
@@ -60,6 +62,7 @@
 	return t.UTC().Format(time.RFC3339)
 }
 
+// fromUnixMS converts Unix milliseconds to a time. 0 means no time.
 func fromUnixMS(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -16,7 +16,7 @@
 	"github.com/quetzallug/quetzallug/internal/rpc"
 )
 
-// connectPeers returns clients that identify the tool to the cluster's processes.
+// connectPeers returns RPC clients that authenticate with the cluster's shared key.
 func (a *app) connectPeers() (*rpc.Clients, error) {
 	tlsConfig, err := rpc.TLSFiles{
 		Cert: a.v.GetString(settingTLSCert), Key: a.v.GetString(settingTLSKey), CA: a.v.GetString(settingTLSCA),
@@ -32,45 +32,45 @@
 
 func (a *app) cluster() string { return a.v.GetString(settingCluster) }
 
-// answer is what one entry or gateway answered.
-type answer[T any] struct {
+// reply is the response of one entry or gateway.
+type reply[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
-// askAll asks all addresses at once. Those that fail are noted as "what address"; it returns an error only
-// if all fail.
-func askAll[T any](a *app, what string, addresses []string, call func(address string) (T, error)) ([]answer[T], error) {
-	answers := make([]answer[T], len(addresses))
+// queryAll calls all addresses concurrently and returns the successful responses. Failures are printed, with
+// peerKind and the address. It returns an error only if every call fails.
+func queryAll[T any](a *app, peerKind string, addresses []string, call func(address string) (T, error)) ([]reply[T], error) {
+	responses := make([]reply[T], len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
 			v, err := call(address)
-			answers[i] = answer[T]{address, v, err}
+			responses[i] = reply[T]{address, v, err}
 		})
 	}
 	wg.Wait()
-	var good []answer[T]
+	var succeeded []reply[T]
 	var failures []error
-	for _, an := range answers {
-		if an.err != nil {
-			failures = append(failures, fmt.Errorf("%s %s: %w", what, an.address, an.err))
+	for _, r := range responses {
+		if r.err != nil {
+			failures = append(failures, fmt.Errorf("%s %s: %w", peerKind, r.address, r.err))
 			continue
 		}
-		good = append(good, an)
+		succeeded = append(succeeded, r)
 	}
-	if len(good) == 0 {
+	if len(succeeded) == 0 {
 		return nil, errors.Join(failures...)
 	}
 	for _, err := range failures {
-		a.note("%v", err)
+		a.noticef("%v", err)
 	}
-	return good, nil
+	return succeeded, nil
 }
 
-// askEntries calls all entries at once.
-func askEntries[T any](a *app, ctx context.Context, call func(context.Context, quetzallugv1connect.PeerServiceClient) (T, error)) ([]answer[T], error) {
+// queryEntries calls all entries concurrently.
+func queryEntries[T any](a *app, ctx context.Context, call func(context.Context, quetzallugv1connect.PeerServiceClient) (T, error)) ([]reply[T], error) {
 	addresses, err := a.entries()
 	if err != nil {
 		return nil, err
@@ -80,11 +80,11 @@
 		return nil, err
 	}
 	defer clients.Close()
-	return askAll(a, "entry", addresses, func(address string) (T, error) { return call(ctx, clients.Peer(address)) })
+	return queryAll(a, "entry", addresses, func(address string) (T, error) { return call(ctx, clients.Peer(address)) })
 }
 
-func (a *app) askStatus(ctx context.Context) ([]answer[*quetzallugv1.StatusResponse], error) {
-	return askEntries(a, ctx, func(ctx context.Context, c quetzallugv1connect.PeerServiceClient) (*quetzallugv1.StatusResponse, error) {
+func (a *app) queryStatus(ctx context.Context) ([]reply[*quetzallugv1.StatusResponse], error) {
+	return queryEntries(a, ctx, func(ctx context.Context, c quetzallugv1connect.PeerServiceClient) (*quetzallugv1.StatusResponse, error) {
 		r, err := c.Status(ctx, connect.NewRequest(&quetzallugv1.StatusRequest{Cluster: a.cluster()}))
 		if err != nil {
 			return nil, err
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,5 +1,5 @@
-// Package cli implements the operators' tool. Commands write data to the standard output and
-// everything else to the standard error.
+// Package cli implements the quetzallug command line tool for operators. Commands write data to standard output
+// and everything else to standard error.
 package cli
 
 import (
@@ -13,51 +13,52 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Streams are the standard streams of a run.
+// Streams holds the standard streams of a run.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
 }
 
-// app is one run of the tool.
+// app is the state of one run of the tool.
 type app struct {
 	streams Streams
 	v       *viper.Viper
-	// started is set once the command line has been accepted.
-	started bool
-	// openKV is replaced in tests.
+	// parsed is set once the command line and the settings are known to be valid. Errors before that are
+	// usage errors.
+	parsed bool
+	// openKV opens the key-value service. Tests may replace it.
 	openKV func(ctx context.Context, module, address string) (external.KV, func(), error)
 }
 
-// Run runs the tool and returns its exit code.
+// Run runs the tool with the given arguments and returns its exit code.
 func Run(ctx context.Context, args []string, s Streams) int {
 	return newApp(s).run(ctx, args)
 }
 
-func newApp(s Streams) *app { return &app{streams: s, v: newViper(), openKV: loadKV} }
+func newApp(s Streams) *app { return &app{streams: s, v: newViper(), openKV: openKV} }
 
 func (a *app) run(ctx context.Context, args []string) int {
-	root := a.root() //nolint:contextcheck // cobra hands the context to each command
+	root := a.rootCommand() //nolint:contextcheck // cobra passes the context to each command
 	root.SetArgs(args)
 	root.SetIn(a.streams.In)
 	root.SetOut(a.streams.Out)
 	root.SetErr(a.streams.Err)
 	err := root.ExecuteContext(ctx)
-	if err != nil && !a.started {
+	if err != nil && !a.parsed {
 		err = &usageError{err}
 	}
 	if err != nil {
-		_, _ = fmt.Fprintln(a.streams.Err, message(err))
+		_, _ = fmt.Fprintln(a.streams.Err, errorMessage(err))
 	}
 	return exitCode(err)
 }
 
-func (a *app) root() *cobra.Command {
+func (a *app) rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "quetzallug",
-		Short: "Edit service documents and watch the serving system",
-		Long: `quetzallug edits the documents of services and shows the state of the serving system.
+		Short: "Manage service documents and inspect the serving system",
+		Long: `quetzallug manages service documents and shows the state of the serving system.
 
 ` + exitCodesHelp,
 		SilenceErrors: true,
@@ -66,7 +67,7 @@
 			if err := a.checkSettings(); err != nil {
 				return err
 			}
-			a.started = true
+			a.parsed = true
 			return nil
 		},
 	}
@@ -78,6 +79,7 @@
 	return root
 }
 
-func (a *app) note(format string, args ...any) {
+// noticef prints a message for the operator to standard error.
+func (a *app) noticef(format string, args ...any) {
 	_, _ = fmt.Fprintf(a.streams.Err, format+"\n", args...)
 }
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -17,8 +17,8 @@
 	"github.com/quetzallug/quetzallug/kernel"
 )
 
-// Names of the settings. The environment variable of a setting is QUETZALLUG_ and the name in
-// capitals, with underscores.
+// Names of the settings. The environment variable of a setting is QUETZALLUG_ followed by the name in upper
+// case, with underscores for hyphens.
 const (
 	settingKVModule  = "kv-module"
 	settingKVAddress = "kv-address"
@@ -54,20 +54,21 @@
 func (a *app) addFlags(fs *pflag.FlagSet) {
 	fs.String(settingKVModule, defaultKVModule, "module of the key-value service")
 	fs.String(settingKVAddress, "", "URL of the key-value service")
-	fs.StringSlice(settingEntry, nil, "host:port of an entry; may be given several times")
-	fs.StringSlice(settingGateway, nil, "host:port of a gateway's readiness check or metrics; may be given several times")
-	fs.String(settingKey, "", "shared key of the peers; prefer QUETZALLUG_KEY, since a flag shows in the process list")
+	fs.StringSlice(settingEntry, nil, "host:port of an entry; may be repeated")
+	fs.StringSlice(settingGateway, nil, "host:port of the readiness or metrics listener of a gateway; may be repeated")
+	fs.String(settingKey, "", "shared key of the cluster's processes; prefer QUETZALLUG_KEY, because flags are visible in the process list")
 	fs.String(settingCluster, defaultCluster, "name of the cluster")
-	fs.String(settingTLSCert, "", "certificate for the entries, as PEM text or file; empty for cleartext")
-	fs.String(settingTLSKey, "", "key of the certificate, as PEM text or file")
-	fs.String(settingTLSCA, "", "authority that signs the cluster's certificates, as PEM text or file")
-	fs.String(settingAuthor, defaultAuthor(), "author of a change, as the history shows it")
-	fs.Duration(settingTimeout, defaultTimeout, "longest time of a command")
-	fs.StringP(settingOutput, "o", "table", "output: "+strings.Join(outputs, ", "))
+	fs.String(settingTLSCert, "", "client certificate for connections to the cluster, as PEM text or file; empty for cleartext")
+	fs.String(settingTLSKey, "", "private key of the client certificate, as PEM text or file")
+	fs.String(settingTLSCA, "", "CA certificate that signs the cluster's certificates, as PEM text or file")
+	fs.String(settingAuthor, defaultAuthor(), "author of a change, as shown in the history")
+	fs.Duration(settingTimeout, defaultTimeout, "time limit of a command")
+	fs.StringP(settingOutput, "o", "table", "output format: "+strings.Join(outputs, ", "))
 	// BindPFlags fails only for a nil flag.
 	_ = a.v.BindPFlags(fs)
 }
 
+// defaultAuthor returns USER@HOST, as far as they are known.
 func defaultAuthor() string {
 	name := "unknown"
 	if u, err := user.Current(); err == nil {
@@ -81,24 +82,24 @@
 
 func (a *app) checkSettings() error {
 	if o := a.output(); !slices.Contains(outputs, o) {
-		return usagef("output %q is not one of %s", o, strings.Join(outputs, ", "))
+		return usagef("output format %q is not one of %s", o, strings.Join(outputs, ", "))
 	}
 	if d := a.v.GetDuration(settingTimeout); d <= 0 {
-		return usagef("timeout %q is not a time above 0, such as 10s", a.v.GetString(settingTimeout))
+		return usagef("timeout %q is not a positive duration such as 10s", a.v.GetString(settingTimeout))
 	}
 	return nil
 }
 
 func (a *app) output() string { return a.v.GetString(settingOutput) }
 
-// entries returns the addresses of the entries. The environment variable separates them by
-// commas or spaces.
+// entries returns the addresses of the entries. They may be separated by commas or spaces, as in the
+// environment variable.
 func (a *app) entries() ([]string, error) {
 	addresses := strings.FieldsFunc(strings.Join(a.v.GetStringSlice(settingEntry), ","), func(r rune) bool {
 		return r == ',' || r == ' '
 	})
 	if len(addresses) == 0 {
-		return nil, usagef("no entry is known: set --entry or %s_ENTRY", envPrefix)
+		return nil, usagef("no address of an entry: set --entry or %s_ENTRY", envPrefix)
 	}
 	return addresses, nil
 }
@@ -107,11 +108,11 @@
 	return context.WithTimeout(ctx, a.v.GetDuration(settingTimeout))
 }
 
-// withKV runs a command with the key-value service.
+// withKV opens the key-value service and calls run with it, within the time limit of the command.
 func (a *app) withKV(cmd *cobra.Command, run func(context.Context, external.KV) error) error {
 	address := a.v.GetString(settingKVAddress)
 	if address == "" {
-		return usagef("no key-value service is known: set --%s or %s_KV_ADDRESS", settingKVAddress, envPrefix)
+		return usagef("no address of the key-value service: set --%s or %s_KV_ADDRESS", settingKVAddress, envPrefix)
 	}
 	ctx, cancel := a.withTimeout(cmd.Context())
 	defer cancel()
@@ -123,7 +124,7 @@
 	return run(ctx, kv)
 }
 
-func loadKV(ctx context.Context, module, address string) (external.KV, func(), error) {
+func openKV(ctx context.Context, module, address string) (external.KV, func(), error) {
 	kv, err := kernel.Load[external.KV](ctx, module, kernel.Settings{"address": address})
 	if err != nil {
 		return nil, nil, &usageError{fmt.Errorf("key-value service: %w", err)}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -33,15 +33,15 @@
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show the entries or gateways and what they have in force",
-		Long: `With --gateway, status asks each gateway for its readiness, the version of the configuration in
-force, the age of what it knows from the store, whether it gives orders to engines, and the load of
-each service. A gateway that does not answer is reported on the standard error; the exit code is 5
-only if none answers.
-
-Without it, status asks each entry for the documents in force. An entry that is not confirmed has not yet
-reached the key-value service since its start, directly or through a peer. An entry that does
-not answer is reported on the standard error; the exit code is 5 only if none answers.`,
+		Short: "Show the entries or gateways and their configuration in force",
+		Long: `With --gateway, status shows for each gateway its readiness, the version of the configuration in
+force, the age of its data from the store, whether it orders role changes, and the load of each
+service. A gateway that does not respond is reported on standard error; the exit code is 5 only if
+none responds.
+
+Without it, status shows the documents in force at each entry. An entry that is not confirmed has not
+reached the key-value service since it started, neither directly nor through a peer. An entry that
+does not respond is reported on standard error; the exit code is 5 only if none responds.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := a.withTimeout(cmd.Context())
@@ -49,14 +49,14 @@
 			if addresses := a.gateways(); len(addresses) > 0 {
 				return a.gatewayStatus(ctx, addresses)
 			}
-			answers, err := a.askStatus(ctx)
+			responses, err := a.queryStatus(ctx)
 			if err != nil {
 				return err
 			}
 			t := &table{header: []string{"INSTANCE", "DATA CENTRE", "CONFIRMED", "POOLS HELD", "SERVICE", "REVISION", "DELETED", "IN FORCE SINCE"}}
 			var views []statusView
-			for _, an := range answers {
-				v := newStatusView(an.address, an.value)
+			for _, r := range responses {
+				v := newStatusView(r.address, r.value)
 				views = append(views, v)
 				addStatusRows(t, &v)
 			}
@@ -79,6 +79,7 @@
 	return v
 }
 
+// addStatusRows adds one row for each document of an entry, and a single row if it has none.
 func addStatusRows(t *table, v *statusView) {
 	row := []string{v.Instance, v.DataCentre, strconv.FormatBool(v.Confirmed), strings.Join(v.PoolsHeld, ",")}
 	if len(v.Documents) == 0 {
@@ -105,7 +106,7 @@
 	FreePieces    uint32   `json:"free_pieces"`
 	TotalPieces   uint32   `json:"total_pieces"`
 	ReportAgeMS   uint32   `json:"report_age_ms"`
-	// Entry is the address of the entry that has this view.
+	// Entry is the address of the entry that reported this worker.
 	Entry string `json:"entry"`
 }
 
@@ -114,44 +115,44 @@
 	cmd := &cobra.Command{
 		Use:     "engines",
 		Aliases: []string{"workers"},
-		Short:   "Show the backend servers of all services as the entries or gateways see them",
-		Long: `With --gateway, engines shows each backend server with the requests, unread prompt tokens and
-connections that all given gateways have there, and how many of them send new requests to it.
+		Short:   "Show the backend servers of all services",
+		Long: `With --gateway, engines shows for each backend server the requests, prompt tokens not yet prefilled and
+connections of all given gateways together, and how many of the gateways send new requests to it.
 
-Without it, engines shows each worker once, by the youngest load report that any of the given entries has.
-Free and total are pieces of 1,024 tokens.`,
+Without it, engines shows each worker once, with the most recent load report that any of the given
+entries has. FREE and TOTAL count pieces of 1,024 tokens.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := a.withTimeout(cmd.Context())
 			defer cancel()
 			if addresses := a.gateways(); len(addresses) > 0 {
-				return a.gatewayWorkers(ctx, addresses, service)
+				return a.gatewayServers(ctx, addresses, service)
 			}
-			answers, err := a.askStatus(ctx)
+			responses, err := a.queryStatus(ctx)
 			if err != nil {
 				return err
 			}
-			views := mergeEngines(answers)
+			views := mergeEngines(responses)
 			views = slices.DeleteFunc(views, func(v engineView) bool { return service != "" && v.Service != service })
 			return a.emit(views, engineTable(views))
 		},
 	}
-	cmd.Flags().StringVar(&service, "service", "", "only workers of this service")
+	cmd.Flags().StringVar(&service, "service", "", "show only backend servers of this service")
 	return cmd
 }
 
-// mergeEngines keeps the view with the youngest load report of each worker.
-func mergeEngines(answers []answer[*quetzallugv1.StatusResponse]) []engineView {
-	best := map[string]engineView{}
-	for _, an := range answers {
-		for _, w := range an.value.GetWorkers() {
-			v := newEngineView(an.address, w)
-			if old, ok := best[v.Instance]; !ok || v.ReportAgeMS < old.ReportAgeMS {
-				best[v.Instance] = v
+// mergeEngines returns each worker once, with its most recent load report.
+func mergeEngines(responses []reply[*quetzallugv1.StatusResponse]) []engineView {
+	latest := map[string]engineView{}
+	for _, r := range responses {
+		for _, w := range r.value.GetWorkers() {
+			v := newEngineView(r.address, w)
+			if current, ok := latest[v.Instance]; !ok || v.ReportAgeMS < current.ReportAgeMS {
+				latest[v.Instance] = v
 			}
 		}
 	}
-	return slices.SortedFunc(maps.Values(best), func(x, y engineView) int {
+	return slices.SortedFunc(maps.Values(latest), func(x, y engineView) int {
 		return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.DataCentre, y.DataCentre), cmp.Compare(x.Instance, y.Instance))
 	})
 }
@@ -174,9 +175,9 @@
 			state += ",draining"
 		}
 		t.add(v.Instance, v.Service, v.DataCentre, state, v.Role, strings.Join(v.Models, ","),
-			decimal(v.Running), decimal(v.Queued), decimal(v.FreePieces), decimal(v.TotalPieces), decimal(v.ReportAgeMS)+"ms")
+			formatUint32(v.Running), formatUint32(v.Queued), formatUint32(v.FreePieces), formatUint32(v.TotalPieces), formatUint32(v.ReportAgeMS)+"ms")
 	}
 	return t
 }
 
-func decimal(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
+func formatUint32(n uint32) string { return strconv.FormatUint(uint64(n), 10) }
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -8,7 +8,7 @@
 	"github.com/quetzallug/quetzallug/document"
 )
 
-type validation struct {
+type validationResult struct {
 	File     string          `json:"file"`
 	Valid    bool            `json:"valid"`
 	Errors   document.Errors `json:"errors,omitempty"`
@@ -18,9 +18,9 @@
 func (a *app) validateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "validate FILE...",
-		Short: "Check documents without contacting any service",
-		Long: `validate checks documents offline and reports all faults at once. FILE - is the standard
-input. The exit code is 3 if any document is invalid. Warnings do not change it.`,
+		Short: "Validate documents without contacting any service",
+		Long: `validate checks documents offline and reports all errors at once. If FILE is -, it reads standard
+input. The exit code is 3 if any document is invalid. Warnings do not affect it.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return a.validate(args) },
 	}
@@ -28,27 +28,27 @@
 
 func (a *app) validate(files []string) error {
 	t := &table{header: []string{"FILE", "VALID", "ERRORS", "WARNINGS"}}
-	results := make([]validation, len(files))
-	var all document.Errors
+	results := make([]validationResult, len(files))
+	var faults document.Errors
 	for i, name := range files {
-		body, err := a.readBody(name)
+		body, err := a.readNormalised(name)
 		if err != nil {
 			return err
 		}
 		_, warnings, err := document.ParseFile(name, body)
-		r := validation{File: name, Valid: err == nil, Errors: document.Faults(err), Warnings: warnings}
+		r := validationResult{File: name, Valid: err == nil, Errors: document.Faults(err), Warnings: warnings}
 		for _, w := range warnings {
-			a.note("warning: %v", w)
+			a.noticef("warning: %v", w)
 		}
-		all = append(all, r.Errors...)
+		faults = append(faults, r.Errors...)
 		results[i] = r
 		t.add(name, strconv.FormatBool(r.Valid), strconv.Itoa(len(r.Errors)), strconv.Itoa(len(warnings)))
 	}
 	if err := a.emit(results, t); err != nil {
 		return err
 	}
-	if len(all) > 0 {
-		return all
+	if len(faults) > 0 {
+		return faults
 	}
 	return nil
 }
