--- a/internal/gatewaybench/day.go
+++ b/internal/gatewaybench/day.go
@@ -1,7 +1,8 @@
-// Package gatewaybench plays loads against the decisions of the gateway in simulated time, on a model of
-// engines: reading of prompts, steps of generation that get longer with the requests in them, memory for
-// prompt parts, moves of prompts, and role changes that take seconds. It does not model processes, the
-// network between callers and entries, the store, or failures of engines other than silence.
+// Package gatewaybench runs load scenarios against the gateway's routing and role decisions in simulated
+// time. Its engine model covers prefill, decode steps that take longer the more requests are running, a
+// prefix cache, prompt transfers between engines, and role changes that take seconds. It does not model
+// processes, the network between callers and entries, the store, or engine failures other than engines that
+// stop responding.
 package gatewaybench
 
 import (
@@ -13,10 +14,10 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Duration is a time span in a file, such as 150ms.
+// Duration is a time.Duration that is written in YAML as text, such as 150ms.
 type Duration time.Duration
 
-// UnmarshalYAML reads a time span.
+// UnmarshalYAML parses a duration such as 150ms.
 func (d *Duration) UnmarshalYAML(b []byte) error {
 	var text string
 	if err := yaml.Unmarshal(b, &text); err != nil {
@@ -24,13 +25,13 @@
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("%q is no time span such as 150ms", text)
+		return fmt.Errorf("%q is not a duration such as 150ms", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Deployment is the fleet and its usual load.
+// Deployment describes the engines, the entries and the normal load.
 type Deployment struct {
 	Name        string   `yaml:"name"`
 	Entries     int      `yaml:"entries"`
@@ -39,60 +40,64 @@
 	Kinds       []Kind   `yaml:"kinds"`
 }
 
-// Engines are all alike.
+// Engines describes the engines of a deployment, which are identical apart from role and data centre.
 type Engines struct {
 	Count int `yaml:"count"`
-	// Slots are the requests that one engine generates at once; Queue more may wait.
+	// Slots is the number of requests that one engine runs concurrently; up to Queue more may wait.
 	Slots int `yaml:"slots"`
 	Queue int `yaml:"queue"`
-	// Memory is for prompt parts and running requests, in tokens.
-	Memory int `yaml:"memory-tokens"`
-	// PrefillShare of the engines read prompts at the start.
+	// MemoryTokens is the capacity of an engine's prefix cache.
+	MemoryTokens int `yaml:"memory-tokens"`
+	// PrefillShare is the fraction of engines that start in the prefill role.
 	PrefillShare float64 `yaml:"prefill-share"`
-	// TokensPerMS are the prompt tokens that a prefill engine reads in a millisecond; a decode engine reads
-	// half as many.
+	// TokensPerMS is the number of prompt tokens that a prefill engine processes per millisecond; a decode
+	// engine processes half as many.
 	TokensPerMS float64 `yaml:"tokens-per-ms"`
-	// First is the fixed time before the first event.
-	First Duration `yaml:"first"`
-	// EventBase and EventPerRequest make up the time between two events of a stream.
+	// FirstEventDelay is the fixed time from the start of decoding to the first event.
+	FirstEventDelay Duration `yaml:"first"`
+	// The interval between two events of a stream is EventBase plus EventPerRequest for each running request.
 	EventBase       Duration `yaml:"event-base"`
 	EventPerRequest Duration `yaml:"event-per-request"`
-	// TokensMovedPerMS is the speed of moves between engines, halved between data centres.
-	TokensMovedPerMS float64  `yaml:"tokens-moved-per-ms"`
-	RoleChange       Duration `yaml:"role-change"`
+	// TransferTokensPerMS is the speed of prompt transfers between engines; it is halved between data centres.
+	TransferTokensPerMS float64  `yaml:"tokens-moved-per-ms"`
+	RoleChange          Duration `yaml:"role-change"`
 }
 
-// Kind is one kind of request.
+// Kind describes one class of requests. An answer is on time if its first event comes within Target and no
+// two consecutive events are further apart than MaxPause; a MaxPause of 0 sets no limit.
 type Kind struct {
 	Name      string   `yaml:"name"`
 	PerSecond float64  `yaml:"per-second"`
 	Target    Duration `yaml:"target"`
-	Pause     Duration `yaml:"pause"`
+	MaxPause  Duration `yaml:"pause"`
 	Deadline  Duration `yaml:"deadline"`
-	// Worth is that of an answer on time, Late that of a late one.
-	Worth float64 `yaml:"worth"`
-	Late  float64 `yaml:"late"`
-	// Retries is how often a refused caller returns.
+	// Worth is the value of an answer on time, LateWorth that of a late answer.
+	Worth     float64 `yaml:"worth"`
+	LateWorth float64 `yaml:"late"`
+	// Retries is the number of times a refused caller tries again.
 	Retries  int `yaml:"retries"`
 	Priority int `yaml:"priority"`
-	// Own are the mean prompt tokens of the request's own part, Events the mean events of its answer.
-	Own    float64 `yaml:"own-tokens"`
-	Events float64 `yaml:"events"`
-	// MostOwn and MostEvents bound what a single request has.
-	MostOwn    float64  `yaml:"most-own-tokens"`
-	MostEvents float64  `yaml:"most-events"`
-	Shared     []Shared `yaml:"shared"`
+	// OwnTokens is the mean length of the prompt part that no other request shares, MeanEvents the mean number
+	// of events of an answer.
+	OwnTokens  float64 `yaml:"own-tokens"`
+	MeanEvents float64 `yaml:"events"`
+	// MaxOwnTokens and MaxEvents limit a single request; 0 sets no limit.
+	MaxOwnTokens float64       `yaml:"most-own-tokens"`
+	MaxEvents    float64       `yaml:"most-events"`
+	Shared       []SharedParts `yaml:"shared"`
 }
 
-// Shared is a level of prompt parts that requests share.
-type Shared struct {
+// SharedParts is one level of prompt parts that several requests have in common. A request gets one part of
+// each level; a part of a deeper level belongs to one part of the level above.
+type SharedParts struct {
 	Tokens float64 `yaml:"tokens"`
-	// Things is the number of different parts. Skew makes the first ones more frequent.
-	Things int     `yaml:"things"`
-	Skew   float64 `yaml:"skew"`
+	// Variants is the number of different parts per parent. With a positive Skew the first ones are drawn more
+	// often.
+	Variants int     `yaml:"things"`
+	Skew     float64 `yaml:"skew"`
 }
 
-// Day is what happens to a deployment.
+// Day is a scenario: the load changes and faults that a deployment goes through.
 type Day struct {
 	Name   string   `yaml:"name"`
 	Length Duration `yaml:"length"`
@@ -100,25 +105,26 @@
 	Faults []Fault  `yaml:"faults"`
 }
 
-// Load multiplies the rate of a kind: one that the deployment names, first for its first one, others for
-// all but that, or nothing for all.
+// Load multiplies the request rate of one or more kinds for a time. Kind is the name of a kind of the
+// deployment, "first" for the deployment's first kind, "others" for all kinds but the first, or empty for all.
 type Load struct {
-	At     Duration `yaml:"at"`
-	For    Duration `yaml:"for"`
-	Kind   string   `yaml:"kind"`
-	Factor float64  `yaml:"factor"`
-	// Impatient callers return at once and four times instead of as they are told.
-	Impatient float64 `yaml:"impatient-share"`
+	At       Duration `yaml:"at"`
+	Duration Duration `yaml:"for"`
+	Kind     string   `yaml:"kind"`
+	Factor   float64  `yaml:"factor"`
+	// ImpatientShare is the fraction of callers that retry at once and up to four times, ignoring Retries and
+	// the retry delay they were given.
+	ImpatientShare float64 `yaml:"impatient-share"`
 }
 
-// Names of kinds that fit any deployment.
+// Values of Load.Kind that apply to any deployment.
 const (
 	loadFirst  = "first"
 	loadOthers = "others"
 )
 
-// concerns tells whether a load concerns the kind with an index.
-func (l *Load) concerns(kind int, name string) bool {
+// appliesTo reports whether a load applies to the kind with the given index and name.
+func (l *Load) appliesTo(kind int, name string) bool {
 	switch l.Kind {
 	case loadFirst:
 		return kind == 0
@@ -128,24 +134,25 @@
 	return l.Kind == "" || l.Kind == name
 }
 
-// Kinds of faults.
+// Values of Fault.Kind.
 const (
-	// FaultDark engines answer nothing any more, and work on nothing.
-	FaultDark = "dark"
-	// FaultSlowLinks divides the speed of moves by Factor.
+	// FaultUnresponsive makes engines lose their work and stop responding.
+	FaultUnresponsive = "dark"
+	// FaultSlowLinks divides the speed of prompt transfers by Factor.
 	FaultSlowLinks = "slow-links"
 )
 
-// Fault harms a share of the engines.
+// Fault disturbs the engines for a time. Share is the fraction of engines that stop responding; Factor is
+// the slowdown of the links between all engines.
 type Fault struct {
-	At     Duration `yaml:"at"`
-	For    Duration `yaml:"for"`
-	Kind   string   `yaml:"kind"`
-	Share  float64  `yaml:"share"`
-	Factor float64  `yaml:"factor"`
+	At       Duration `yaml:"at"`
+	Duration Duration `yaml:"for"`
+	Kind     string   `yaml:"kind"`
+	Share    float64  `yaml:"share"`
+	Factor   float64  `yaml:"factor"`
 }
 
-// ReadDeployment reads and checks a file. Unknown fields are errors.
+// ReadDeployment reads and validates a deployment file. Unknown fields are errors.
 func ReadDeployment(path string) (*Deployment, error) {
 	var d Deployment
 	if err := readFile(path, &d); err != nil {
@@ -154,7 +161,7 @@
 	return &d, d.validate()
 }
 
-// ReadDay reads and checks a file. Unknown fields are errors.
+// ReadDay reads a day file and validates it against a deployment. Unknown fields are errors.
 func ReadDay(path string, d *Deployment) (*Day, error) {
 	var day Day
 	if err := readFile(path, &day); err != nil {
@@ -185,26 +192,26 @@
 	e := &d.Engines
 	errs := []error{
 		check(d.Name != "", "name is missing"),
-		check(d.Entries > 0, "entries: found %d, allowed are 1 and more", d.Entries),
+		check(d.Entries > 0, "entries: found %d, must be at least 1", d.Entries),
 		check(len(d.DataCentres) > 0, "data-centres are missing"),
-		check(e.Count > 1, "engines.count: found %d, allowed are 2 and more", e.Count),
-		check(e.Slots > 0, "engines.slots: found %d, allowed are 1 and more", e.Slots),
-		check(e.Memory > 0, "engines.memory-tokens: found %d, allowed are 1 and more", e.Memory),
-		check(e.PrefillShare >= 0 && e.PrefillShare < 1, "engines.prefill-share: found %g, allowed are 0 to below 1", e.PrefillShare),
-		check(e.TokensPerMS > 0, "engines.tokens-per-ms: found %g, allowed are values above 0", e.TokensPerMS),
-		check(e.TokensMovedPerMS > 0, "engines.tokens-moved-per-ms: found %g, allowed are values above 0", e.TokensMovedPerMS),
+		check(e.Count > 1, "engines.count: found %d, must be at least 2", e.Count),
+		check(e.Slots > 0, "engines.slots: found %d, must be at least 1", e.Slots),
+		check(e.MemoryTokens > 0, "engines.memory-tokens: found %d, must be at least 1", e.MemoryTokens),
+		check(e.PrefillShare >= 0 && e.PrefillShare < 1, "engines.prefill-share: found %g, must be at least 0 and below 1", e.PrefillShare),
+		check(e.TokensPerMS > 0, "engines.tokens-per-ms: found %g, must be above 0", e.TokensPerMS),
+		check(e.TransferTokensPerMS > 0, "engines.tokens-moved-per-ms: found %g, must be above 0", e.TransferTokensPerMS),
 		check(e.EventBase > 0, "engines.event-base is missing"),
 		check(len(d.Kinds) > 0, "kinds are missing"),
 	}
 	for _, k := range d.Kinds {
 		errs = append(errs,
 			check(k.Name != "", "a kind has no name"),
-			check(k.PerSecond > 0, "kind %s: per-second: found %g, allowed are values above 0", k.Name, k.PerSecond),
-			check(k.Target > 0 && k.Deadline >= k.Target, "kind %s: target and deadline: found %s and %s", k.Name, time.Duration(k.Target), time.Duration(k.Deadline)),
-			check(k.Events >= 1, "kind %s: events: found %g, allowed are 1 and more", k.Name, k.Events),
+			check(k.PerSecond > 0, "kind %s: per-second: found %g, must be above 0", k.Name, k.PerSecond),
+			check(k.Target > 0 && k.Deadline >= k.Target, "kind %s: target %s and deadline %s: target must be above 0 and at most the deadline", k.Name, time.Duration(k.Target), time.Duration(k.Deadline)),
+			check(k.MeanEvents >= 1, "kind %s: events: found %g, must be at least 1", k.Name, k.MeanEvents),
 		)
 		for _, s := range k.Shared {
-			errs = append(errs, check(s.Things > 0 && s.Tokens > 0, "kind %s: shared: tokens and things must be above 0", k.Name))
+			errs = append(errs, check(s.Variants > 0 && s.Tokens > 0, "kind %s: shared: tokens and things must be above 0", k.Name))
 		}
 	}
 	return errors.Join(errs...)
@@ -217,11 +224,11 @@
 		known[k.Name] = true
 	}
 	for _, l := range d.Loads {
-		errs = append(errs, check(known[l.Kind], "load of kind %q, which deployment %s does not have", l.Kind, dep.Name),
-			check(l.Factor > 0 || l.Impatient > 0, "a load needs a factor or an impatient-share"))
+		errs = append(errs, check(known[l.Kind], "load for kind %q, which deployment %s does not have", l.Kind, dep.Name),
+			check(l.Factor > 0 || l.ImpatientShare > 0, "a load needs a factor or an impatient-share"))
 	}
 	for _, f := range d.Faults {
-		errs = append(errs, check(f.Kind == FaultDark || f.Kind == FaultSlowLinks, "fault of kind %q, allowed are %s and %s", f.Kind, FaultDark, FaultSlowLinks))
+		errs = append(errs, check(f.Kind == FaultUnresponsive || f.Kind == FaultSlowLinks, "fault of kind %q, must be %s or %s", f.Kind, FaultUnresponsive, FaultSlowLinks))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/gatewaybench/engine.go
+++ b/internal/gatewaybench/engine.go
@@ -8,234 +8,237 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// engine is the model of one engine.
+// engine models one engine.
 type engine struct {
-	w          *world
+	sim        *simulation
 	id         string
 	dataCentre string
 	role       external.Role
-	// changing engines take no new work, dark ones do nothing and answer nothing.
-	changing bool
-	dark     bool
-	// life changes when the engine goes dark, which ends all that it had.
-	life int
-
-	// reads wait to be read one after the other.
-	reads   []*work
-	reading bool
-	// running requests generate; waiting ones have found no slot.
-	running int
-	waiting []*work
-	memory  memory
-	// linkFree is when the last move from or to this engine ends.
-	linkFree time.Duration
-	// awaySince and away measure the time lost to role changes.
-	awaySince time.Duration
-	away      time.Duration
-}
-
-// work is a request at one engine.
-type work struct {
+	// An engine that is changingRole rejects new requests. One that is unresponsive makes no progress and sends
+	// no responses, not even refusals.
+	changingRole bool
+	unresponsive bool
+	// epoch is incremented when the engine becomes unresponsive, which discards events scheduled before.
+	epoch int
+
+	// prefillQueue holds prompts waiting for prefill, which runs one prompt at a time.
+	prefillQueue []*task
+	prefilling   bool
+	// running is the number of requests being decoded; decodeQueue holds those waiting for a slot.
+	running     int
+	decodeQueue []*task
+	cache       promptCache
+	// linkFreeAt is when the last scheduled transfer from or to this engine ends.
+	linkFreeAt time.Duration
+	// roleChangeStart and roleChangeTime measure the time lost to role changes.
+	roleChangeStart time.Duration
+	roleChangeTime  time.Duration
+}
+
+// task is the prefill or decode of a request on one engine.
+type task struct {
 	request *request
-	// then is called with true when the prompt is read, or when the answer ends.
-	then func(ok bool)
-	// onEvent is called with each event.
+	// done is called with true when prefill completes, or after the last event of the answer.
+	done func(ok bool)
+	// onEvent is called for each event of the answer.
 	onEvent func()
-	// cancelled work is dropped at its next event.
+	// A cancelled task is dropped at its next event.
 	cancelled bool
 }
 
-// memory keeps prompt parts, the least recently used of which yield.
-type memory struct {
+// promptCache is an LRU cache of prompt parts with a capacity in tokens.
+type promptCache struct {
 	capacity int
 	used     int
-	parts    map[uint64]*list.Element
-	order    list.List // of *kept, the most recently used first
+	entries  map[uint64]*list.Element
+	recency  list.List // of *cacheEntry, most recently used first
 }
 
-type kept struct {
+type cacheEntry struct {
 	key    uint64
 	tokens int
 }
 
-func newMemory(capacity int) memory {
-	return memory{capacity: capacity, parts: make(map[uint64]*list.Element)}
+func newPromptCache(capacity int) promptCache {
+	return promptCache{capacity: capacity, entries: make(map[uint64]*list.Element)}
 }
 
-// missing returns the tokens of a prompt that are not kept. Parts count only up to the first gap.
-func (m *memory) missing(r *request) int {
+// uncachedTokens returns the number of prompt tokens to prefill. Only an unbroken prefix of cached parts
+// counts as cached.
+func (m *promptCache) uncachedTokens(r *request) int {
 	hit := true
 	n := 0
-	for i, key := range r.keys {
-		el := m.parts[key]
+	for i, key := range r.partKeys {
+		el := m.entries[key]
 		hit = hit && el != nil
 		if hit {
-			m.order.MoveToFront(el)
+			m.recency.MoveToFront(el)
 			continue
 		}
-		n += r.call.Parts[i].Tokens
+		n += r.metadata.Parts[i].Tokens
 	}
 	return n
 }
 
-// keep stores all parts of a prompt.
-func (m *memory) keep(r *request) {
-	for i, key := range r.keys {
-		if el := m.parts[key]; el != nil {
-			m.order.MoveToFront(el)
+// store caches all parts of a prompt and evicts the least recently used parts above the capacity.
+func (m *promptCache) store(r *request) {
+	for i, key := range r.partKeys {
+		if el := m.entries[key]; el != nil {
+			m.recency.MoveToFront(el)
 			continue
 		}
-		tokens := r.call.Parts[i].Tokens
-		m.parts[key] = m.order.PushFront(&kept{key, tokens})
+		tokens := r.metadata.Parts[i].Tokens
+		m.entries[key] = m.recency.PushFront(&cacheEntry{key, tokens})
 		m.used += tokens
 	}
-	for m.used > m.capacity && m.order.Len() > 0 {
-		el := m.order.Back()
-		k := el.Value.(*kept)
-		m.order.Remove(el)
-		delete(m.parts, k.key)
+	for m.used > m.capacity && m.recency.Len() > 0 {
+		el := m.recency.Back()
+		k := el.Value.(*cacheEntry)
+		m.recency.Remove(el)
+		delete(m.entries, k.key)
 		m.used -= k.tokens
 	}
 }
 
-// full tells whether the engine takes no further request.
+// full reports whether all slots and queue places are taken.
 func (e *engine) full() bool {
-	return e.running+len(e.waiting)+len(e.reads) >= e.w.dep.Engines.Slots+e.w.dep.Engines.Queue
+	return e.running+len(e.decodeQueue)+len(e.prefillQueue) >= e.sim.dep.Engines.Slots+e.sim.dep.Engines.Queue
 }
 
-// refuses tells whether a request of the role is refused now.
-func (e *engine) refuses(reads bool) bool {
-	return e.changing || e.full() || reads != (e.role == external.RolePrefill)
+// rejects reports whether the engine refuses a new prefill or decode request now.
+func (e *engine) rejects(prefill bool) bool {
+	return e.changingRole || e.full() || prefill != (e.role == external.RolePrefill)
 }
 
-// read has the prompt read after those that wait.
-func (e *engine) read(wk *work) {
-	e.reads = append(e.reads, wk)
-	e.nextRead()
+// prefill queues a prompt for prefill.
+func (e *engine) prefill(t *task) {
+	e.prefillQueue = append(e.prefillQueue, t)
+	e.startPrefill()
 }
 
-func (e *engine) nextRead() {
-	for len(e.reads) > 0 && !e.reading && !e.dark {
-		wk := e.reads[0]
-		e.reads = e.reads[1:]
-		if wk.cancelled {
+func (e *engine) startPrefill() {
+	for len(e.prefillQueue) > 0 && !e.prefilling && !e.unresponsive {
+		t := e.prefillQueue[0]
+		e.prefillQueue = e.prefillQueue[1:]
+		if t.cancelled {
 			continue
 		}
-		tokens := e.memory.missing(wk.request)
-		e.w.stats.read += tokens
-		e.w.stats.kept += wk.request.call.PromptTokens - tokens
-		speed := e.w.dep.Engines.TokensPerMS
+		tokens := e.cache.uncachedTokens(t.request)
+		e.sim.result.prefilledTokens += tokens
+		e.sim.result.cachedTokens += t.request.metadata.PromptTokens - tokens
+		speed := e.sim.dep.Engines.TokensPerMS
 		if e.role == external.RoleDecode {
 			speed /= 2
 		}
-		e.reading = true
-		life := e.life
-		e.w.sim.After(milliseconds(float64(tokens)/speed), func() {
-			if e.life != life {
+		e.prefilling = true
+		epoch := e.epoch
+		e.sim.events.After(milliseconds(float64(tokens)/speed), func() {
+			if e.epoch != epoch {
 				return
 			}
-			e.reading = false
-			e.memory.keep(wk.request)
-			if !wk.cancelled {
-				wk.then(true)
+			e.prefilling = false
+			e.cache.store(t.request)
+			if !t.cancelled {
+				t.done(true)
 			}
-			e.nextRead()
+			e.startPrefill()
 		})
 	}
 }
 
-// generate starts the answer once there is a slot.
-func (e *engine) generate(wk *work) {
-	if e.running >= e.w.dep.Engines.Slots {
-		e.waiting = append(e.waiting, wk)
+// decode starts the answer once a slot is free.
+func (e *engine) decode(t *task) {
+	if e.running >= e.sim.dep.Engines.Slots {
+		e.decodeQueue = append(e.decodeQueue, t)
 		return
 	}
 	e.running++
-	left, life := wk.request.events, e.life
+	left, epoch := t.request.eventCount, e.epoch
 	var event func()
 	event = func() {
-		if e.life != life {
+		if e.epoch != epoch {
 			return
 		}
-		if wk.cancelled {
-			e.release()
+		if t.cancelled {
+			e.releaseSlot()
 			return
 		}
-		wk.onEvent()
+		t.onEvent()
 		if left--; left > 0 {
-			e.w.sim.After(e.eventTime(), event)
+			e.sim.events.After(e.eventTime(), event)
 			return
 		}
-		e.release()
-		wk.then(true)
+		e.releaseSlot()
+		t.done(true)
 	}
-	e.w.sim.After(time.Duration(e.w.dep.Engines.First), event)
+	e.sim.events.After(time.Duration(e.sim.dep.Engines.FirstEventDelay), event)
 }
 
-func (e *engine) release() {
+func (e *engine) releaseSlot() {
 	e.running--
-	for len(e.waiting) > 0 {
-		next := e.waiting[0]
-		e.waiting = e.waiting[1:]
+	for len(e.decodeQueue) > 0 {
+		next := e.decodeQueue[0]
+		e.decodeQueue = e.decodeQueue[1:]
 		if !next.cancelled {
-			e.generate(next)
+			e.decode(next)
 			return
 		}
 	}
 }
 
-// eventTime is the time between two events of one stream. A prompt that is read at the same time takes
-// its part of each step.
+// eventTime returns the interval between two events of one stream. Prefill running at the same time makes
+// each decode step take half as long again.
 func (e *engine) eventTime() time.Duration {
-	t := time.Duration(e.w.dep.Engines.EventBase) + time.Duration(e.running)*time.Duration(e.w.dep.Engines.EventPerRequest)
-	if e.reading {
+	t := time.Duration(e.sim.dep.Engines.EventBase) + time.Duration(e.running)*time.Duration(e.sim.dep.Engines.EventPerRequest)
+	if e.prefilling {
 		t = t * 3 / 2
 	}
 	return t
 }
 
-// fetch moves a prompt from another engine. Moves of one engine run one after another.
-func (e *engine) fetch(from *engine, wk *work, then func()) {
-	tokens := e.memory.missing(wk.request)
-	speed := e.w.dep.Engines.TokensMovedPerMS / e.w.linkFactor
-	if from.dataCentre != e.dataCentre {
+// transfer copies a prompt from another engine. An engine takes part in one transfer at a time.
+func (e *engine) transfer(source *engine, t *task, done func()) {
+	tokens := e.cache.uncachedTokens(t.request)
+	speed := e.sim.dep.Engines.TransferTokensPerMS / e.sim.linkSlowdown
+	if source.dataCentre != e.dataCentre {
 		speed /= 2
 	}
-	e.w.stats.moved += tokens
-	start := max(e.w.sim.At, e.linkFree, from.linkFree)
+	e.sim.result.transferredTokens += tokens
+	start := max(e.sim.events.At, e.linkFreeAt, source.linkFreeAt)
 	end := start + milliseconds(float64(tokens)/speed)
-	e.linkFree, from.linkFree = end, end
-	life := e.life
-	e.w.sim.After(end-e.w.sim.At, func() {
-		if e.life != life || wk.cancelled {
+	e.linkFreeAt, source.linkFreeAt = end, end
+	epoch := e.epoch
+	e.sim.events.After(end-e.sim.events.At, func() {
+		if e.epoch != epoch || t.cancelled {
 			return
 		}
-		e.memory.keep(wk.request)
-		then()
+		e.cache.store(t.request)
+		done()
 	})
 }
 
-// change gives the engine another role. It takes no new work, ends what runs, and is back after the time
-// that a change takes.
-func (e *engine) change(role external.Role) {
-	e.changing, e.awaySince = true, e.w.sim.At
-	e.w.sim.After(time.Duration(e.w.dep.Engines.RoleChange), func() {
-		e.role, e.changing = role, false
-		e.away += e.w.sim.At - e.awaySince
-		e.w.register(e)
+// changeRole switches the engine to another role. For the duration of the change it rejects new requests and
+// completes those it has.
+func (e *engine) changeRole(role external.Role) {
+	e.changingRole, e.roleChangeStart = true, e.sim.events.At
+	e.sim.events.After(time.Duration(e.sim.dep.Engines.RoleChange), func() {
+		e.role, e.changingRole = role, false
+		e.roleChangeTime += e.sim.events.At - e.roleChangeStart
+		e.sim.publishRegistration(e)
 	})
 }
 
-// fail makes the engine silent: what it had is lost, and requests to it get no answer.
+// fail makes the engine unresponsive: its tasks are lost, and requests to it get no response.
 func (e *engine) fail() {
-	e.dark = true
-	e.life++
-	e.reads, e.waiting, e.running, e.reading = nil, nil, 0, false
+	e.unresponsive = true
+	e.epoch++
+	e.prefillQueue, e.decodeQueue, e.running, e.prefilling = nil, nil, 0, false
 }
 
-func (e *engine) heal() {
-	e.dark = false
-	e.memory = newMemory(e.w.dep.Engines.Memory)
+// restore makes the engine responsive again, with an empty prompt cache.
+func (e *engine) restore() {
+	e.unresponsive = false
+	e.cache = newPromptCache(e.sim.dep.Engines.MemoryTokens)
 }
 
 func milliseconds(ms float64) time.Duration {
--- a/internal/gatewaybench/loads_test.go
+++ b/internal/gatewaybench/loads_test.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	examples = "../../mix/"
-	// sizeShare is the users' bound: the largest tenth of a kind is served at least half as often as all.
-	sizeShare = 0.5
-	// starvedShare is the users' bound: no kind is served less than a quarter as often as all requests.
-	starvedShare = 0.25
+	mixDir = "../../mix/"
+	// minLargestShare is a requirement of the users: within each kind, the largest tenth of the requests is
+	// served at least half as often as all requests of the kind.
+	minLargestShare = 0.5
+	// minKindShare is a requirement of the users: each kind is served at least a quarter as often as all requests.
+	minKindShare = 0.25
 )
 
 func load(t *testing.T, deployment, day string) (*Deployment, *Day) {
 	t.Helper()
-	d, err := ReadDeployment(examples + deployment + ".yaml")
+	d, err := ReadDeployment(mixDir + deployment + ".yaml")
 	require.NoError(t, err)
-	y, err := ReadDay(examples+"days/"+day+".yaml", d)
+	y, err := ReadDay(mixDir+"days/"+day+".yaml", d)
 	require.NoError(t, err)
 	return d, y
 }
 
-// served is the share of all requests that were served.
-func (s *Result) served() float64 {
+// servedShare returns the share of all requests that were answered.
+func (s *Result) servedShare() float64 {
 	offered, answered := 0, 0
 	for _, k := range s.kinds {
 		offered, answered = offered+k.offered, answered+k.answered
@@ -34,10 +35,10 @@
 	return float64(answered) / float64(offered)
 }
 
-// Guards against decisions under which a kind or the large requests of a kind starve, or which serve
-// callers worse than engines without any decision would: twice the usual load for 20 s, one kind at two
-// and a half times within it, a fifth of the engines dark, slow links, callers who return at once, and a
-// mix that turns.
+// Guards against decisions that starve a kind or the large requests of a kind, or that earn less worth than
+// the round-robin and least-loaded baselines. The days bring twice the normal load for 20 s, one kind at 2.5
+// times its rate within it, a fifth of the engines unresponsive, slow links, callers that retry at once, and
+// a changing mix of kinds.
 func TestHeaviestLoads(t *testing.T) {
 	for _, deployment := range []string{"board", "watering"} {
 		for _, day := range []string{"calm", "flood", "dark", "slow-links", "returning", "turning", "turn-in-flood"} {
@@ -45,12 +46,12 @@
 				t.Parallel()
 				d, y := load(t, deployment, day)
 				for seed := uint64(1); seed <= 2; seed++ {
-					r := Play(d, y, PolicyGateway, seed)
+					r := Simulate(d, y, PolicyGateway, seed)
 					for _, k := range r.Kinds() {
-						require.GreaterOrEqual(t, k.Served, starvedShare*r.served(), "%s starves", k.Kind)
-						require.GreaterOrEqual(t, k.Largest, sizeShare*k.Served, "large requests of %s starve", k.Kind)
+						require.GreaterOrEqual(t, k.Served, minKindShare*r.servedShare(), "kind %s starves", k.Kind)
+						require.GreaterOrEqual(t, k.LargestServed, minLargestShare*k.Served, "large requests of kind %s starve", k.Kind)
 					}
-					least := max(Play(d, y, PolicyLeast, seed).Worth(), Play(d, y, PolicyRobin, seed).Worth())
+					least := max(Simulate(d, y, PolicyLeastLoaded, seed).Worth(), Simulate(d, y, PolicyRoundRobin, seed).Worth())
 					require.GreaterOrEqual(t, r.Worth(), least)
 				}
 			})
@@ -58,29 +59,30 @@
 	}
 }
 
-// Guards against a flood whose effects outlast it: from five seconds after its end, requests are on time.
+// Guards against an overload whose effects outlast it: requests that arrive later than 5 s after its end must be
+// on time.
 func TestServiceIsBackAfterAFlood(t *testing.T) {
-	const back = 5 * time.Second
+	const recoveryTime = 5 * time.Second
 	d, y := load(t, "board", "flood")
-	w := newWorld(d, y, 1)
-	w.policy = newDecided(w, 1, true)
+	sim := newSimulation(d, y, 1)
+	sim.policy = newGatewayPolicy(sim, 1, true)
 	flood := y.Loads[0]
-	w.stats.from = w.lead() + time.Duration(flood.At) + time.Duration(flood.For) + back
-	w.run()
-	for _, k := range w.stats.Kinds() {
+	sim.result.since = sim.warmUp() + time.Duration(flood.At) + time.Duration(flood.Duration) + recoveryTime
+	sim.run()
+	for _, k := range sim.result.Kinds() {
 		require.Greater(t, k.Offered, 10)
 		require.GreaterOrEqual(t, k.OnTime, 0.9, k.Kind)
 	}
 }
 
-// Guards against runs that cannot be compared because they differ by themselves.
+// Guards against runs that are not reproducible: the same seed must give the same results.
 func TestRunsRepeat(t *testing.T) {
 	d, y := load(t, "board", "flood")
-	first, second := Play(d, y, PolicyGateway, 7), Play(d, y, PolicyGateway, 7)
+	first, second := Simulate(d, y, PolicyGateway, 7), Simulate(d, y, PolicyGateway, 7)
 	require.Equal(t, fmt.Sprint(first.Kinds()), fmt.Sprint(second.Kinds()))
 }
 
-// Guards against files that are taken although they make no sense, and errors that name no field.
+// Guards against invalid files that are accepted, and against errors that do not name the field.
 func TestFilesAreChecked(t *testing.T) {
 	d, _ := load(t, "board", "calm")
 	bad := *d
@@ -92,6 +94,6 @@
 	err = day.validate(d)
 	require.ErrorContains(t, err, "nobody")
 	require.ErrorContains(t, err, "flood")
-	_, err = ReadDeployment(examples + "days/calm.yaml")
-	require.Error(t, err, "a day is no deployment")
+	_, err = ReadDeployment(mixDir + "days/calm.yaml")
+	require.Error(t, err, "a day file is not a deployment file")
 }
--- a/internal/gatewaybench/policy.go
+++ b/internal/gatewaybench/policy.go
@@ -8,303 +8,312 @@
 	"github.com/quetzallug/quetzallug/gateway"
 )
 
-// policy places requests and gives roles to engines.
+// policy routes requests to engines and may assign roles to engines.
 type policy interface {
 	place(r *request)
-	// registered brings a change of an engine's registration.
-	registered(reg gateway.Registration)
+	// updateRegistration tells the policy about a changed registration of an engine.
+	updateRegistration(reg gateway.Registration)
 }
 
 // Names of the policies.
 const (
-	// PolicyGateway is this version of the gateway.
+	// PolicyGateway uses the decisions of this version of the gateway.
 	PolicyGateway = "this version"
-	// PolicyStatic are the gateway's decisions with the best fixed split of the engines in hindsight.
+	// PolicyStatic uses the gateway's routing with a fixed number of prefill engines, the best one in hindsight.
 	PolicyStatic = "best static split"
-	// PolicyLeast takes the engine with the fewest requests of all entries, PolicyRobin the next one. Both
-	// leave the roles as they are and refuse nothing that the engines take.
-	PolicyLeast = "least loaded"
-	PolicyRobin = "round robin"
+	// PolicyLeastLoaded picks the engine with the fewest requests from all entries, PolicyRoundRobin the next
+	// engine in turn. Both leave roles unchanged and refuse only what the engines refuse.
+	PolicyLeastLoaded = "least loaded"
+	PolicyRoundRobin  = "round robin"
 )
 
-// decided are the decisions of the gateway, each entry with its own view.
-type decided struct {
-	w       *world
-	rosters []*gateway.Roster
-	entries []*gateway.Decider
-	plan    *gateway.RolePlan
+// gatewayPolicy uses the gateway's decisions. Each entry has its own roster and decider, and sees only its own
+// requests.
+type gatewayPolicy struct {
+	sim      *simulation
+	rosters  []*gateway.Roster
+	deciders []*gateway.Decider
+	rolePlan *gateway.RolePlan
 }
 
-// maxSends bounds the engines that one request is offered to, as in the gateway.
+// maxSends limits the number of times one request is sent to an engine, as in the gateway.
 const maxSends = 4
 
-// newDecided returns the decisions of the gateway. Without roles, the split stays as it is.
-func newDecided(w *world, seed uint64, roles bool) *decided {
-	p := &decided{w: w}
-	for i := range w.dep.Entries {
+// newGatewayPolicy returns the gateway's policy. Without assignRoles, engines keep their initial roles.
+func newGatewayPolicy(sim *simulation, seed uint64, assignRoles bool) *gatewayPolicy {
+	p := &gatewayPolicy{sim: sim}
+	for i := range sim.dep.Entries {
 		r := gateway.NewRoster()
 		var regs []gateway.Registration
-		for _, e := range w.engines {
-			regs = append(regs, w.registration(e))
+		for _, e := range sim.engines {
+			regs = append(regs, sim.registration(e))
 		}
-		r.Replace(regs, w.sim.Now())
+		r.Replace(regs, sim.events.Now())
 		random := rand.New(rand.NewPCG(seed, uint64(i)+100)) //nolint:gosec // simulation
 		p.rosters = append(p.rosters, r)
-		p.entries = append(p.entries, gateway.NewDecider(w.dep.DataCentres[i%len(w.dep.DataCentres)], r, random.Float64))
+		p.deciders = append(p.deciders, gateway.NewDecider(sim.dep.DataCentres[i%len(sim.dep.DataCentres)], r, random.Float64))
 	}
-	if roles {
-		p.plan = gateway.NewRolePlan()
-		w.sim.Every(gateway.PlanInterval, p.giveRoles)
+	if assignRoles {
+		p.rolePlan = gateway.NewRolePlan()
+		sim.events.Every(gateway.PlanInterval, p.assignRoles)
 	}
 	return p
 }
 
-func (p *decided) registered(reg gateway.Registration) {
+func (p *gatewayPolicy) updateRegistration(reg gateway.Registration) {
 	for _, r := range p.rosters {
-		r.Apply([]gateway.Change{{ID: reg.ID, Registration: &reg}}, p.w.sim.Now())
+		r.Apply([]gateway.Change{{ID: reg.ID, Registration: &reg}}, p.sim.events.Now())
 	}
 }
 
-// giveRoles plans with the view of the first entry, which holds the orders.
-func (p *decided) giveRoles() {
-	now := p.w.sim.Now()
-	role, servers := p.plan.Next(p.rosters[0].Servers(service), now)
+// assignRoles runs the role plan on the roster of the first entry, which stands for the gateway that holds the
+// role orders.
+func (p *gatewayPolicy) assignRoles() {
+	now := p.sim.events.Now()
+	role, servers := p.rolePlan.Next(p.rosters[0].Servers(service), now)
 	for _, s := range servers {
-		e := p.w.byID[s.ID]
-		if e.changing || e.dark || e.role == role {
+		e := p.sim.byID[s.ID]
+		if e.changingRole || e.unresponsive || e.role == role {
 			continue
 		}
-		p.w.stats.orders++
-		p.plan.RecordOrder(s, role, time.Duration(p.w.dep.Engines.RoleChange), now)
-		e.change(role)
+		p.sim.result.roleChanges++
+		p.rolePlan.RecordOrder(s, role, time.Duration(p.sim.dep.Engines.RoleChange), now)
+		e.changeRole(role)
 	}
 }
 
-func (p *decided) place(r *request) {
-	q := &gateway.Query{
-		Route: p.w.routes[r.kind], Service: service, Metadata: &r.call, Deadline: p.w.sim.Now().Add(r.deadline - p.w.sim.At),
+func (p *gatewayPolicy) place(r *request) {
+	query := &gateway.Query{
+		Route: p.sim.routes[r.kind], Service: service, Metadata: &r.metadata, Deadline: p.sim.events.Now().Add(r.deadline - p.sim.events.At),
 	}
-	q.Prepare()
-	p.send(r, q, 0)
+	query.Prepare()
+	p.send(r, query, 0)
 }
 
-func (p *decided) send(r *request, q *gateway.Query, sends int) {
-	w := p.w
+// send routes the request by the entry's decision. After a refusal by an engine it decides again, up to maxSends
+// times.
+func (p *gatewayPolicy) send(r *request, query *gateway.Query, sends int) {
+	sim := p.sim
 	if r.ended {
 		return
 	}
-	c := p.entries[r.entry].Decide(q, w.sim.Now())
+	c := p.deciders[r.entry].Decide(query, sim.events.Now())
 	switch {
 	case c.Server == nil || sends >= maxSends:
-		w.refuse(r, 100*time.Millisecond)
+		sim.refuse(r, 100*time.Millisecond)
 		return
 	case c.Refuse && sends == 0:
-		w.refuse(r, c.RetryAfter)
+		sim.refuse(r, c.RetryAfter)
 		return
 	}
-	server := w.byID[c.Server.ID]
+	decodeEngine := sim.byID[c.Server.ID]
 	if c.PrefillServer == nil {
-		p.generate(r, q, c.Server, server, nil, nil, c.UncachedTokens, sends)
+		p.generate(r, query, c.Server, decodeEngine, nil, nil, c.UncachedTokens, sends)
 		return
 	}
-	reader := w.byID[c.PrefillServer.ID]
-	t := p.track(r, q, c.PrefillServer, c.UncachedTokens)
-	if reader.dark {
-		return // the caller gives up; the entry hears nothing
+	prefillEngine := sim.byID[c.PrefillServer.ID]
+	sent := p.recordSent(r, query, c.PrefillServer, c.UncachedTokens)
+	if prefillEngine.unresponsive {
+		return // no response reaches the entry, and the caller times out
 	}
-	if reader.refuses(true) {
-		w.sim.After(refusalDelay, func() {
-			t.refused()
-			q.Exclude(c.PrefillServer)
-			p.send(r, q, sends+1)
+	if prefillEngine.rejects(true) {
+		sim.events.After(refusalDelay, func() {
+			sent.recordRefusal()
+			query.Exclude(c.PrefillServer)
+			p.send(r, query, sends+1)
 		})
 		return
 	}
-	wk := &work{request: r}
-	r.work = append(r.work, wk)
-	wk.then = func(bool) {
-		t.read()
-		t.ended(reader.load())
-		q.SetPrefillServer(c.PrefillServer)
-		p.generate(r, q, c.Server, server, c.PrefillServer, reader, 0, sends)
+	prefill := &task{request: r}
+	r.tasks = append(r.tasks, prefill)
+	prefill.done = func(bool) {
+		sent.recordPrefilled()
+		sent.recordEnded(prefillEngine.reportedLoad())
+		query.SetPrefillServer(c.PrefillServer)
+		p.generate(r, query, c.Server, decodeEngine, c.PrefillServer, prefillEngine, 0, sends)
 	}
-	reader.read(wk)
+	prefillEngine.prefill(prefill)
 }
 
-// track is what an entry counts for one request at one backend server.
-type track struct {
-	d      *gateway.Decider
-	w      *world
-	q      *gateway.Query
-	s      *gateway.Server
-	unread float64
-	ahead  float64
-	sentAt time.Time
-	isRead bool
-	over   bool
-	// from has read the prompt, which moves to s.
-	from  *gateway.Server
-	delay time.Duration
+// sentRequest is an entry's accounting for one request sent to one backend server.
+type sentRequest struct {
+	decider        *gateway.Decider
+	sim            *simulation
+	query          *gateway.Query
+	server         *gateway.Server
+	uncachedTokens float64
+	// tokensAhead is the number of prompt tokens pending at the server when the request was sent.
+	tokensAhead float64
+	sentAt      time.Time
+	prefilled   bool
+	closed      bool
+	// prefillServer holds the prefilled prompt until its transfer to server is recorded; nil if there is none.
+	prefillServer *gateway.Server
+	decodeDelay   time.Duration
 }
 
-func (p *decided) track(r *request, q *gateway.Query, s *gateway.Server, unread float64) *track {
-	d, now := p.entries[r.entry], p.w.sim.Now()
-	t := &track{d: d, w: p.w, q: q, s: s, unread: unread, ahead: d.PendingTokens(s, now), sentAt: now}
-	d.RecordSent(q, s, unread, now)
-	r.onEnd = append(r.onEnd, t.drop)
-	return t
+// recordSent records a request in the entry's decider and returns its accounting, which is closed at the latest
+// when the request ends.
+func (p *gatewayPolicy) recordSent(r *request, query *gateway.Query, server *gateway.Server, uncachedTokens float64) *sentRequest {
+	d, now := p.deciders[r.entry], p.sim.events.Now()
+	sent := &sentRequest{decider: d, sim: p.sim, query: query, server: server, uncachedTokens: uncachedTokens, tokensAhead: d.PendingTokens(server, now), sentAt: now}
+	d.RecordSent(query, server, uncachedTokens, now)
+	r.onEnd = append(r.onEnd, sent.close)
+	return sent
 }
 
-// read notes that the prompt was read.
-func (t *track) read() {
-	if !t.isRead {
-		t.isRead = true
-		t.d.RecordPrefilled(t.q, t.s, t.unread, t.ahead, t.sentAt, t.w.sim.Now())
+// recordPrefilled records once that the prompt has been prefilled.
+func (s *sentRequest) recordPrefilled() {
+	if !s.prefilled {
+		s.prefilled = true
+		s.decider.RecordPrefilled(s.query, s.server, s.uncachedTokens, s.tokensAhead, s.sentAt, s.sim.events.Now())
 	}
 }
 
-// moved notes how long the move of the prompt took, once.
-func (t *track) moved() {
-	if t.from != nil {
-		now := t.w.sim.Now()
-		t.d.RecordTransfer(t.from, t.s, now.Sub(t.sentAt), t.delay, now)
-		t.from = nil
+// recordTransferred records once how long the prompt transfer took.
+func (s *sentRequest) recordTransferred() {
+	if s.prefillServer != nil {
+		now := s.sim.events.Now()
+		s.decider.RecordTransfer(s.prefillServer, s.server, now.Sub(s.sentAt), s.decodeDelay, now)
+		s.prefillServer = nil
 	}
 }
 
-// drop counts the request as ended without news from the backend server.
-func (t *track) drop() {
-	if t.over {
+// close ends the accounting. What was not recorded before counts as dropped.
+func (s *sentRequest) close() {
+	if s.closed {
 		return
 	}
-	t.over = true
-	if t.from != nil {
-		t.d.RecordAbandonedTransfer(t.from, t.s, t.sentAt, t.delay, t.w.sim.Now())
+	s.closed = true
+	if s.prefillServer != nil {
+		s.decider.RecordAbandonedTransfer(s.prefillServer, s.server, s.sentAt, s.decodeDelay, s.sim.events.Now())
 	}
-	if !t.isRead {
-		t.isRead = true
-		t.d.RecordPrefillDropped(t.s, t.unread)
+	if !s.prefilled {
+		s.prefilled = true
+		s.decider.RecordPrefillDropped(s.server, s.uncachedTokens)
 	}
-	t.d.RecordEnded(t.s)
+	s.decider.RecordEnded(s.server)
 }
 
-func (t *track) ended(load *gateway.Load) {
-	t.d.RecordActivity(t.s, load, t.w.sim.Now())
-	t.drop()
+func (s *sentRequest) recordEnded(load *gateway.Load) {
+	s.decider.RecordActivity(s.server, load, s.sim.events.Now())
+	s.close()
 }
 
-func (t *track) refused() {
-	t.from = nil
-	t.d.RecordRefusal(t.s, t.w.sim.Now())
-	t.ended(nil)
+func (s *sentRequest) recordRefusal() {
+	s.prefillServer = nil
+	s.decider.RecordRefusal(s.server, s.sim.events.Now())
+	s.recordEnded(nil)
 }
 
-// generate has an engine answer, after it has fetched the prompt from the reader or read it itself.
-func (p *decided) generate(r *request, q *gateway.Query, s *gateway.Server, e *engine, from *gateway.Server, reader *engine, unread float64, sends int) {
-	w := p.w
-	delay := p.entries[r.entry].DecodeDelay(s, w.sim.Now())
-	t := p.track(r, q, s, unread)
-	if reader != nil {
-		t.from, t.delay = from, delay
+// generate has engine e answer the request. The engine first fetches the prompt from prefillEngine, or prefills
+// it itself if prefillEngine is nil.
+func (p *gatewayPolicy) generate(r *request, query *gateway.Query, server *gateway.Server, e *engine, prefillServer *gateway.Server, prefillEngine *engine, uncachedTokens float64, sends int) {
+	sim := p.sim
+	decodeDelay := p.deciders[r.entry].DecodeDelay(server, sim.events.Now())
+	sent := p.recordSent(r, query, server, uncachedTokens)
+	if prefillEngine != nil {
+		sent.prefillServer, sent.decodeDelay = prefillServer, decodeDelay
 	}
-	q.Exclude(s)
-	if e.dark {
+	query.Exclude(server)
+	if e.unresponsive {
 		return
 	}
-	if e.refuses(false) {
-		w.sim.After(refusalDelay, func() {
-			t.refused()
-			p.send(r, q, sends+1)
+	if e.rejects(false) {
+		sim.events.After(refusalDelay, func() {
+			sent.recordRefusal()
+			p.send(r, query, sends+1)
 		})
 		return
 	}
-	wk := &work{request: r}
-	r.work = append(r.work, wk)
-	wk.onEvent = func() {
-		t.read()
-		t.moved()
-		t.d.RecordActivity(s, nil, w.sim.Now())
-		w.event(r)
+	decode := &task{request: r}
+	r.tasks = append(r.tasks, decode)
+	decode.onEvent = func() {
+		sent.recordPrefilled()
+		sent.recordTransferred()
+		sent.decider.RecordActivity(server, nil, sim.events.Now())
+		sim.recordEvent(r)
 	}
-	wk.then = func(bool) {
-		t.ended(e.load())
-		w.end(r, endAnswered)
+	decode.done = func(bool) {
+		sent.recordEnded(e.reportedLoad())
+		sim.finish(r, outcomeAnswered)
 	}
-	start := func() { e.generate(wk) }
-	if reader != nil {
-		e.fetch(reader, wk, start)
+	start := func() { e.decode(decode) }
+	if prefillEngine != nil {
+		e.transfer(prefillEngine, decode, start)
 		return
 	}
-	e.read(&work{request: r, then: func(bool) {
-		if !wk.cancelled {
+	e.prefill(&task{request: r, done: func(bool) {
+		if !decode.cancelled {
 			start()
 		}
 	}})
 }
 
-// load is what an engine tells with an answer.
-func (e *engine) load() *gateway.Load {
-	return &gateway.Load{Running: e.running, Waiting: len(e.waiting) + len(e.reads), Slots: e.w.dep.Engines.Slots}
+// reportedLoad returns the load that an engine reports with a response.
+func (e *engine) reportedLoad() *gateway.Load {
+	return &gateway.Load{Running: e.running, Waiting: len(e.decodeQueue) + len(e.prefillQueue), Slots: e.sim.dep.Engines.Slots}
 }
 
-// simple places requests by the engines' own numbers: the next one, or the one with the fewest requests.
-type simple struct {
-	w    *world
-	next [2]int
-	// least takes the one with the fewest requests.
-	least bool
+// baselinePolicy routes requests in turn or to the engine with the fewest requests, by the exact state of the
+// engines.
+type baselinePolicy struct {
+	sim      *simulation
+	rotation [2]int
+	// leastLoaded selects the engine with the fewest requests instead of the next one in turn.
+	leastLoaded bool
 }
 
-func (p *simple) registered(gateway.Registration) {}
+func (p *baselinePolicy) updateRegistration(gateway.Registration) {}
 
-// pick returns an engine of a role, or nil.
-func (p *simple) pick(role external.Role) *engine {
-	var all []*engine
-	for _, e := range p.w.engines {
+// pick returns an engine of a role, or nil if there is none.
+func (p *baselinePolicy) pick(role external.Role) *engine {
+	var candidates []*engine
+	for _, e := range p.sim.engines {
 		if e.role == role {
-			all = append(all, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	turn := &p.next[0]
+	next := &p.rotation[0]
 	if role == external.RolePrefill {
-		turn = &p.next[1]
+		next = &p.rotation[1]
 	}
-	*turn++
-	if !p.least {
-		return all[*turn%len(all)]
+	*next++
+	if !p.leastLoaded {
+		return candidates[*next%len(candidates)]
 	}
-	best := all[*turn%len(all)]
-	for _, e := range all {
-		if e.running+len(e.waiting)+len(e.reads) < best.running+len(best.waiting)+len(best.reads) {
+	best := candidates[*next%len(candidates)]
+	for _, e := range candidates {
+		if e.running+len(e.decodeQueue)+len(e.prefillQueue) < best.running+len(best.decodeQueue)+len(best.prefillQueue) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (p *simple) place(r *request) {
-	reader, server := p.pick(external.RolePrefill), p.pick(external.RoleDecode)
+func (p *baselinePolicy) place(r *request) {
+	prefillEngine, decodeEngine := p.pick(external.RolePrefill), p.pick(external.RoleDecode)
 	switch {
-	case server == nil, server.refuses(false), reader != nil && reader.refuses(true):
-		p.w.refuse(r, 100*time.Millisecond)
+	case decodeEngine == nil, decodeEngine.rejects(false), prefillEngine != nil && prefillEngine.rejects(true):
+		p.sim.refuse(r, 100*time.Millisecond)
 		return
-	case server.dark, reader != nil && reader.dark:
+	case decodeEngine.unresponsive, prefillEngine != nil && prefillEngine.unresponsive:
 		return
 	}
-	wk := &work{request: r, onEvent: func() { p.w.event(r) }, then: func(bool) { p.w.end(r, endAnswered) }}
-	r.work = append(r.work, wk)
-	if reader == nil {
-		server.read(&work{request: r, then: func(bool) {
-			if !wk.cancelled {
-				server.generate(wk)
+	decode := &task{request: r, onEvent: func() { p.sim.recordEvent(r) }, done: func(bool) { p.sim.finish(r, outcomeAnswered) }}
+	r.tasks = append(r.tasks, decode)
+	if prefillEngine == nil {
+		decodeEngine.prefill(&task{request: r, done: func(bool) {
+			if !decode.cancelled {
+				decodeEngine.decode(decode)
 			}
 		}})
 		return
 	}
-	read := &work{request: r, then: func(bool) { server.fetch(reader, wk, func() { server.generate(wk) }) }}
-	r.work = append(r.work, read)
-	reader.read(read)
+	prefill := &task{request: r, done: func(bool) { decodeEngine.transfer(prefillEngine, decode, func() { decodeEngine.decode(decode) }) }}
+	r.tasks = append(r.tasks, prefill)
+	prefillEngine.prefill(prefill)
 }
--- a/internal/gatewaybench/report.go
+++ b/internal/gatewaybench/report.go
@@ -1,4 +1,4 @@
-//nolint:misspell // names of the plot and image packages
+//nolint:misspell // American spelling in the plot and image packages
 package gatewaybench
 
 import (
@@ -21,36 +21,36 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// PolicyPrevious is the name under which the results of an earlier version are shown.
+// PolicyPrevious labels the results of an earlier version of the gateway.
 const PolicyPrevious = "previous version"
 
-// Row is what callers got from one policy on one day, as the mean of the seeds.
+// Row holds the results of one policy on one day, averaged over the seeds.
 type Row struct {
 	Deployment string `json:"deployment"`
 	Day        string `json:"day"`
 	Policy     string `json:"policy"`
-	// Splits are the numbers of prefill engines of the best static splits, by seed.
-	Splits []int      `json:"splits,omitempty"`
-	Worth  float64    `json:"worth"`
-	Kinds  []KindView `json:"kinds"`
-	// Orders are role changes, AwaySeconds the time that engines spent on them.
-	Orders      float64 `json:"orders"`
-	AwaySeconds float64 `json:"away_seconds"`
-	// Read, Kept and Moved are prompt tokens in millions.
-	Read  float64 `json:"read_millions"`
-	Kept  float64 `json:"kept_millions"`
-	Moved float64 `json:"moved_millions"`
+	// Splits holds, for each seed, the number of prefill engines in the best static split.
+	Splits []int         `json:"splits,omitempty"`
+	Worth  float64       `json:"worth"`
+	Kinds  []KindSummary `json:"kinds"`
+	// RoleChanges is the number of role changes, RoleChangeSeconds the engine time they took.
+	RoleChanges       float64 `json:"orders"`
+	RoleChangeSeconds float64 `json:"away_seconds"`
+	// Prompt tokens that were prefilled, found in a cache, and transferred between engines, in millions.
+	PrefilledMillions   float64 `json:"read_millions"`
+	CachedMillions      float64 `json:"kept_millions"`
+	TransferredMillions float64 `json:"moved_millions"`
 }
 
-// Compare plays all policies over all days with several seeds.
+// Compare simulates every policy on every day, with the seeds 1 to seeds and up to parallel runs at once.
 func Compare(ctx context.Context, dep *Deployment, days []*Day, policies []string, seeds, parallel int) ([]Row, error) {
 	for _, p := range policies {
 		if !slices.Contains(Policies, p) {
-			return nil, fmt.Errorf("policy %q: allowed are %s", p, strings.Join(Policies, ", "))
+			return nil, fmt.Errorf("policy %q: must be one of %s", p, strings.Join(Policies, ", "))
 		}
 	}
 	if seeds < 1 {
-		return nil, fmt.Errorf("seeds: found %d, allowed are 1 and more", seeds)
+		return nil, fmt.Errorf("seeds: found %d, must be at least 1", seeds)
 	}
 	results := make([][]*Result, len(days)*len(policies))
 	g, ctx := errgroup.WithContext(ctx)
@@ -61,7 +61,7 @@
 		for seed := range seeds {
 			g.Go(func() error {
 				if ctx.Err() == nil {
-					results[i][seed] = Play(dep, day, policy, uint64(seed)+1)
+					results[i][seed] = Simulate(dep, day, policy, uint64(seed)+1)
 				}
 				return ctx.Err()
 			})
@@ -72,48 +72,49 @@
 	}
 	rows := make([]Row, len(results))
 	for i, r := range results {
-		rows[i] = meanRow(dep.Name, days[i/len(policies)].Name, r)
+		rows[i] = averageRow(dep.Name, days[i/len(policies)].Name, r)
 	}
 	return rows, nil
 }
 
-func meanRow(deployment, day string, results []*Result) Row {
+func averageRow(deployment, day string, results []*Result) Row {
 	row := Row{Deployment: deployment, Day: day, Policy: results[0].Policy}
 	n := float64(len(results))
 	for _, r := range results {
 		row.Worth += r.Worth() / n
-		row.Orders += float64(r.orders) / n
-		row.AwaySeconds += r.away.Seconds() / n
-		row.Read += float64(r.read) / 1e6 / n
-		row.Kept += float64(r.kept) / 1e6 / n
-		row.Moved += float64(r.moved) / 1e6 / n
+		row.RoleChanges += float64(r.roleChanges) / n
+		row.RoleChangeSeconds += r.roleChangeTime.Seconds() / n
+		row.PrefilledMillions += float64(r.prefilledTokens) / 1e6 / n
+		row.CachedMillions += float64(r.cachedTokens) / 1e6 / n
+		row.TransferredMillions += float64(r.transferredTokens) / 1e6 / n
 		if r.Split >= 0 {
 			row.Splits = append(row.Splits, r.Split)
 		}
 		for i, k := range r.Kinds() {
 			if len(row.Kinds) <= i {
-				row.Kinds = append(row.Kinds, KindView{Kind: k.Kind})
+				row.Kinds = append(row.Kinds, KindSummary{Kind: k.Kind})
 			}
-			row.Kinds[i].add(&k, n)
+			row.Kinds[i].accumulate(&k, n)
 		}
 	}
 	return row
 }
 
-// add adds one of n views to a mean.
-func (k *KindView) add(v *KindView, n float64) {
+// accumulate adds one of n results to a mean. Offered is summed.
+func (k *KindSummary) accumulate(v *KindSummary, n float64) {
 	k.Offered += v.Offered
 	k.Served += v.Served / n
 	k.OnTime += v.OnTime / n
 	k.Refused += v.Refused / n
 	k.GaveUp += v.GaveUp / n
 	k.Worth += v.Worth / n
-	k.Largest += v.Largest / n
+	k.LargestServed += v.LargestServed / n
 	k.FirstP50 += time.Duration(float64(v.FirstP50) / n)
 	k.FirstP99 += time.Duration(float64(v.FirstP99) / n)
 }
 
-// ReadRows reads the results of an earlier version, to be shown beside those of this one.
+// ReadRows reads the results that an earlier version wrote and labels its gateway rows PolicyPrevious. It
+// drops the rows of other policies.
 func ReadRows(path string) ([]Row, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return out, nil
 }
 
-// Merge puts the previous version's rows after this version's for the same deployment and day.
+// Merge inserts each row of the previous version after this version's row for the same deployment and day.
 func Merge(rows, previous []Row) []Row {
 	var out []Row
 	for _, r := range rows {
@@ -153,7 +154,7 @@
 	return out
 }
 
-// WriteTable prints one line per policy and kind.
+// WriteTable writes a table with one line per policy and kind.
 func WriteTable(out io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "DEPLOYMENT\tDAY\tPOLICY\tWORTH %\tORDERS\tAWAY S\tREAD M\tKEPT M\tMOVED M\tKIND\tSERVED %\tON TIME %\tREFUSED %\tGAVE UP %\tLARGEST %\tFIRST P50\tFIRST P99")
@@ -162,19 +163,20 @@
 		if len(r.Splits) > 0 {
 			policy += " " + strings.ReplaceAll(strings.Trim(fmt.Sprint(r.Splits), "[]"), " ", ",")
 		}
-		head := fmt.Sprintf("%s\t%s\t%s\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f", r.Deployment, r.Day, policy, 100*r.Worth, r.Orders, r.AwaySeconds, r.Read, r.Kept, r.Moved)
+		head := fmt.Sprintf("%s\t%s\t%s\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f", r.Deployment, r.Day, policy, 100*r.Worth, r.RoleChanges, r.RoleChangeSeconds, r.PrefilledMillions, r.CachedMillions, r.TransferredMillions)
 		for i, k := range r.Kinds {
 			if i > 0 {
 				head = strings.Repeat("\t", 8)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%s\t%s\n", head, k.Kind, 100*k.Served, 100*k.OnTime, 100*k.Refused, 100*k.GaveUp, 100*k.Largest,
+			fmt.Fprintf(t, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%s\t%s\n", head, k.Kind, 100*k.Served, 100*k.OnTime, 100*k.Refused, 100*k.GaveUp, 100*k.LargestServed,
 				k.FirstP50.Round(time.Millisecond), k.FirstP99.Round(time.Millisecond))
 		}
 	}
 	return t.Flush()
 }
 
-// WriteData writes mix-NAME.json and mix-NAME.png, with the deployment's name, into a directory.
+// WriteData writes the rows to mix-NAME.json and a plot of them to mix-NAME.png in dir, where NAME is the name
+// of the deployment. It creates the directory if necessary.
 func WriteData(dir string, rows []Row) error {
 	if len(rows) == 0 {
 		return errors.New("no results")
@@ -195,10 +197,10 @@
 
 var colours = map[string]color.Color{
 	PolicyGateway: color.RGBA{R: 20, G: 110, B: 80, A: 255}, PolicyPrevious: color.RGBA{R: 130, G: 190, B: 160, A: 255},
-	PolicyStatic: color.RGBA{R: 230, G: 160, B: 60, A: 255}, PolicyLeast: color.Gray{Y: 120}, PolicyRobin: color.Gray{Y: 190},
+	PolicyStatic: color.RGBA{R: 230, G: 160, B: 60, A: 255}, PolicyLeastLoaded: color.Gray{Y: 120}, PolicyRoundRobin: color.Gray{Y: 190},
 }
 
-// plotRows draws the share of the worth that callers got, by day and policy.
+// plotRows draws the earned share of the offered worth, by day and policy.
 func plotRows(path string, rows []Row) error {
 	var days, policies []string
 	values := map[[2]string]float64{}
@@ -212,8 +214,8 @@
 		values[[2]string{r.Day, r.Policy}] = 100 * r.Worth
 	}
 	p := plot.New()
-	p.Title.Text = rows[0].Deployment + ": worth that callers got, mean of the seeds"
-	p.Y.Label.Text = "% of the requests' worth"
+	p.Title.Text = rows[0].Deployment + ": worth earned, mean over seeds"
+	p.Y.Label.Text = "% of the worth offered"
 	p.Y.Min, p.Y.Max = 0, 150 // room for the legend
 	p.Legend.Top = true
 	const width = 8
--- a/internal/gatewaybench/report_test.go
+++ b/internal/gatewaybench/report_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against results of an earlier version that are shown as those of this one or lost, and against
-// options that are taken although they mean nothing.
+// Guards against results of an earlier version that are lost or labelled as those of this version, and against
+// invalid options that are accepted.
 func TestResultsOfTwoVersions(t *testing.T) {
 	d, _ := load(t, "board", "calm")
 	day := &Day{Name: "short", Length: Duration(2 * time.Second)}
-	rows, err := Compare(t.Context(), d, []*Day{day}, []string{PolicyGateway, PolicyRobin}, 2, 2)
+	rows, err := Compare(t.Context(), d, []*Day{day}, []string{PolicyGateway, PolicyRoundRobin}, 2, 2)
 	require.NoError(t, err)
 	require.Len(t, rows, 2)
 	require.Positive(t, rows[0].Worth)
@@ -37,7 +37,7 @@
 
 	_, err = Compare(t.Context(), d, []*Day{day}, []string{"best"}, 1, 1)
 	require.ErrorContains(t, err, "best")
-	_, err = Compare(t.Context(), d, []*Day{day}, []string{PolicyRobin}, 0, 1)
+	_, err = Compare(t.Context(), d, []*Day{day}, []string{PolicyRoundRobin}, 0, 1)
 	require.ErrorContains(t, err, "seeds")
 	bad := filepath.Join(dir, "bad.json")
 	require.NoError(t, os.WriteFile(bad, []byte("[]"), 0o600))
--- a/internal/gatewaybench/result.go
+++ b/internal/gatewaybench/result.go
@@ -8,35 +8,35 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Result is what callers got in one run.
+// Result holds the outcome of one run.
 type Result struct {
 	Policy string
-	// Split is the number of prefill engines that a static split has; -1 if it is not static.
+	// Split is the number of prefill engines under PolicyStatic, and -1 under other policies.
 	Split int
 	kinds []kindResult
-	// orders are role changes, away the time that engines spent on them.
-	orders int
-	away   time.Duration
-	// read, kept and moved are prompt tokens.
-	read, kept, moved int
-	// byKind names the kinds.
-	byKind []string
-	// from leaves out requests that arrived before it.
-	from time.Duration
+	// roleChanges is the number of role changes, roleChangeTime the total engine time they took.
+	roleChanges    int
+	roleChangeTime time.Duration
+	// Prompt tokens that were prefilled, found in a cache, and transferred between engines.
+	prefilledTokens, cachedTokens, transferredTokens int
+	// kindNames has the names of kinds, in the same order.
+	kindNames []string
+	// Requests that arrived before since are not counted.
+	since time.Duration
 }
 
-// kindResult is what callers of one kind got.
+// kindResult holds the outcome of the requests of one kind.
 type kindResult struct {
 	offered, answered, onTime, refused, gaveUp int
-	// refusals count all, returns included.
-	refusals     int
-	owed, earned float64
-	firsts       []time.Duration
-	// sizes and served are those of each request, for the largest ones.
-	sizes []sized
+	// refusals counts every refusal, retries included; refused counts requests that ended refused.
+	refusals                  int
+	worthOffered, worthEarned float64
+	firstEventTimes           []time.Duration
+	// requests has an element for each request, from which largestServed picks the largest.
+	requests []sizedRequest
 }
 
-type sized struct {
+type sizedRequest struct {
 	value  float64
 	served bool
 }
@@ -44,53 +44,54 @@
 func newResult(dep *Deployment) *Result {
 	r := &Result{Split: -1, kinds: make([]kindResult, len(dep.Kinds))}
 	for _, k := range dep.Kinds {
-		r.byKind = append(r.byKind, k.Name)
+		r.kindNames = append(r.kindNames, k.Name)
 	}
 	return r
 }
 
-func (s *Result) offered(r *request) {
-	if r.arrived >= s.from {
+func (s *Result) recordArrival(r *request) {
+	if r.arrivedAt >= s.since {
 		s.kinds[r.kind].offered++
 	}
 }
 
-func (s *Result) ended(r *request, how end, dep *Deployment) {
-	if r.arrived < s.from {
+func (s *Result) recordOutcome(r *request, o outcome, dep *Deployment) {
+	if r.arrivedAt < s.since {
 		return
 	}
 	k, kind := &s.kinds[r.kind], &dep.Kinds[r.kind]
-	k.owed += kind.Worth * r.value
-	k.sizes = append(k.sizes, sized{r.value, how == endAnswered})
-	switch how {
-	case endRefused:
+	k.worthOffered += kind.Worth * r.value
+	k.requests = append(k.requests, sizedRequest{r.value, o == outcomeAnswered})
+	switch o {
+	case outcomeRefused:
 		k.refused++
-	case endGaveUp:
+	case outcomeGaveUp:
 		k.gaveUp++
-	case endAnswered:
+	case outcomeAnswered:
 		k.answered++
-		first := r.firstAt - r.arrived
-		k.firsts = append(k.firsts, first)
-		if first <= time.Duration(kind.Target) && (kind.Pause == 0 || r.longPause <= time.Duration(kind.Pause)) {
+		first := r.firstEventAt - r.arrivedAt
+		k.firstEventTimes = append(k.firstEventTimes, first)
+		if first <= time.Duration(kind.Target) && (kind.MaxPause == 0 || r.longestPause <= time.Duration(kind.MaxPause)) {
 			k.onTime++
-			k.earned += kind.Worth * r.value
+			k.worthEarned += kind.Worth * r.value
 		} else {
-			k.earned += kind.Late * r.value
+			k.worthEarned += kind.LateWorth * r.value
 		}
 	}
 }
 
-// Worth is the share of the requests' worth that callers got.
+// Worth returns the earned share of the worth of all requests.
 func (s *Result) Worth() float64 {
 	var owed, earned float64
 	for _, k := range s.kinds {
-		owed, earned = owed+k.owed, earned+k.earned
+		owed, earned = owed+k.worthOffered, earned+k.worthEarned
 	}
 	return earned / max(owed, 1e-9)
 }
 
-// KindView is what callers of one kind got, as shares of the requests.
-type KindView struct {
+// KindSummary summarises the outcome of the requests of one kind. Served, OnTime, Refused and GaveUp are shares
+// of the offered requests.
+type KindSummary struct {
 	Kind     string        `json:"kind"`
 	Offered  int           `json:"offered"`
 	Served   float64       `json:"served"`
@@ -100,30 +101,30 @@
 	Worth    float64       `json:"worth"`
 	FirstP50 time.Duration `json:"first_p50_ns"`
 	FirstP99 time.Duration `json:"first_p99_ns"`
-	// Largest is the served share of the largest tenth.
-	Largest float64 `json:"largest_served"`
+	// LargestServed is the served share of the tenth of requests with the highest value.
+	LargestServed float64 `json:"largest_served"`
 }
 
-// Kinds returns what callers of each kind got.
-func (s *Result) Kinds() []KindView {
-	var out []KindView
+// Kinds returns a summary for each kind.
+func (s *Result) Kinds() []KindSummary {
+	var out []KindSummary
 	for i := range s.kinds {
 		k := &s.kinds[i]
 		n := float64(max(1, k.offered))
-		slices.Sort(k.firsts)
-		out = append(out, KindView{
-			Kind: s.byKind[i], Offered: k.offered, Served: float64(k.answered) / n, OnTime: float64(k.onTime) / n,
-			Refused: float64(k.refused) / n, GaveUp: float64(k.gaveUp) / n, Worth: k.earned / max(k.owed, 1e-9),
-			FirstP50: quantile(k.firsts, 0.5), FirstP99: quantile(k.firsts, 0.99), Largest: k.largest(),
+		slices.Sort(k.firstEventTimes)
+		out = append(out, KindSummary{
+			Kind: s.kindNames[i], Offered: k.offered, Served: float64(k.answered) / n, OnTime: float64(k.onTime) / n,
+			Refused: float64(k.refused) / n, GaveUp: float64(k.gaveUp) / n, Worth: k.worthEarned / max(k.worthOffered, 1e-9),
+			FirstP50: quantile(k.firstEventTimes, 0.5), FirstP99: quantile(k.firstEventTimes, 0.99), LargestServed: k.largestServed(),
 		})
 	}
 	return out
 }
 
-// largest is the served share of the largest tenth.
-func (k *kindResult) largest() float64 {
-	all := slices.Clone(k.sizes)
-	slices.SortFunc(all, func(a, b sized) int { return cmp.Compare(b.value, a.value) })
+// largestServed returns the served share of the tenth of requests with the highest value.
+func (k *kindResult) largestServed() float64 {
+	all := slices.Clone(k.requests)
+	slices.SortFunc(all, func(a, b sizedRequest) int { return cmp.Compare(b.value, a.value) })
 	n, served := len(all)/10, 0
 	for _, s := range all[:n] {
 		if s.served {
@@ -140,42 +141,42 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// Policies are the names of all policies, in the order of the table.
-var Policies = []string{PolicyGateway, PolicyStatic, PolicyLeast, PolicyRobin}
+// Policies lists all policies in table order.
+var Policies = []string{PolicyGateway, PolicyStatic, PolicyLeastLoaded, PolicyRoundRobin}
 
-// Play runs one policy over a day.
-func Play(dep *Deployment, day *Day, name string, seed uint64) *Result {
+// Simulate runs one policy on a day.
+func Simulate(dep *Deployment, day *Day, name string, seed uint64) *Result {
 	if name == PolicyStatic {
-		return playStatic(dep, day, seed)
+		return simulateStaticSplits(dep, day, seed)
 	}
-	w := newWorld(dep, day, seed)
+	sim := newSimulation(dep, day, seed)
 	switch name {
-	case PolicyLeast, PolicyRobin:
-		w.policy = &simple{w: w, least: name == PolicyLeast}
+	case PolicyLeastLoaded, PolicyRoundRobin:
+		sim.policy = &baselinePolicy{sim: sim, leastLoaded: name == PolicyLeastLoaded}
 	default:
-		w.policy = newDecided(w, seed, true)
+		sim.policy = newGatewayPolicy(sim, seed, true)
 	}
-	w.run()
-	w.stats.Policy = name
-	return w.stats
+	sim.run()
+	sim.result.Policy = name
+	return sim.result
 }
 
-// playStatic plays all splits and returns the best.
-func playStatic(dep *Deployment, day *Day, seed uint64) *Result {
+// simulateStaticSplits tries every number of prefill engines and returns the result with the highest worth.
+func simulateStaticSplits(dep *Deployment, day *Day, seed uint64) *Result {
 	var best *Result
 	for prefill := range dep.Engines.Count {
-		w := newWorld(dep, day, seed)
-		for i, e := range w.engines {
+		sim := newSimulation(dep, day, seed)
+		for i, e := range sim.engines {
 			e.role = external.RoleDecode
 			if i < prefill {
 				e.role = external.RolePrefill
 			}
 		}
-		w.policy = newDecided(w, seed, false)
-		w.run()
-		w.stats.Policy, w.stats.Split = PolicyStatic, prefill
-		if best == nil || w.stats.Worth() > best.Worth() {
-			best = w.stats
+		sim.policy = newGatewayPolicy(sim, seed, false)
+		sim.run()
+		sim.result.Policy, sim.result.Split = PolicyStatic, prefill
+		if best == nil || sim.result.Worth() > best.Worth() {
+			best = sim.result
 		}
 	}
 	return best
--- a/internal/gatewaybench/world.go
+++ b/internal/gatewaybench/world.go
@@ -13,236 +13,239 @@
 	"github.com/quetzallug/quetzallug/route"
 )
 
-// service is the name of the one service of engines.
+// service is the name of the only service, to which all engines belong.
 const service = "engines"
 
 const (
-	// followTime is how long an entry takes to learn of a change of an engine's registration: half of the
-	// wait of a watch and of the pause after it.
-	followTime = time.Second
-	// callerPatience is the least time that a caller waits for the first event.
-	callerPatience = 2 * time.Second
-	// impatientReturns is how often impatient callers return, at once.
-	impatientReturns = 4
-	// refusalDelay is the way of a refusal from an engine back to the entry.
+	// registrationDelay is the time an entry takes to learn of a changed registration: half of the wait of a
+	// watch and half of the pause after it.
+	registrationDelay = time.Second
+	// minFirstEventWait is the shortest time that a caller waits for the first event.
+	minFirstEventWait = 2 * time.Second
+	// impatientRetries is the number of immediate retries of an impatient caller.
+	impatientRetries = 4
+	// refusalDelay is the time a refusal takes from an engine back to the entry.
 	refusalDelay = time.Millisecond
-	// tailSlack is added to the day, so that the last requests can end.
-	tailSlack = 16 * time.Second
+	// cooldown is simulated after the end of the day so that the last requests can complete.
+	cooldown = 16 * time.Second
 )
 
-// world is one run.
-type world struct {
-	sim        eventsim.Sim
-	dep        *Deployment
-	day        *Day
-	policy     policy
-	random     *rand.Rand
-	engines    []*engine
-	byID       map[string]*engine
-	linkFactor float64
-	routes     []*route.Route
-	popular    map[int][]float64
-	ids        uint64
-	stats      *Result
+// simulation is the state of one run.
+type simulation struct {
+	events            eventsim.Sim
+	dep               *Deployment
+	day               *Day
+	policy            policy
+	random            *rand.Rand
+	engines           []*engine
+	byID              map[string]*engine
+	linkSlowdown      float64
+	routes            []*route.Route
+	cumulativeWeights map[int][]float64
+	lastRequestID     uint64
+	result            *Result
 }
 
-// request is one request of a caller, with its returns.
+// request is one request of a caller, retries included.
 type request struct {
-	kind     int
-	call     gateway.RequestMetadata
-	keys     []uint64
-	events   int
-	value    float64
-	arrived  time.Duration
-	deadline time.Duration
-	returns  int
-	entry    int
-	// impatient callers do not wait as they are told.
+	kind        int
+	metadata    gateway.RequestMetadata
+	partKeys    []uint64
+	eventCount  int
+	value       float64
+	arrivedAt   time.Duration
+	deadline    time.Duration
+	retriesLeft int
+	entry       int
+	// An impatient caller ignores the retry delay it is given.
 	impatient bool
 	refusals  int
 
-	firstAt   time.Duration
-	lastAt    time.Duration
-	longPause time.Duration
-	ended     bool
-	work      []*work
-	// onEnd lets the entry count what it had sent as ended.
+	firstEventAt time.Duration
+	lastEventAt  time.Duration
+	longestPause time.Duration
+	ended        bool
+	tasks        []*task
+	// onEnd callbacks close the accounting of the entries that sent the request.
 	onEnd []func()
 }
 
-func newWorld(dep *Deployment, day *Day, seed uint64) *world {
-	w := &world{
-		dep: dep, day: day, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*engine), linkFactor: 1, //nolint:gosec // simulation
-		popular: make(map[int][]float64), stats: newResult(dep),
+func newSimulation(dep *Deployment, day *Day, seed uint64) *simulation {
+	sim := &simulation{
+		dep: dep, day: day, random: rand.New(rand.NewPCG(seed, 1)), byID: make(map[string]*engine), linkSlowdown: 1, //nolint:gosec // simulation
+		cumulativeWeights: make(map[int][]float64), result: newResult(dep),
 	}
 	prefill := int(math.Round(dep.Engines.PrefillShare * float64(dep.Engines.Count)))
 	for i := range dep.Engines.Count {
 		e := &engine{
-			w: w, id: fmt.Sprintf("i-%03d", i), dataCentre: dep.DataCentres[i%len(dep.DataCentres)], role: external.RoleDecode,
-			memory: newMemory(dep.Engines.Memory),
+			sim: sim, id: fmt.Sprintf("i-%03d", i), dataCentre: dep.DataCentres[i%len(dep.DataCentres)], role: external.RoleDecode,
+			cache: newPromptCache(dep.Engines.MemoryTokens),
 		}
 		if i < prefill {
 			e.role = external.RolePrefill
 		}
-		w.engines = append(w.engines, e)
-		w.byID[e.id] = e
+		sim.engines = append(sim.engines, e)
+		sim.byID[e.id] = e
 	}
 	for i := range dep.Kinds {
 		k := &dep.Kinds[i]
-		w.routes = append(w.routes, &route.Route{
+		sim.routes = append(sim.routes, &route.Route{
 			Name: k.Name, Stream: true, Prompt: true, Timeout: time.Duration(k.Deadline), Target: time.Duration(k.Target),
 			Priority: k.Priority, MaxAttempts: 1, Shares: []route.Share{{Service: service, Weight: 1}},
 		})
 	}
-	return w
+	return sim
 }
 
-func (w *world) registration(e *engine) gateway.Registration {
-	return gateway.Registration{ID: e.id, Service: service, Address: e.id, DataCentre: e.dataCentre, Slots: w.dep.Engines.Slots, Role: e.role, Born: 1}
+func (sim *simulation) registration(e *engine) gateway.Registration {
+	return gateway.Registration{ID: e.id, Service: service, Address: e.id, DataCentre: e.dataCentre, Slots: sim.dep.Engines.Slots, Role: e.role, Born: 1}
 }
 
-// register tells the entries about an engine's role, with the delay that they learn it with.
-func (w *world) register(e *engine) {
-	reg := w.registration(e)
-	w.sim.After(followTime, func() { w.policy.registered(reg) })
+// publishRegistration makes the current registration of an engine known to the entries after registrationDelay.
+func (sim *simulation) publishRegistration(e *engine) {
+	reg := sim.registration(e)
+	sim.events.After(registrationDelay, func() { sim.policy.updateRegistration(reg) })
 }
 
-func (w *world) run() {
-	for i := range w.dep.Kinds {
-		w.nextArrival(i)
+func (sim *simulation) run() {
+	for i := range sim.dep.Kinds {
+		sim.scheduleArrival(i)
 	}
-	for _, f := range w.day.Faults {
-		w.sim.After(time.Duration(f.At)+w.lead(), func() { w.fault(&f) })
+	for _, f := range sim.day.Faults {
+		sim.events.After(time.Duration(f.At)+sim.warmUp(), func() { sim.injectFault(&f) })
 	}
-	w.sim.RunUntil(w.lead() + time.Duration(w.day.Length) + tailSlack)
-	for _, e := range w.engines {
-		w.stats.away += e.away
+	sim.events.RunUntil(sim.warmUp() + time.Duration(sim.day.Length) + cooldown)
+	for _, e := range sim.engines {
+		sim.result.roleChangeTime += e.roleChangeTime
 	}
 }
 
-// lead is the time before the first requests, in which roles are given.
-func (w *world) lead() time.Duration { return 10 * time.Second }
+// warmUp returns the time before the first request, in which the policy can assign roles.
+func (sim *simulation) warmUp() time.Duration { return 10 * time.Second }
 
-func (w *world) fault(f *Fault) {
+func (sim *simulation) injectFault(f *Fault) {
 	switch f.Kind {
 	case FaultSlowLinks:
-		w.linkFactor = max(1, f.Factor)
-		w.sim.After(time.Duration(f.For), func() { w.linkFactor = 1 })
-	case FaultDark:
-		n := int(math.Round(f.Share * float64(len(w.engines))))
-		for _, i := range w.random.Perm(len(w.engines))[:n] {
-			e := w.engines[i]
+		sim.linkSlowdown = max(1, f.Factor)
+		sim.events.After(time.Duration(f.Duration), func() { sim.linkSlowdown = 1 })
+	case FaultUnresponsive:
+		n := int(math.Round(f.Share * float64(len(sim.engines))))
+		for _, i := range sim.random.Perm(len(sim.engines))[:n] {
+			e := sim.engines[i]
 			e.fail()
-			w.sim.After(time.Duration(f.For), e.heal)
+			sim.events.After(time.Duration(f.Duration), e.restore)
 		}
 	}
 }
 
-// rate is the requests of a kind per second now, and the share of impatient callers.
-func (w *world) rate(kind int) (perSecond, impatient float64) {
-	k := &w.dep.Kinds[kind]
+// rate returns the current request rate of a kind and the current share of impatient callers.
+func (sim *simulation) rate(kind int) (perSecond, impatient float64) {
+	k := &sim.dep.Kinds[kind]
 	perSecond = k.PerSecond
-	at := w.sim.At - w.lead()
-	for _, l := range w.day.Loads {
-		if !l.concerns(kind, k.Name) || at < time.Duration(l.At) || at >= time.Duration(l.At)+time.Duration(l.For) {
+	at := sim.events.At - sim.warmUp()
+	for _, l := range sim.day.Loads {
+		if !l.appliesTo(kind, k.Name) || at < time.Duration(l.At) || at >= time.Duration(l.At)+time.Duration(l.Duration) {
 			continue
 		}
 		if l.Factor > 0 {
 			perSecond *= l.Factor
 		}
-		impatient = max(impatient, l.Impatient)
+		impatient = max(impatient, l.ImpatientShare)
 	}
 	return perSecond, impatient
 }
 
-func (w *world) nextArrival(kind int) {
-	perSecond, _ := w.rate(kind)
-	gap := time.Duration(w.random.ExpFloat64() / perSecond * float64(time.Second))
-	if w.sim.At < w.lead() {
-		gap += w.lead() - w.sim.At
+func (sim *simulation) scheduleArrival(kind int) {
+	perSecond, _ := sim.rate(kind)
+	gap := time.Duration(sim.random.ExpFloat64() / perSecond * float64(time.Second))
+	if sim.events.At < sim.warmUp() {
+		gap += sim.warmUp() - sim.events.At
 	}
-	w.sim.After(gap, func() {
-		if w.sim.At >= w.lead()+time.Duration(w.day.Length) {
+	sim.events.After(gap, func() {
+		if sim.events.At >= sim.warmUp()+time.Duration(sim.day.Length) {
 			return
 		}
-		_, impatient := w.rate(kind)
-		r := w.draw(kind)
-		r.impatient = w.random.Float64() < impatient
-		w.stats.offered(r)
-		w.sim.After(r.deadline-w.sim.At, func() { w.end(r, endGaveUp) })
-		w.arrive(r)
-		w.nextArrival(kind)
+		_, impatient := sim.rate(kind)
+		r := sim.drawRequest(kind)
+		r.impatient = sim.random.Float64() < impatient
+		sim.result.recordArrival(r)
+		sim.events.After(r.deadline-sim.events.At, func() { sim.finish(r, outcomeGaveUp) })
+		sim.submit(r)
+		sim.scheduleArrival(kind)
 	})
 }
 
-// lognormal draws around a mean; spread is that of the logarithm.
-func (w *world) lognormal(mean, spread float64) float64 {
-	return mean * math.Exp(spread*w.random.NormFloat64()-spread*spread/2)
+// lognormal draws from a lognormal distribution with the given mean; spread is the standard deviation of the
+// logarithm.
+func (sim *simulation) lognormal(mean, spread float64) float64 {
+	return mean * math.Exp(spread*sim.random.NormFloat64()-spread*spread/2)
 }
 
-// bounded applies a bound, 0 for none.
-func bounded(v, most float64) float64 {
-	if most > 0 {
-		return min(v, most)
+// bounded caps v at limit; a limit of 0 means no cap.
+func bounded(v, limit float64) float64 {
+	if limit > 0 {
+		return min(v, limit)
 	}
 	return v
 }
 
 const (
-	// sizeSpread and sharedSpread are the spreads of own and of shared parts of prompts.
+	// Spreads of the lognormal distributions: sizeSpread of a request's own prompt part and number of events,
+	// sharedSpread of shared prompt parts.
 	sizeSpread   = 0.9
 	sharedSpread = 0.5
 )
 
-func (w *world) draw(kind int) *request {
-	k := &w.dep.Kinds[kind]
-	w.ids++
+func (sim *simulation) drawRequest(kind int) *request {
+	k := &sim.dep.Kinds[kind]
+	sim.lastRequestID++
 	r := &request{
-		kind: kind, arrived: w.sim.At, deadline: w.sim.At + time.Duration(k.Deadline), returns: k.Retries,
-		entry: w.random.IntN(w.dep.Entries), events: max(1, int(math.Round(bounded(w.lognormal(k.Events, sizeSpread), k.MostEvents)))),
+		kind: kind, arrivedAt: sim.events.At, deadline: sim.events.At + time.Duration(k.Deadline), retriesLeft: k.Retries,
+		entry: sim.random.IntN(sim.dep.Entries), eventCount: max(1, int(math.Round(bounded(sim.lognormal(k.MeanEvents, sizeSpread), k.MaxEvents)))),
 	}
 	parent := uint64(kind + 1)
 	for level, s := range k.Shared {
-		thing := w.thing(kind, level, &s)
-		parent = splitmix.Mix(parent*1_000_003 + uint64(level)<<32 + uint64(thing))
-		// The size of a part follows from the part, not from the request.
+		variant := sim.drawVariant(kind, level, &s)
+		parent = splitmix.Mix(parent*1_000_003 + uint64(level)<<32 + uint64(variant))
+		// Seeded by the part, so that every request with this part sees the same size.
 		part := rand.New(rand.NewPCG(parent, 2)) //nolint:gosec // simulation
 		tokens := s.Tokens * math.Exp(sharedSpread*part.NormFloat64()-sharedSpread*sharedSpread/2)
-		r.part(parent, int(tokens)+1)
+		r.addPart(parent, int(tokens)+1)
 	}
-	own := int(bounded(w.lognormal(k.Own, sizeSpread), k.MostOwn)) + 1
-	r.part(splitmix.Mix(parent+w.ids), own)
-	r.call.ID = fmt.Sprint(w.ids)
-	r.call.OutputTokens = r.events
-	// The worth of a request grows with its size; the users weigh an event like ten prompt tokens.
-	mean := k.Own + 10*k.Events
+	own := int(bounded(sim.lognormal(k.OwnTokens, sizeSpread), k.MaxOwnTokens)) + 1
+	r.addPart(splitmix.Mix(parent+sim.lastRequestID), own)
+	r.metadata.ID = fmt.Sprint(sim.lastRequestID)
+	r.metadata.OutputTokens = r.eventCount
+	// The value of a request grows with its size. The users weigh one event as ten prompt tokens.
+	mean := k.OwnTokens + 10*k.MeanEvents
 	for _, s := range k.Shared {
 		mean += s.Tokens
 	}
-	size := float64(r.call.PromptTokens) + 10*float64(r.events)
+	size := float64(r.metadata.PromptTokens) + 10*float64(r.eventCount)
 	r.value = min(4, 0.3+0.7*size/mean)
 	return r
 }
 
-func (r *request) part(key uint64, tokens int) {
-	r.keys = append(r.keys, key)
-	r.call.Parts = append(r.call.Parts, gateway.PromptPart{ID: key, Tokens: tokens})
-	r.call.PromptTokens += tokens
+func (r *request) addPart(key uint64, tokens int) {
+	r.partKeys = append(r.partKeys, key)
+	r.metadata.Parts = append(r.metadata.Parts, gateway.PromptPart{ID: key, Tokens: tokens})
+	r.metadata.PromptTokens += tokens
 }
 
-// thing draws one of the parts of a level, the first ones more often if they are skewed.
-func (w *world) thing(kind, level int, s *Shared) int {
+// drawVariant draws the index of a shared part of a level with probability proportional to
+// 1/(index+1)^Skew.
+func (sim *simulation) drawVariant(kind, level int, s *SharedParts) int {
 	id := kind*16 + level
-	sums := w.popular[id]
+	sums := sim.cumulativeWeights[id]
 	if sums == nil {
 		total := 0.0
-		for i := range s.Things {
+		for i := range s.Variants {
 			total += math.Pow(float64(i+1), -s.Skew)
 			sums = append(sums, total)
 		}
-		w.popular[id] = sums
+		sim.cumulativeWeights[id] = sums
 	}
-	x := w.random.Float64() * sums[len(sums)-1]
+	x := sim.random.Float64() * sums[len(sums)-1]
 	low, high := 0, len(sums)-1
 	for low < high {
 		if mid := (low + high) / 2; sums[mid] < x {
@@ -254,69 +257,69 @@
 	return low
 }
 
-// arrive has the policy place the request. The caller gives up at its deadline, or if nothing came for
-// too long.
-func (w *world) arrive(r *request) {
-	patience := min(r.deadline-w.sim.At, max(callerPatience, 4*time.Duration(w.dep.Kinds[r.kind].Target)))
-	attempt := r.returns
-	w.sim.After(patience, func() {
-		if !r.ended && r.firstAt == 0 && r.returns == attempt {
-			w.end(r, endGaveUp)
+// submit hands the request to the policy. The caller gives up at its deadline, or earlier if it has waited too
+// long for the first event.
+func (sim *simulation) submit(r *request) {
+	patience := min(r.deadline-sim.events.At, max(minFirstEventWait, 4*time.Duration(sim.dep.Kinds[r.kind].Target)))
+	attempt := r.retriesLeft
+	sim.events.After(patience, func() {
+		if !r.ended && r.firstEventAt == 0 && r.retriesLeft == attempt {
+			sim.finish(r, outcomeGaveUp)
 		}
 	})
-	w.policy.place(r)
+	sim.policy.place(r)
 }
 
-// refuse tells the caller to come back after a time, and plays its return.
-func (w *world) refuse(r *request, after time.Duration) {
+// refuse refuses a request with a retry delay, and schedules the caller's retry if it makes one.
+func (sim *simulation) refuse(r *request, after time.Duration) {
 	r.refusals++
-	w.stats.kinds[r.kind].refusals++
-	limit := r.returns
+	sim.result.kinds[r.kind].refusals++
+	limit := r.retriesLeft
 	if r.impatient {
-		limit, after = impatientReturns-r.refusals+1, 0
+		limit, after = impatientRetries-r.refusals+1, 0
 	}
-	if limit <= 0 || w.sim.At+after >= r.deadline {
-		w.end(r, endRefused)
+	if limit <= 0 || sim.events.At+after >= r.deadline {
+		sim.finish(r, outcomeRefused)
 		return
 	}
-	r.returns--
-	// Returns reach other entries, over a new connection.
-	w.sim.After(after+2*time.Millisecond, func() {
-		r.entry = w.random.IntN(w.dep.Entries)
-		w.arrive(r)
+	r.retriesLeft--
+	// A retry uses a new connection, which reaches any entry and takes 2 ms.
+	sim.events.After(after+2*time.Millisecond, func() {
+		r.entry = sim.random.IntN(sim.dep.Entries)
+		sim.submit(r)
 	})
 }
 
-// How requests end.
-type end int
+// outcome is how a request ended for its caller.
+type outcome int
 
 const (
-	endAnswered end = iota
-	endRefused
-	endGaveUp
+	outcomeAnswered outcome = iota
+	outcomeRefused
+	outcomeGaveUp
 )
 
-func (w *world) end(r *request, how end) {
+func (sim *simulation) finish(r *request, o outcome) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	for _, wk := range r.work {
-		wk.cancelled = true
+	for _, t := range r.tasks {
+		t.cancelled = true
 	}
-	for _, f := range r.onEnd {
-		f()
+	for _, onEnd := range r.onEnd {
+		onEnd()
 	}
-	w.stats.ended(r, how, w.dep)
+	sim.result.recordOutcome(r, o, sim.dep)
 }
 
-// event notes an event of the answer.
-func (w *world) event(r *request) {
-	now := w.sim.At
-	if r.firstAt == 0 {
-		r.firstAt = now
+// recordEvent records the time of an event of the answer.
+func (sim *simulation) recordEvent(r *request) {
+	now := sim.events.At
+	if r.firstEventAt == 0 {
+		r.firstEventAt = now
 	} else {
-		r.longPause = max(r.longPause, now-r.lastAt)
+		r.longestPause = max(r.longestPause, now-r.lastEventAt)
 	}
-	r.lastAt = now
+	r.lastEventAt = now
 }
