--- a/external/engine.go
+++ b/external/engine.go
@@ -14,15 +14,17 @@
 	// ErrStaleFence means that the engine refused an order because its fence number is lower than one
 	// that the engine has already seen.
 	ErrStaleFence = errors.New("stale fence number")
-	// ErrEngineRefused means that the engine or backend server did not run the request, because it
-	// refused it or because the request was not sent.
+	// ErrEngineRefused means that the engine or plain backend server did not run the request, because
+	// it refused it or because the request was not sent. Despite its text, it is also returned for plain
+	// backend servers and for failed dials. The text is part of RPC messages and order records.
 	ErrEngineRefused = errors.New("engine refused the request")
-	// ErrEngineFailed means that the engine or backend server failed. It may have run the request, in
-	// part or as a whole.
+	// ErrEngineFailed means that the engine or plain backend server failed, or that its response was lost.
+	// It may have run the request, in part or as a whole. The text is part of RPC messages and order
+	// records.
 	ErrEngineFailed = errors.New("engine failed")
 )
 
-// Role is the phase of inference that an engine performs.
+// Role determines which phases of inference an engine performs.
 type Role string
 
 // Roles of engines. A mixed engine performs both prefill and decode.
@@ -34,13 +36,16 @@
 
 // GenerateRequest is a request to an engine to generate tokens.
 type GenerateRequest struct {
-	RequestID    string `json:"request_id"`
-	Model        string `json:"model"`
-	Adapter      string `json:"adapter,omitempty"`
-	Prompt       string `json:"prompt"`
-	PromptTokens int    `json:"prompt_tokens"`
-	MaxTokens    int    `json:"max_tokens"`
-	Seed         uint64 `json:"seed"`
+	RequestID string `json:"request_id"`
+	Model     string `json:"model"`
+	Adapter   string `json:"adapter,omitempty"`
+	Prompt    string `json:"prompt"`
+	// PromptTokens is the number of tokens of the prompt, or 0 if it is unknown. In that case the engine
+	// counts the words of the prompt.
+	PromptTokens int `json:"prompt_tokens"`
+	// MaxTokens is the maximum length of the whole answer in tokens, including the first Offset tokens.
+	MaxTokens int    `json:"max_tokens"`
+	Seed      uint64 `json:"seed"`
 	// Priority determines the order of queued requests: a lower number is served first.
 	Priority int `json:"priority"`
 	// Offset is the number of tokens of the answer that the caller has already received. The answer
@@ -85,7 +90,9 @@
 // EngineOrder is an order to an engine to change its configuration. An engine may refuse an order
 // whose fence number is lower than the highest one it has seen.
 type EngineOrder struct {
-	Fence  uint64       `json:"fence"`
+	Fence uint64 `json:"fence"`
+	// Number increases by one with each new order to the engine. Fence and Number together identify an
+	// order.
 	Number uint64       `json:"number"`
 	Config EngineConfig `json:"config"`
 }
@@ -105,12 +112,16 @@
 
 // EngineLoad is an engine's report on its load. It may be out of date.
 type EngineLoad struct {
-	Running       int   `json:"running"`
-	Queued        int   `json:"queued"`
+	// Running and Queued are numbers of requests.
+	Running int `json:"running"`
+	Queued  int `json:"queued"`
+	// PrefillTokens and DecodeTokens are the outstanding work: the tokens that running and queued
+	// requests still need in each phase.
 	PrefillTokens int64 `json:"prefill_tokens"`
 	DecodeTokens  int64 `json:"decode_tokens"`
-	FreePieces    int   `json:"free_pieces"`
-	TotalPieces   int   `json:"total_pieces"`
+	// FreePieces and TotalPieces are the capacity of an engine in pieces of PieceTokens tokens.
+	FreePieces  int `json:"free_pieces"`
+	TotalPieces int `json:"total_pieces"`
 }
 
 // CacheEvent reports that an engine has added a prompt prefix to its cache, or has evicted it. Events
@@ -126,15 +137,19 @@
 type Engine interface {
 	// Generate starts a generation. The caller must close the stream.
 	Generate(ctx context.Context, r *GenerateRequest) (TokenStream, error)
-	// Cancel cancels a generation.
+	// Cancel cancels the generation with the given request ID. Cancelling an unknown request is not an
+	// error.
 	Cancel(ctx context.Context, requestID string) error
+	// State returns the engine's report on its configuration.
 	State(ctx context.Context) (EngineState, error)
 	// Apply sends an order and returns when the engine has finished executing it.
 	Apply(ctx context.Context, o EngineOrder) error
+	// Load returns the engine's load report.
 	Load(ctx context.Context) (EngineLoad, error)
 	// CacheEvents returns the events with sequence numbers greater than after.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
-	// ExportKV returns the KV cache of a request in a form that ImportKV of another engine accepts.
+	// ExportKV returns the KV cache of a request in a form that ImportKV of another engine accepts. The
+	// prefill of the request must be complete; the request may be running or have recently finished.
 	ExportKV(ctx context.Context, requestID string) ([]byte, error)
 	// ImportKV imports a KV cache and returns a handle for GenerateRequest.KVHandle.
 	ImportKV(ctx context.Context, data []byte) (handle string, err error)
@@ -144,7 +159,7 @@
 type PlainRequest struct {
 	RequestID string
 	Method    string
-	// Path is the path and query.
+	// Path is the path and query. It must start with a slash.
 	Path           string
 	ContentType    string
 	IdempotencyKey string
@@ -164,6 +179,7 @@
 type Backend interface {
 	// Do sends the request at most once. ErrEngineRefused means that the request was certainly not sent.
 	Do(ctx context.Context, r *PlainRequest) (*PlainResponse, error)
-	// Load returns the number of running requests and the limit.
+	// Load returns the load report. One piece is one request slot, so TotalPieces is the limit of running
+	// requests.
 	Load(ctx context.Context) (EngineLoad, error)
 }
--- a/external/enginewire/event.go
+++ b/external/enginewire/event.go
@@ -49,8 +49,9 @@
 // because they may be invalid UTF-8.
 func isUnescaped(c byte) bool { return c >= ' ' && c < utf8.RuneSelf && c != '"' && c != '\\' }
 
-// DecodeEvent decodes the JSON of an event. An event in the form that AppendEvent writes is decoded with
-// one allocation, for the text. Other events are decoded by encoding/json with seven allocations.
+// DecodeEvent decodes the JSON of an event. An event that AppendEvent wrote without escapes is decoded
+// without encoding/json: it needs one allocation for the text and one for a finish reason, where
+// encoding/json needs about seven.
 func DecodeEvent(data []byte) (Event, error) {
 	var c external.TokenChunk
 	if decodeFast(data, &c) {
@@ -89,13 +90,13 @@
 // maxDigits is the maximum number of decimal digits that cannot overflow an int64.
 const maxDigits = 18
 
-// cutInt decodes the field name and a non-negative integer at the start of data and returns the rest.
-// name includes the JSON syntax up to the value.
-func cutInt(data []byte, name string) (n int, rest []byte, ok bool) {
-	if len(data) < len(name) || string(data[:len(name)]) != name {
+// cutInt removes prefix and the non-negative integer after it from data, and returns the integer and the
+// rest. ok is false if data has another form.
+func cutInt(data []byte, prefix string) (n int, rest []byte, ok bool) {
+	if len(data) < len(prefix) || string(data[:len(prefix)]) != prefix {
 		return 0, data, false
 	}
-	data = data[len(name):]
+	data = data[len(prefix):]
 	i := 0
 	for ; i < len(data) && data[i] >= '0' && data[i] <= '9'; i++ {
 		n = n*10 + int(data[i]-'0')
@@ -104,15 +105,15 @@
 	return n, data[i:], i > 0 && i <= maxDigits && (i == 1 || data[0] != '0')
 }
 
-// cutString decodes the field name and a string without escapes at the start of data and returns the
-// rest. name includes the JSON syntax up to and including the opening quote. ok is false if data does
-// not start with name, and if the string contains escapes or has no end; only in the second case is name
-// removed from rest.
-func cutString(data []byte, name string) (s, rest []byte, ok bool) {
-	if len(data) < len(name) || string(data[:len(name)]) != name {
+// cutString removes prefix, which ends with an opening quote, and the string after it from data, and
+// returns the string and the rest. If data does not start with prefix, ok is false and rest is data, so
+// that decodeFast can continue without the optional finish reason. If the string has escapes or no end,
+// ok is false and rest is data without prefix.
+func cutString(data []byte, prefix string) (s, rest []byte, ok bool) {
+	if len(data) < len(prefix) || string(data[:len(prefix)]) != prefix {
 		return nil, data, false
 	}
-	data = data[len(name):]
+	data = data[len(prefix):]
 	end := bytes.IndexByte(data, '"')
 	if end < 0 {
 		return nil, data, false
--- a/external/enginewire/prefix.go
+++ b/external/enginewire/prefix.go
@@ -2,12 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// BlockTokens is the number of tokens in a block of the prefix cache. The hashes here count each word
-// of the prompt as a token.
+// BlockTokens is the number of tokens in a block of the prefix cache. Prefix hashes count each word of a
+// prompt as one token, so for them a block is BlockTokens words.
 const BlockTokens = 256
 
-// NewAnswerDigest returns an xxhash64 digest to which the model, NUL, the adapter and NUL have been
-// written.
+// NewAnswerDigest returns the xxhash64 digest with which every hash of a prompt or answer for a model
+// and adapter starts. The model, NUL, the adapter and NUL have been written to it.
 func NewAnswerDigest(model, adapter string) *xxhash.Digest {
 	d := xxhash.New()
 	_, _ = d.WriteString(model)
@@ -23,16 +23,16 @@
 // events identify prefixes by these hashes.
 func AppendPrefixHashes(dst []uint64, model, adapter, prompt string, limit int) []uint64 {
 	d := NewAnswerDigest(model, adapter)
-	words, start := 0, 0
+	words, hashedTo := 0, 0
 	for i := 0; i < len(prompt) && limit > 0; i++ {
-		end := !isSpace(prompt[i]) && (i+1 == len(prompt) || isSpace(prompt[i+1]))
-		if !end {
+		wordEnds := !isSpace(prompt[i]) && (i+1 == len(prompt) || isSpace(prompt[i+1]))
+		if !wordEnds {
 			continue
 		}
 		words++
 		if words%BlockTokens == 0 {
-			_, _ = d.WriteString(prompt[start : i+1])
-			start = i + 1
+			_, _ = d.WriteString(prompt[hashedTo : i+1])
+			hashedTo = i + 1
 			dst = append(dst, d.Sum64())
 			limit--
 		}
--- a/external/external.go
+++ b/external/external.go
@@ -1,6 +1,7 @@
 // Package external defines the interfaces to the systems that a deployment provides: the key-value
-// service, the instance list, the weight store, model engines and plain backend servers. Adapters
-// implement the interfaces and register themselves with package kernel.
+// service, the instance list, the weight store, model engines and plain backend servers, which are HTTP
+// servers other than model engines. Adapters implement the interfaces and register themselves with
+// package kernel.
 package external
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Errors of the key-value service. Adapters convert transport errors to these errors.
+// Errors of the key-value service. Adapters return these errors, also in place of transport errors.
 var (
 	// ErrNotFound means that the key does not exist.
 	ErrNotFound = errors.New("key not found")
@@ -39,7 +40,8 @@
 	Value    []byte
 }
 
-// Event is a change to a key. If Deleted is true, the entry has no value.
+// Event is a change to a key. If Deleted is true, the entry has no value, Revision is the revision of the
+// deletion, and Version has no meaning.
 type Event struct {
 	Entry
 	Deleted bool
@@ -59,7 +61,7 @@
 	Delete(ctx context.Context, key string, expected uint64) error
 	// Watch blocks until a key that starts with prefix changes after the given store revision, or
 	// until the service's own time limit for watches. It returns the events, and the revision to pass
-	// to the next call.
+	// to the next call. It returns ErrCompacted if events after the given revision have been discarded.
 	Watch(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error)
 	// GrantLease creates a lease.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
@@ -87,13 +89,14 @@
 
 // Instance is an entry or sidecar process in the platform's instance list.
 type Instance struct {
-	// ID identifies the slot that the process occupies. A process that replaces it has the same ID.
-	ID         string        `json:"id"`
-	Role       string        `json:"role"`
-	Service    string        `json:"service,omitempty"`
-	DataCentre string        `json:"data_centre"`
-	Address    string        `json:"address"`
-	State      InstanceState `json:"state"`
+	// ID stays the same when a new process replaces this one.
+	ID         string `json:"id"`
+	Role       string `json:"role"`
+	Service    string `json:"service,omitempty"`
+	DataCentre string `json:"data_centre"`
+	// Address is the host:port at which the process accepts calls of other instances.
+	Address string        `json:"address"`
+	State   InstanceState `json:"state"`
 }
 
 // InstanceSnapshot is the content of the instance list at one version.
--- a/external/kvbudget/kvbudget.go
+++ b/external/kvbudget/kvbudget.go
@@ -32,7 +32,7 @@
 
 var _ external.KV = (*KV)(nil)
 
-// burstSeconds is the size of the limiter's burst: unused calls accumulate for this many seconds.
+// burstSeconds is for how many seconds unused calls accumulate.
 const burstSeconds = 2
 
 // New returns a KV that limits the rate of calls to kv to perSecond, and calls countCall for each call
@@ -41,8 +41,9 @@
 	return &KV{kv: kv, limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds))), countCall: countCall}
 }
 
-// waitAndCount waits until the rate limit permits a call, and counts the call. It returns
-// external.ErrUnavailable if the context ends first, because the call has then not been sent.
+// waitAndCount waits until the rate limit permits a call, and counts the call. If the context ends first,
+// or its deadline is too near to wait for the limit, it returns external.ErrUnavailable, because the call
+// has not been sent. The cause is then the process's own rate limit, not the service.
 func (k *KV) waitAndCount(ctx context.Context, operation string) error {
 	if err := k.limiter.Wait(ctx); err != nil {
 		return external.ErrUnavailable
--- a/external/kvwire/kvwire.go
+++ b/external/kvwire/kvwire.go
@@ -22,6 +22,7 @@
 
 // Request is the request body of every call. Each call reads only the fields that it needs.
 type Request struct {
+	// Key is the key, or the prefix for PathList and PathWatch.
 	Key      string           `json:"key,omitempty"`
 	Expected uint64           `json:"expected,omitempty"`
 	Value    []byte           `json:"value,omitempty"`
@@ -30,7 +31,7 @@
 	TTLMS    int64            `json:"ttl_ms,omitempty"`
 }
 
-// Response is the response body of every call. Error is a wire code, empty for a successful call.
+// Response is the response body of every call. Error is an error code, empty for a successful call.
 type Response struct {
 	Error    string           `json:"error,omitempty"`
 	Entries  []external.Entry `json:"entries,omitempty"`
@@ -40,7 +41,7 @@
 	Lease    external.LeaseID `json:"lease,omitempty"`
 }
 
-// codes maps wire codes to errors and back.
+// codes maps error codes to errors and back.
 var codes = []struct {
 	code string
 	err  error
@@ -52,7 +53,7 @@
 	{"unavailable", external.ErrUnavailable},
 }
 
-// Code returns the wire code of an error, or an empty string for nil. An unknown error has the code of
+// Code returns the error code of an error, or an empty string for nil. An unknown error has the code of
 // external.ErrUnavailable.
 func Code(err error) string {
 	if err == nil {
@@ -66,7 +67,7 @@
 	return "unavailable"
 }
 
-// Error returns the error of a wire code, or nil for an empty code. For an unknown code it returns
+// Error returns the error of an error code, or nil for an empty code. For an unknown code it returns
 // external.ErrUnavailable.
 func Error(code string) error {
 	if code == "" {
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -53,13 +53,13 @@
 )
 
 // Register adds a module to the registry. It panics if the ID or constructor is missing or the ID is
-// already registered. Both are programming errors, which are detected when the process starts.
+// already registered. These are programming errors, which are detected when the process starts.
 func Register(m Module) {
 	info := m.Module()
 	mu.Lock()
 	defer mu.Unlock()
 	if info.ID == "" || info.New == nil {
-		panic("kernel: module without ID or constructor")
+		panic("kernel: a module being registered has no ID or no constructor")
 	}
 	if _, ok := modules[info.ID]; ok {
 		panic(fmt.Sprintf("kernel: module %q is registered twice", info.ID))
@@ -94,7 +94,7 @@
 	m := info.New()
 	v, ok := m.(T)
 	if !ok {
-		return zero, fmt.Errorf("module %q has type %T, which does not implement the requested interface", id, m)
+		return zero, fmt.Errorf("module %q has type %T, which is not of the requested type", id, m)
 	}
 	if err := provisionAndValidate(ctx, m, s); err != nil {
 		return zero, fmt.Errorf("module %q: %w", id, errors.Join(err, Cleanup(m)))
