--- a/modules/backendhttp/backendhttp_test.go
+++ b/modules/backendhttp/backendhttp_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// The adapter must transfer all headers, bodies and responses. It must report an action whose response
-// was lost as failed, not as refused.
+// The adapter must transfer the request ID, idempotency key, path and response. It must report an action
+// whose response was lost as failed, not as refused.
 func TestActionsAgainstTheStandIn(t *testing.T) {
 	s := backend.New(backend.Config{ServiceTime: -1})
 	srv := httptest.NewServer(s.Handler())
--- a/modules/enginehttp/stream.go
+++ b/modules/enginehttp/stream.go
@@ -15,7 +15,8 @@
 	"github.com/quetzallug/quetzallug/internal/httpjson"
 )
 
-// maxEventBytes is the maximum size of a line, and thus of an event. Engines send a few tokens per event.
+// maxEventBytes is the maximum size of a line, and thus of an event. It is far above the size of the few
+// tokens that engines send per event. Close also reads at most this many bytes.
 const maxEventBytes = 64 << 10
 
 var (
@@ -58,7 +59,8 @@
 	return s, nil
 }
 
-// open sends a generate request and returns the stream of its response. It does not set cancel.
+// open sends a generate request and returns the stream of its response. The caller must set the
+// stream's cancel field.
 func (c *Client) open(ctx context.Context, body []byte) (*stream, error) {
 	req, err := c.NewRequest(ctx, http.MethodPost, enginewire.PathGenerate, body)
 	if err != nil {
@@ -77,9 +79,9 @@
 }
 
 // Next implements external.TokenStream. It merges events that have already been received into one chunk,
-// so that a burst of events is sent to the caller as a single frame. It never waits for a second event.
+// so that the client account receives a burst of events as one event. It never waits for a second event.
 func (s *stream) Next() (external.TokenChunk, error) {
-	c, err := s.firstEvent()
+	c, err := s.nextEvent()
 	if err != nil {
 		return external.TokenChunk{}, err
 	}
@@ -88,9 +90,9 @@
 	return c, nil
 }
 
-// firstEvent returns the event that a previous call of mergeBuffered could not merge, or reads the next
+// nextEvent returns the event that a previous call of mergeBuffered could not merge, or reads the next
 // event.
-func (s *stream) firstEvent() (external.TokenChunk, error) {
+func (s *stream) nextEvent() (external.TokenChunk, error) {
 	if s.done {
 		return external.TokenChunk{}, io.EOF
 	}
@@ -101,8 +103,8 @@
 	return s.readEvent()
 }
 
-// mergeBuffered appends the buffered events that directly follow the chunk. An event that does not, or an
-// error, is stored in next and nextErr for the next call of firstEvent.
+// mergeBuffered appends the buffered events that directly follow the chunk. An event that does not follow
+// directly, or an error, is stored in next and nextErr for the next call of nextEvent.
 func (s *stream) mergeBuffered(c *external.TokenChunk) {
 	s.text = s.text[:0]
 	for c.FinishReason == "" && s.hasBufferedEvent() {
@@ -138,7 +140,9 @@
 	}
 }
 
-// readEvent reads the next event.
+// readEvent reads the next event. Every read error has the text "stream ended without a finish reason",
+// which is part of RPC messages; the wrapped error is the cause, such as errEventTooLong, a reset
+// connection, an ended context or, at the end of the body, io.ErrUnexpectedEOF.
 func (s *stream) readEvent() (external.TokenChunk, error) {
 	for {
 		line, err := s.readLine()
--- a/modules/instanceshttp/instanceshttp.go
+++ b/modules/instanceshttp/instanceshttp.go
@@ -29,8 +29,8 @@
 func init() { kernel.Register(&Client{}) }
 
 // Client sends requests to the instance list. It caches the last list and requests only the changes
-// since then: the whole list of 980 instances has about 150 KB, which each process would otherwise read
-// after every change.
+// since then, because each process reads the list after every change and the whole list is large, about
+// 150 KB for 980 instances.
 type Client struct {
 	httpjson.Client
 
@@ -48,8 +48,9 @@
 	return kernel.ModuleInfo{ID: ID, New: func() kernel.Module { return &Client{} }}
 }
 
-// Instances implements external.InstanceList. After a restart, the service has a new epoch and returns
-// the whole list. In this case Instances also returns the list if its version is not greater than after.
+// Instances implements external.InstanceList. After a restart, the service has a new epoch, counts
+// versions from the start again and returns the whole list. Instances then returns that list whatever its
+// version.
 func (c *Client) Instances(ctx context.Context, after uint64) (external.InstanceSnapshot, error) {
 	epoch, version := c.currentVersion()
 	var l instancewire.List
@@ -67,8 +68,8 @@
 	return c.epoch, c.version
 }
 
-// errUnknownBase means that the service returned changes since a version that is not cached.
-var errUnknownBase = errors.New("instance list: the received changes do not apply to the cached list")
+// errChangesNotApplicable means that the service returned changes since a version that is not cached.
+var errChangesNotApplicable = errors.New("instance list: the received changes do not apply to the cached list")
 
 // update applies a response to the cached list. It returns the list, or an empty snapshot if the list has
 // not changed since version after. requestEpoch is the epoch in the request.
@@ -80,7 +81,7 @@
 		c.instances = make(map[string]external.Instance, len(l.Instances))
 	case l.Epoch != c.epoch || l.Since > c.version:
 		c.epoch, c.version, c.instances = "", 0, nil
-		return external.InstanceSnapshot{}, errUnknownBase
+		return external.InstanceSnapshot{}, errChangesNotApplicable
 	case l.Version < c.version:
 		// A concurrent call has already received a later version. Do not go back to an earlier one.
 		l.Instances, l.Removed, l.Version = nil, nil, c.version
--- a/modules/instanceshttp/instanceshttp_test.go
+++ b/modules/instanceshttp/instanceshttp_test.go
@@ -17,7 +17,7 @@
 	"github.com/quetzallug/quetzallug/standin/instances"
 )
 
-var worker = external.Instance{
+var sidecar = external.Instance{
 	ID: "w1", Role: external.RoleSidecar, Service: "oracolo", DataCentre: "palermo", Address: "127.0.0.1:1",
 }
 
@@ -37,11 +37,11 @@
 func TestChangesShowLateAndRegistrationsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := instances.New(2 * time.Second)
-		l.Register(worker, 5*time.Second)
+		l.Register(sidecar, 5*time.Second)
 		require.Empty(t, states(t, l))
 		time.Sleep(2 * time.Second)
 		require.Equal(t, map[string]external.InstanceState{"w1": external.InstanceLive}, states(t, l))
-		l.Register(worker, 5*time.Second)
+		l.Register(sidecar, 5*time.Second)
 		l.Leave("w1")
 		time.Sleep(time.Second)
 		require.Equal(t, external.InstanceLive, states(t, l)["w1"])
@@ -63,13 +63,13 @@
 	c, err := kernel.Load[*instanceshttp.Client](t.Context(), instanceshttp.ID, kernel.Settings{"address": srv.URL})
 	require.NoError(t, err)
 	defer func() { _ = c.Cleanup() }()
-	require.NoError(t, c.Register(t.Context(), worker, time.Hour))
+	require.NoError(t, c.Register(t.Context(), sidecar, time.Hour))
 	first, err := c.Instances(t.Context(), 0)
 	require.NoError(t, err)
-	want := worker
+	want := sidecar
 	want.State = external.InstanceLive
 	require.Equal(t, []external.Instance{want}, first.Instances)
-	require.NoError(t, c.Register(t.Context(), worker, time.Hour))
+	require.NoError(t, c.Register(t.Context(), sidecar, time.Hour))
 	again, err := c.Instances(t.Context(), first.Version)
 	require.NoError(t, err)
 	require.Equal(t, external.InstanceSnapshot{Version: first.Version}, again)
@@ -123,7 +123,7 @@
 	require.Less(t, responseBytes.Load(), int64(1000), "the whole list is returned from the cache and the changes")
 
 	restarted := instances.New(0)
-	restarted.Register(worker, 0)
+	restarted.Register(sidecar, 0)
 	serve(restarted)
 	low := check(restarted, version)
 	require.Less(t, low, version, "versions start again after a restart of the service")
--- a/modules/kvhttp/kvhttp.go
+++ b/modules/kvhttp/kvhttp.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return external.Entry{}, convertReadError(err)
 	}
-	if len(resp.Entries) == 0 {
+	if len(resp.Entries) == 0 { // an invalid response: an absent key has an error code
 		return external.Entry{}, external.ErrUnavailable
 	}
 	return resp.Entries[0], nil
@@ -94,7 +94,7 @@
 }
 
 // convertReadError converts external.ErrOutcomeUnknown to external.ErrUnavailable, because a read never
-// has an effect.
+// has an effect. The converted error does not contain the cause, such as a status or a timeout.
 func convertReadError(err error) error {
 	if errors.Is(err, external.ErrOutcomeUnknown) {
 		return external.ErrUnavailable
--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT: the kernel closes
-// the connection if sent data remains unacknowledged for d.
+// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT: the operating system
+// closes the connection if sent data remains unacknowledged for d.
 func UserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var optionErr error
@@ -36,7 +36,8 @@
 }
 
 // peek reads the next byte without consuming it and without blocking. Unlike RawConn.Read, it does not
-// wait for a concurrent reader of the connection. ok is false if c is not a socket.
+// wait for a concurrent reader of the connection. n is 1 if there is a byte, and 0 with a nil error at the
+// end of the data. ok is false if c is not a socket.
 func peek(c net.Conn) (n int, err error, ok bool) {
 	sc, isSocket := c.(syscall.Conn)
 	if !isSocket {
@@ -58,15 +59,15 @@
 }
 
 // Ended reports whether the peer has reset a connection, or has closed it and all received data has been
-// read. It returns false if c is not a socket.
+// read, or whether the connection has been closed locally. It returns false if c is not a socket.
 func Ended(c net.Conn) bool {
 	n, err, ok := peek(c)
 	return ok && n <= 0 && !wouldBlock(err) && !errors.Is(err, unix.EINTR)
 }
 
-// keepAliveTimeout returns the timeout parameter of a Keep-Alive header in seconds, and whether it is
-// present and valid.
-func keepAliveTimeout(value string) (int, bool) {
+// parseKeepAliveTimeout returns the timeout parameter of a Keep-Alive header in seconds, and whether it
+// is present and valid.
+func parseKeepAliveTimeout(value string) (int, bool) {
 	for part := range strings.SplitSeq(value, ",") {
 		name, seconds, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -18,14 +18,17 @@
 	"time"
 )
 
-// Errors of Pool.Do.
+// Errors of Pool.Do. Their texts may be part of HTTP responses of the gateway.
 var (
 	// ErrNotSent means that no byte of the request was sent, so the backend server did not run it.
 	ErrNotSent = errors.New("request not sent")
-	// ErrExchangeFailed means that the connection failed, or that no valid response to the request was
-	// received. The backend server may have run the request.
+	// ErrExchangeFailed means that the exchange of a request and its response failed after sending began:
+	// the connection failed, or no valid response to the request was received. The backend server may
+	// have run the request.
 	ErrExchangeFailed = errors.New("exchange broken")
-	// ErrResponseMismatch means that the received responses belong to other requests.
+	// ErrResponseMismatch means that none of the responses that were read belongs to the request. They
+	// may all be informational, and reading also stops at a skipped response that is too large or
+	// incomplete, or after which the connection closes. It is wrapped in ErrExchangeFailed.
 	ErrResponseMismatch = errors.New("answer to another request")
 )
 
@@ -37,13 +40,13 @@
 	// It detects a backend server that has lost power or is behind a network partition, which sends
 	// neither an acknowledgement nor a reset.
 	tcpUserTimeout = 1500 * time.Millisecond
-	// keepAliveIdle, keepAliveInterval and keepAliveProbes configure the TCP keep-alive, which detects
-	// an unreachable backend server while the client waits for a response and has no data in flight.
-	keepAliveIdle     = time.Second
-	keepAliveInterval = time.Second
-	keepAliveProbes   = 2
+	// tcpKeepAliveIdle, tcpKeepAliveInterval and tcpKeepAliveProbes configure the TCP keep-alive, which
+	// detects an unreachable backend server while the client waits for a response and has no data in flight.
+	tcpKeepAliveIdle     = time.Second
+	tcpKeepAliveInterval = time.Second
+	tcpKeepAliveProbes   = 2
 	// maxIdlePerAddress limits the idle connections to one backend server. The smallest backend
-	// servers accept 100 connections in total, from all entries together.
+	// servers accept 100 connections in total, from all entry instances together.
 	maxIdlePerAddress = 24
 	// maxIdleTime is how long an idle connection is kept at most. A Keep-Alive header of the backend
 	// server can only shorten it.
@@ -51,10 +54,10 @@
 	// idleMargin is subtracted from the timeout in a Keep-Alive header, so that the backend server does
 	// not close the connection while a request is in transit.
 	idleMargin = 500 * time.Millisecond
-	// maxInlineBody is the maximum size of a body that is written before the response is read. A larger
-	// body is written by a separate goroutine, because a backend server may respond before it has read
-	// the whole body.
-	maxInlineBody = 2 << 10
+	// maxInlineBodyBytes is the maximum size in bytes of a body that is written before the response is
+	// read. A larger body is written by a separate goroutine, because a backend server may respond before
+	// it has read the whole body.
+	maxInlineBodyBytes = 2 << 10
 	// maxResponsesPerRequest limits the responses that are read for one request, including the
 	// informational responses and the responses to other requests, which are skipped.
 	maxResponsesPerRequest = 4
@@ -76,16 +79,17 @@
 	Body   []byte
 }
 
-// Response is a response whose body has not been read. The caller must call Close once.
+// Response is a response whose body is read with Read. The caller must call Close once.
 type Response struct {
 	*http.Response
 	conn *conn
-	// stopCancel ends the cancellation of the exchange by the context. It returns false if the context
-	// has already ended.
+	// stopCancel detaches the exchange from the context, whose end then no longer interrupts it. It
+	// returns false if the context has already ended.
 	stopCancel func() bool
 	// complete is true once the whole body has been read.
 	complete bool
-	err      error
+	// err is the last error of Read, including io.EOF. It is currently not used.
+	err error
 }
 
 // Pool is a pool of connections to backend servers. It is safe for concurrent use.
@@ -95,10 +99,10 @@
 	mu sync.Mutex
 	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
-	// opened is the number of connections opened since the pool was created.
-	opened int64
-	// open is the number of open connections by address, both idle and in use.
-	open map[string]int
+	// openedTotal is the number of connections opened since the pool was created.
+	openedTotal int64
+	// openByAddr is the number of open connections by address, both idle and in use.
+	openByAddr map[string]int
 }
 
 // conn is a pooled connection.
@@ -126,7 +130,7 @@
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
+			Enable: true, Idle: tcpKeepAliveIdle, Interval: tcpKeepAliveInterval, Count: tcpKeepAliveProbes,
 		},
 		Control: UserTimeout(tcpUserTimeout),
 	}
@@ -135,21 +139,21 @@
 
 // NewPoolWithDial returns an empty pool that opens connections with dial.
 func NewPoolWithDial(dial DialFunc) *Pool {
-	return &Pool{dial: dial, idle: make(map[string][]*conn), open: make(map[string]int)}
+	return &Pool{dial: dial, idle: make(map[string][]*conn), openByAddr: make(map[string]int)}
 }
 
 // Opened returns the number of connections opened since the pool was created.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.openedTotal
 }
 
 // Connections returns the number of open connections to an address, both idle and in use.
 func (p *Pool) Connections(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open[addr]
+	return p.openByAddr[addr]
 }
 
 // addOpen adds delta to the number of open connections to an address. A positive delta also increases
@@ -157,9 +161,9 @@
 func (p *Pool) addOpen(addr string, delta int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opened += int64(max(0, delta))
-	if p.open[addr] += delta; p.open[addr] == 0 {
-		delete(p.open, addr)
+	p.openedTotal += int64(max(0, delta))
+	if p.openByAddr[addr] += delta; p.openByAddr[addr] == 0 {
+		delete(p.openByAddr, addr)
 	}
 }
 
@@ -285,6 +289,7 @@
 		p.putIdle(c, maxIdleTime)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, ctx.Err())
 	}
+	// A deadline in the past interrupts reads and writes.
 	stopCancel := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	resp, err := c.exchange(r, matches) //nolint:bodyclose // Response.Close ends the exchange
 	if err != nil {
@@ -324,12 +329,12 @@
 	return nil, fmt.Errorf("%w: %w", ErrExchangeFailed, ErrResponseMismatch)
 }
 
-// send writes a request. A body larger than maxInlineBody is written in the background, and its result
-// is sent to c.writeResult.
+// send writes a request. A body larger than maxInlineBodyBytes is written in the background, and its
+// result is sent to c.writeResult.
 func (c *conn) send(r *Request) error {
 	c.writeResult = nil
 	c.writeHeader(r)
-	if len(r.Body) <= maxInlineBody {
+	if len(r.Body) <= maxInlineBodyBytes {
 		if _, err := c.bw.Write(r.Body); err != nil {
 			return fmt.Errorf("%w: %w", ErrExchangeFailed, err)
 		}
@@ -386,6 +391,7 @@
 	}
 	r.conn = nil
 	cancelled := !r.stopCancel()
+	// r.Response.Close is the field of http.Response. It is true if the backend server closes the connection.
 	if cancelled || !r.complete || r.Response.Close || c.br.Buffered() > 0 || !c.requestWritten() {
 		_ = c.Close()
 		return
@@ -418,7 +424,7 @@
 // idleTimeout returns how long a connection may remain idle after a response with header h. It is not
 // positive if the connection must not be reused.
 func idleTimeout(h http.Header) time.Duration {
-	seconds, ok := keepAliveTimeout(h.Get("Keep-Alive"))
+	seconds, ok := parseKeepAliveTimeout(h.Get("Keep-Alive"))
 	if !ok {
 		return maxIdleTime
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -126,8 +126,9 @@
 // sent. The pool must not retry the request.
 func TestBrokenAnswers(t *testing.T) {
 	for name, script := range map[string]func(c *net.TCPConn, id string){
-		"nothing":         func(*net.TCPConn, string) {},
-		"garbage":         func(c *net.TCPConn, _ string) { _, _ = io.WriteString(c, "\x00garbage\r\n\r\n") },
+		"nothing": func(*net.TCPConn, string) {},
+		"garbage": func(c *net.TCPConn, _ string) { _, _ = io.WriteString(c, "\x00garbage\r\n\r\n") },
+		// 47 bytes are the response without the last two bytes of its body.
 		"truncated":       func(c *net.TCPConn, id string) { _, _ = io.WriteString(c, response(id, "text")[:47]) },
 		"unframed, reset": resetAfter("HTTP/1.1 200 OK\r\nId: %s\r\n\r\npart of the"),
 		"chunk cut": func(c *net.TCPConn, id string) {
@@ -242,8 +243,9 @@
 	}
 }
 
-// Ended must not block while another goroutine reads from the connection. It must return false for an
-// idle connection and for one with unread data.
+// Ended must return true once the peer has closed the connection and all data has been read. It must not
+// block while another goroutine reads from the connection. It must return false for an idle connection,
+// for one with unread data and for one that is not a socket.
 func TestEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
