--- a/document/decode.go
+++ b/document/decode.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if _, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.decodeText(n, field, v)
+		d.decodeDuration(n, field, v)
 		return
 	}
 	switch v.Kind() {
@@ -71,7 +71,9 @@
 	}
 }
 
-func (d *decoder) decodeText(n ast.Node, field string, v reflect.Value) {
+// decodeDuration decodes a Duration, the only type in a document that implements
+// encoding.TextUnmarshaler.
+func (d *decoder) decodeDuration(n ast.Node, field string, v reflect.Value) {
 	const allowed = `a duration such as "730ms", "2s" or "5m"`
 	s, ok := stringValue(n)
 	if !ok {
@@ -174,6 +176,7 @@
 	case int64:
 		return v, true
 	case uint64:
+		// Larger values are rejected. The limits of all fields are far below.
 		return int64(v), v <= 1<<62
 	}
 	return 0, false
--- a/document/document.go
+++ b/document/document.go
@@ -43,7 +43,8 @@
 	Version string `yaml:"version" json:"version"`
 }
 
-// Pool is the set of workers of the service in one data centre.
+// Pool is the set of workers of the service in one data centre. A worker is one backend server with
+// its sidecar. The backend servers of a service that serves models are called engines.
 type Pool struct {
 	DataCentre string `yaml:"data_centre" json:"data_centre"`
 	Workers    int    `yaml:"workers" json:"workers"`
@@ -77,11 +78,13 @@
 	Repeatable bool `yaml:"repeatable" json:"repeatable"`
 	// Interruptible allows a planned change to interrupt requests in flight.
 	Interruptible bool `yaml:"interruptible,omitempty" json:"interruptible"`
-	// Starvable allows the rank to receive no capacity at all while higher-priority ranks need it.
+	// Starvable excludes the kind's requests from the share that admission guarantees to lower ranks:
+	// they may receive no capacity at all while higher-priority ranks need it.
 	Starvable bool `yaml:"starvable,omitempty" json:"starvable"`
 }
 
-// Match selects requests. An empty field matches any value.
+// Match selects requests. An empty field matches any value. The argument of FindKind has this type
+// as well: there the fields are the values of one request, and PathPrefix is its whole path.
 type Match struct {
 	// Kind is the value of the request header X-Quetzallug-Kind.
 	Kind   string `yaml:"kind,omitempty" json:"kind,omitempty"`
@@ -94,15 +97,20 @@
 // Deadlines holds the latency targets and the total deadline of a kind. A target of zero is unset;
 // Total is required.
 type Deadlines struct {
-	FirstToken    Duration `yaml:"first_token,omitempty" json:"first_token,omitempty"`
+	// FirstToken is the target for the time from the request to its first token.
+	FirstToken Duration `yaml:"first_token,omitempty" json:"first_token,omitempty"`
+	// BetweenTokens is the target for the time from one token to the next.
 	BetweenTokens Duration `yaml:"between_tokens,omitempty" json:"between_tokens,omitempty"`
 	// Total limits the time until the complete response.
 	Total Duration `yaml:"total" json:"total"`
 }
 
-// ObjectiveWeights holds the weights of the terms in the planner's objective.
+// ObjectiveWeights holds the weights of the terms in the planner's objective. A weight of 0 is unset
+// and becomes its default value.
 type ObjectiveWeights struct {
-	Goodput     float64 `yaml:"goodput,omitempty" json:"goodput"`
+	// Goodput weighs the goodput gained by a change.
+	Goodput float64 `yaml:"goodput,omitempty" json:"goodput"`
+	// RoleChanges weighs the cost of role changes: the higher it is, the fewer changes are made.
 	RoleChanges float64 `yaml:"role_changes,omitempty" json:"role_changes"`
 }
 
@@ -117,9 +125,14 @@
 
 // CallerLimits holds the limits that each entry applies to one caller.
 type CallerLimits struct {
+	// RequestsPerSecond is the sustained rate. 0 means no limit.
 	RequestsPerSecond float64 `yaml:"requests_per_second,omitempty" json:"requests_per_second"`
-	Burst             int     `yaml:"burst,omitempty" json:"burst"`
-	Concurrent        int     `yaml:"concurrent,omitempty" json:"concurrent"`
+	// Burst is the number of requests accepted at once before the rate applies. 0 is unset and becomes
+	// the number of requests in one second, rounded up.
+	Burst int `yaml:"burst,omitempty" json:"burst"`
+	// Concurrent is the maximum number of requests in progress. 0 is unset and becomes
+	// DefaultConcurrent.
+	Concurrent int `yaml:"concurrent,omitempty" json:"concurrent"`
 }
 
 // Duration is a time.Duration written as a string such as "730ms".
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -120,7 +120,7 @@
 		{"burst without rate", lastKind, lastKind + "\nlimits: {per_caller: {burst: 3}}", `f.yaml:16:23: limits.per_caller.burst: found 3; allowed no value without requests_per_second`},
 		{"no kinds", "kinds:\n" + kindsSection, "kinds: []\n", `f.yaml:9:1: kinds: found 0 items; allowed 1 to 64 items`},
 		{"second document", lastKind, lastKind + "\n---\nservice: a", `f.yaml:17:1: document: found a second document; allowed one document in a file`},
-		{"control character", "type: model", "type: \x01", `f.yaml:2:7: document: found control character 0x01; allowed text`},
+		{"control character", "type: model", "type: \x01", `f.yaml:2:7: document: found control character 0x01; allowed text without control characters other than tab and line breaks`},
 		{"syntax", "type: model", "type: [", ``},
 		{"deep nesting", "type: model", "type: " + strings.Repeat("[", 17) + strings.Repeat("]", 17), `f.yaml:2:23: document: found nesting that is too deep; allowed at most 16 levels`},
 		{"long line", "type: model", "type: " + strings.Repeat("- ", 600), `f.yaml:2:1: document: found a line that is too long; allowed at most 1024 bytes in a line`},
--- a/document/errors.go
+++ b/document/errors.go
@@ -8,14 +8,15 @@
 	"strings"
 )
 
-// Error is one error in a document. Line and Column are 0 if the document was built in
+// Error is one error or warning in a document. Line and Column are 0 if the document was built in
 // memory rather than parsed.
 type Error struct {
 	File   string `yaml:"file,omitempty" json:"file,omitempty"`
 	Line   int    `yaml:"line" json:"line"`
 	Column int    `yaml:"column" json:"column"`
 	// Field is the path of the field, such as "kinds[0].deadlines.total".
-	Field   string `yaml:"field" json:"field"`
+	Field string `yaml:"field" json:"field"`
+	// Found and Allowed are phrases for the message "found X; allowed Y".
 	Found   string `yaml:"found" json:"found"`
 	Allowed string `yaml:"allowed" json:"allowed"`
 }
@@ -32,7 +33,8 @@
 	return fmt.Sprintf("%s:%d:%d: %s: found %s; allowed %s", file, e.Line, e.Column, field, e.Found, e.Allowed)
 }
 
-// Errors is the list of errors in a document, sorted by position.
+// Errors is a list of errors or warnings. Parse, ParseFile and Validate return it sorted by position,
+// with at most maxErrors entries.
 type Errors []*Error
 
 // Error implements error and returns one line per error.
--- a/document/parse.go
+++ b/document/parse.go
@@ -24,9 +24,9 @@
 	maxDepth = 16
 	// maxLineBytes limits the length of a line, and thereby the nesting depth of block collections.
 	maxLineBytes = 1024
-	// maxTokens limits the parsing time, which is quadratic in the number of fields of a mapping:
-	// 100,000 fields took 21 s.
-	maxTokens = 40_000
+	// maxYAMLTokens limits the parsing time, which is quadratic in the number of fields of a mapping:
+	// 100,000 fields take about 21 s.
+	maxYAMLTokens = 40_000
 )
 
 // Default values of optional fields.
@@ -46,7 +46,7 @@
 }
 
 // ParseFile is like Parse, but sets the file name in errors and also returns warnings: findings that
-// do not make the document invalid.
+// do not make the document invalid. Warnings may be returned together with an error.
 func ParseFile(file string, body []byte) (s *Service, warnings Errors, err error) {
 	s, d, err := decode(body)
 	if err == nil {
@@ -67,8 +67,9 @@
 	return s, warnings, nil
 }
 
-// decode returns an error only if the body has no usable syntax tree. Errors in individual fields are
-// collected in the decoder.
+// decode fills a Service and returns it with the decoder, which holds the errors in individual fields
+// and the positions of the fields. It returns an error only if the body exceeds the input limits or
+// cannot be parsed as one YAML mapping.
 func decode(body []byte) (s *Service, d *decoder, err error) {
 	if err := checkInputLimits(body); err != nil {
 		return nil, nil, Errors{err}
@@ -138,7 +139,7 @@
 		case b == '\n':
 			line, start = line+1, i+1
 		case b < ' ' && b != '\t' && b != '\r' || b == 0x7f:
-			return &Error{Line: line, Column: i - start + 1, Found: fmt.Sprintf("control character 0x%02x", b), Allowed: "text"}
+			return &Error{Line: line, Column: i - start + 1, Found: fmt.Sprintf("control character 0x%02x", b), Allowed: "text without control characters other than tab and line breaks"}
 		case i-start >= maxLineBytes:
 			return &Error{Line: line, Column: 1, Found: "a line that is too long", Allowed: fmt.Sprintf("at most %d bytes in a line", maxLineBytes)}
 		}
@@ -147,8 +148,8 @@
 		return &Error{Line: 1, Column: 1, Found: "invalid UTF-8", Allowed: "UTF-8"}
 	}
 	tokens := lexer.Tokenize(string(body))
-	if len(tokens) > maxTokens {
-		return &Error{Line: 1, Column: 1, Found: fmt.Sprintf("%d tokens", len(tokens)), Allowed: fmt.Sprintf("at most %d tokens", maxTokens)}
+	if len(tokens) > maxYAMLTokens {
+		return &Error{Line: 1, Column: 1, Found: fmt.Sprintf("%d tokens", len(tokens)), Allowed: fmt.Sprintf("at most %d tokens", maxYAMLTokens)}
 	}
 	depth := 0
 	for _, tk := range tokens {
@@ -191,7 +192,8 @@
 	}
 }
 
-// FindKind returns the first kind that matches a request with the values in m, or nil.
+// FindKind returns the first kind that matches a request with the values in m, or nil. PathPrefix in m
+// is the whole part of the request's path after /svc/<service>.
 func (s *Service) FindKind(m Match) *Kind {
 	for i := range s.Kinds {
 		if s.Kinds[i].Match.matches(m) {
@@ -201,9 +203,10 @@
 	return nil
 }
 
-func (m Match) matches(r Match) bool {
-	return (m.Kind == "" || m.Kind == r.Kind) &&
-		(m.Model == "" || m.Model == r.Model) &&
-		(m.Method == "" || m.Method == r.Method) &&
-		(m.PathPrefix == "" || len(r.PathPrefix) >= len(m.PathPrefix) && r.PathPrefix[:len(m.PathPrefix)] == m.PathPrefix)
+// matches reports whether a request with the given values matches m.
+func (m Match) matches(request Match) bool {
+	return (m.Kind == "" || m.Kind == request.Kind) &&
+		(m.Model == "" || m.Model == request.Model) &&
+		(m.Method == "" || m.Method == request.Method) &&
+		(m.PathPrefix == "" || len(request.PathPrefix) >= len(m.PathPrefix) && request.PathPrefix[:len(m.PathPrefix)] == m.PathPrefix)
 }
--- a/document/registry/history.go
+++ b/document/registry/history.go
@@ -20,15 +20,16 @@
 	}
 }
 
-// recordHistory creates the history entry of an accepted record and removes expired entries.
+// recordHistory creates the history entry of an accepted record and removes the
+// entries beyond HistoryLength.
 func recordHistory(ctx context.Context, kv external.KV, r *Record) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), historyTimeout)
 	defer cancel()
 	if !createHistoryEntry(ctx, kv, r) || r.Revision <= HistoryLength {
 		return
 	}
-	// Entries are created once and never updated, so their version is 1. Each write tries to
-	// remove several expired entries, in case an earlier removal failed.
+	// Entries are created once and never updated, so their version is 1. Each write tries to remove
+	// several of the entries beyond HistoryLength, in case an earlier removal failed.
 	const removalsPerWrite = 3
 	for revision := r.Revision - HistoryLength; revision > 0 && revision+HistoryLength+removalsPerWrite > r.Revision; revision-- {
 		if err := kv.Delete(ctx, HistoryKey(r.Service, revision), 1); err != nil && !errors.Is(err, external.ErrConflict) {
@@ -37,7 +38,8 @@
 	}
 }
 
-// createHistoryEntry reports whether the entry exists afterwards.
+// createHistoryEntry creates the history entry of a record unless there is one, and reports whether
+// the entry exists afterwards.
 func createHistoryEntry(ctx context.Context, kv external.KV, r *Record) bool {
 	entry := *r
 	entry.Recent = nil
--- a/document/registry/record.go
+++ b/document/registry/record.go
@@ -42,11 +42,15 @@
 	Service  string `json:"service" yaml:"service"`
 	Revision uint64 `json:"revision" yaml:"revision"`
 	// Body is empty if the service is deleted.
-	Body    []byte    `json:"body,omitempty" yaml:"-"`
-	Deleted bool      `json:"deleted,omitempty" yaml:"deleted,omitempty"`
-	Author  string    `json:"author" yaml:"author"`
-	WriteID string    `json:"write_id" yaml:"write_id"`
-	Time    time.Time `json:"time" yaml:"time"`
+	Body    []byte `json:"body,omitempty" yaml:"-"`
+	Deleted bool   `json:"deleted,omitempty" yaml:"deleted,omitempty"`
+	// Author is the name under which the document was applied or deleted.
+	Author string `json:"author" yaml:"author"`
+	// WriteID identifies the write that created the revision. It is empty only in the placeholder that
+	// readCurrent returns for a missing or invalid record.
+	WriteID string `json:"write_id" yaml:"write_id"`
+	// Time is the time of the write according to the writer's clock.
+	Time time.Time `json:"time" yaml:"time"`
 	// Recent lists the writes of the latest revisions, newest first, including this one. A writer
 	// whose response was lost can find its write here even after later writes by others.
 	Recent []Write `json:"recent,omitempty" yaml:"-"`
@@ -74,7 +78,7 @@
 func Decode(key string, value []byte) (Record, error) {
 	var r Record
 	if len(value) > maxValueBytes {
-		return Record{}, &CorruptRecordError{key, fmt.Sprintf("%d bytes", len(value))}
+		return Record{}, &CorruptRecordError{key, fmt.Sprintf("%d bytes exceed the maximum size of a value", len(value))}
 	}
 	if err := json.Unmarshal(value, &r); err != nil {
 		return Record{}, &CorruptRecordError{key, err.Error()}
@@ -97,7 +101,7 @@
 	case r.Deleted != (len(r.Body) == 0):
 		return fmt.Sprintf("deleted is %t and the body has %d bytes", r.Deleted, len(r.Body))
 	case len(r.Body) > document.MaxBytes:
-		return fmt.Sprintf("body of %d bytes", len(r.Body))
+		return fmt.Sprintf("body of %d bytes exceeds the maximum size of a document", len(r.Body))
 	case r.WriteID == "":
 		return "no write ID"
 	}
--- a/document/registry/registry.go
+++ b/document/registry/registry.go
@@ -21,7 +21,9 @@
 type ConflictError struct {
 	Service string
 	Base    uint64
-	// Winner is the current record in the key-value service. Its revision is 0 if there is none.
+	// Winner is the current record in the key-value service, which may be a tombstone. If the record is
+	// missing or invalid, Winner has no write ID, and its revision is the latest in the history, or 0 if
+	// there is none.
 	Winner Record
 	// Diff is the unified diff from the current body to the rejected one.
 	Diff string
@@ -33,7 +35,7 @@
 		return fmt.Sprintf("service %q does not exist; its base revision is 0, not %d", e.Service, e.Base)
 	}
 	if e.Winner.WriteID == "" {
-		return fmt.Sprintf("service %q has no valid record; its last known revision is %d, above base revision %d",
+		return fmt.Sprintf("service %q has no valid record; its last known revision is %d, not base revision %d",
 			e.Service, e.Winner.Revision, e.Base)
 	}
 	return fmt.Sprintf("service %q is at revision %d by %q, not at base revision %d",
@@ -70,9 +72,9 @@
 // at the base revision. Base 0 means that the service does not exist or is deleted. If the body is
 // equal to the current one, Apply returns the current record without writing.
 //
-// An invalid record can be replaced with any base that is not below the latest revision in the
-// history. The caller should pass the highest revision that any process is using, because processes
-// ignore lower revisions.
+// If the current record is invalid, Apply accepts any base that is not below the latest revision in
+// the history. The caller should then pass the highest revision that any process is using, because
+// processes ignore lower revisions.
 func Apply(ctx context.Context, kv external.KV, service string, base uint64, body []byte, author string) (Record, error) {
 	s, err := document.Parse(body)
 	if err != nil {
@@ -86,7 +88,9 @@
 	return writeNext(ctx, kv, Record{Service: service, Body: body, Author: author}, base)
 }
 
-// Delete replaces the service's record with a tombstone at the next revision.
+// Delete replaces the service's record with a tombstone at the next revision and returns it. The base
+// has the same meaning as for Apply. Delete returns ErrNotFound if there is no record, and the
+// current record without writing if that is a tombstone already.
 func Delete(ctx context.Context, kv external.KV, service string, base uint64, author string) (Record, error) {
 	if !document.ValidName(service) {
 		return Record{}, fmt.Errorf("%w: invalid name %q", ErrNotFound, service)
@@ -116,7 +120,7 @@
 	next.Time = time.Now().UTC().Truncate(time.Millisecond)
 	next.Recent = append([]Write{{next.Revision, next.WriteID}}, current.Recent...)
 	next.Recent = next.Recent[:min(len(next.Recent), HistoryLength)]
-	if err := compareAndSwap(ctx, kv, &next, version, base); err != nil {
+	if err := writeRecord(ctx, kv, &next, version, base); err != nil {
 		return Record{}, err
 	}
 	recordHistory(ctx, kv, &next)
@@ -146,14 +150,20 @@
 	return r, e.Version, nil
 }
 
+// checkBaseRevision returns nil if next may replace the current record. The arguments come from
+// readCurrent: current has no write ID if the record is missing or invalid, and version is 0 if its
+// key is missing.
 func checkBaseRevision(current, next *Record, version, base uint64) error {
-	hasRecord := current.WriteID != ""
+	hasValidRecord := current.WriteID != ""
 	switch {
-	case !hasRecord && version == 0 && next.Deleted:
+	// The key is missing, so there is nothing to delete.
+	case !hasValidRecord && version == 0 && next.Deleted:
 		return fmt.Errorf("%w: %q", ErrNotFound, next.Service)
-	case !hasRecord && version != 0 && base >= current.Revision:
+	// An invalid record may be replaced, but not with a revision that is in the history.
+	case !hasValidRecord && version != 0 && base >= current.Revision:
 		return nil
-	case base == current.Revision, base == 0 && current.Deleted && (hasRecord || version == 0):
+	// Base 0 is accepted for a deleted service and for a missing key, but not for an invalid record.
+	case base == current.Revision, base == 0 && current.Deleted && (hasValidRecord || version == 0):
 		return nil
 	}
 	return newConflictError(current, next, base)
@@ -168,9 +178,10 @@
 	return &ConflictError{Service: next.Service, Base: base, Winner: *current, Diff: diff}
 }
 
-// compareAndSwap writes the record. If the outcome of the write is unknown, it is determined before
-// returning.
-func compareAndSwap(ctx context.Context, kv external.KV, next *Record, version, base uint64) error {
+// writeRecord writes the record and returns a ConflictError if another write came first. If the
+// outcome of the write is unknown, it tries to determine it for up to resolveTimeout and otherwise
+// returns an OutcomeUnknownError.
+func writeRecord(ctx context.Context, kv external.KV, next *Record, version, base uint64) error {
 	value, err := next.encode()
 	if err != nil {
 		return err
@@ -190,6 +201,9 @@
 // resolveUnknownOutcome determines whether a write whose response was lost was applied. Reading the
 // old version back would prove nothing, because the write may still be in transit, so the same write
 // is sent again. At most one of the two can succeed, and both contain the same record.
+//
+// It returns nil if the write was applied, a ConflictError if it never will be, and an
+// OutcomeUnknownError if that cannot be determined within resolveTimeout.
 func resolveUnknownOutcome(ctx context.Context, kv external.KV, next *Record, version uint64, value []byte, base uint64) error {
 	// The outcome must be determined even if the caller's deadline has expired.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), resolveTimeout)
@@ -220,7 +234,7 @@
 func resolveConflict(ctx context.Context, kv external.KV, next *Record, base uint64) error {
 	current, _, err := readCurrent(ctx, kv, next.Service)
 	if err != nil {
-		return fmt.Errorf("service %q was changed by another write: %w", next.Service, errors.Join(external.ErrConflict, err))
+		return fmt.Errorf("service %q had a version conflict and its current record could not be read: %w", next.Service, errors.Join(external.ErrConflict, err))
 	}
 	if current.includesWrite(next.WriteID) {
 		return nil
--- a/document/registry/registry_test.go
+++ b/document/registry/registry_test.go
@@ -122,7 +122,8 @@
 	cases := map[string]struct {
 		// beforeRetry runs between the lost response and the second attempt.
 		beforeRetry func(s *kv.Store, expected uint64, value []byte)
-		want        uint64
+		// want is the revision that Apply returns; 0 means a ConflictError.
+		want uint64
 	}{
 		"write took effect": {func(s *kv.Store, expected uint64, value []byte) {
 			_, _ = s.CompareAndSwap(context.Background(), registry.ConfigKey(service), expected, value, 0)
@@ -232,6 +233,7 @@
 }
 
 func (f *flakyKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
+	// Each call takes some time, so that the calls of several writers overlap.
 	time.Sleep(time.Duration(len(key)) * time.Millisecond)
 	switch p := f.randomPercent(); {
 	case p < 10:
@@ -270,11 +272,12 @@
 	})
 }
 
+// runWriters runs concurrent writers and returns a violation that it found, or nil.
 func runWriters(ctx context.Context, seed uint64, writers int) error {
 	s := kv.NewStore(kv.Limits{})
 	var mu sync.Mutex
 	accepted := map[uint64]string{}
-	refused := map[string]bool{}
+	rejectedAuthors := map[string]bool{}
 	var wg sync.WaitGroup
 	var violation error
 	for w := range writers {
@@ -292,7 +295,7 @@
 					}
 					accepted[r.Revision], base = r.WriteID, r.Revision
 				case errors.As(err, &c):
-					refused[fmt.Sprintf("w%d-%d", w, i)] = true
+					rejectedAuthors[fmt.Sprintf("w%d-%d", w, i)] = true
 					base = c.Winner.Revision
 				}
 				mu.Unlock()
@@ -305,7 +308,7 @@
 	if err != nil && !errors.Is(err, registry.ErrNotFound) {
 		return err
 	}
-	if refused[last.Author] {
+	if rejectedAuthors[last.Author] {
 		return fmt.Errorf("revision %d by %s is stored although it was rejected", last.Revision, last.Author)
 	}
 	for _, w := range last.Recent {
--- a/document/validate.go
+++ b/document/validate.go
@@ -14,10 +14,10 @@
 const (
 	MaxDataCentres = 64
 	MaxModels      = 256
-	MaxAdapters    = 256
+	MaxAdapters    = 256 // per model
 	MaxKinds       = 64
-	// MaxWorkers exceeds the few dozen engines that one planner can handle, to leave room for plain
-	// services.
+	// MaxWorkers is the maximum per pool. It exceeds the few dozen engines that one planner can handle,
+	// to leave room for plain services.
 	MaxWorkers           = 512
 	MaxRank              = 100
 	MaxWeightsMiB        = 4 << 20 // 4 TiB
@@ -49,7 +49,8 @@
 // ValidName reports whether s is a valid name of a service, data centre or kind.
 func ValidName(s string) bool { return namePattern.MatchString(s) }
 
-// Validate checks a document that was built in memory. Documents returned by Parse are already valid.
+// Validate checks a document that was built in memory, without applying the default values. A non-nil
+// error has type Errors. Documents returned by Parse are already valid.
 func (s *Service) Validate() error {
 	v := &validator{}
 	v.validateService(s)
@@ -68,6 +69,7 @@
 }
 
 // locate returns the position of a field, or of its closest ancestor that is present in the file.
+// Without one it is 1:1, or 0:0 if no field has a position, as in a document built in memory.
 func (v *validator) locate(field string) position {
 	for field != "" {
 		if p, ok := v.positions[field]; ok {
@@ -80,7 +82,7 @@
 }
 
 func (v *validator) addError(field, found, allowed string) {
-	// A decoding error for the same field is more precise.
+	// Only the first error of a field is kept. A decoding error, which is more precise, comes first.
 	for _, e := range v.errs {
 		if e.Field == field {
 			return
--- a/document/validate_kinds.go
+++ b/document/validate_kinds.go
@@ -22,6 +22,7 @@
 		if k.Interruptible && !k.Repeatable {
 			v.addError(path+".interruptible", "true", "false if repeatable is false")
 		}
+		// A kind that an earlier one covers never applies.
 		for _, earlier := range s.Kinds[:i] {
 			if earlier.Match.covers(k.Match) {
 				v.addWarning(path+".match", "only requests that kind "+quoteValue(earlier.Name)+" takes first", "a match that some request reaches")
