--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -10,14 +10,14 @@
 // errInterrupted is the cancellation cause of an interruptible attempt that a planned change ends.
 var errInterrupted = errors.New("interrupted by a planned change")
 
-// Leave refuses new attempts until Stay is called, because the backend server or this process is
-// shutting down. Attempts in flight continue.
+// Leave refuses new attempts until Stay is called. It is used for a shutdown, for an operator's drain
+// (the Drain RPC), and when another sidecar has claimed the engine. Attempts in flight continue.
 func (s *Sidecar) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
 		s.leaving = true
-		s.log.WithField("in_flight", len(s.inFlight)).Info("draining: new attempts are refused")
+		s.log.WithField("in_flight", len(s.inFlight)).Info("leaving: new attempts are refused until the process ends or the drain is undone")
 	}
 }
 
@@ -40,8 +40,9 @@
 	}
 }
 
-// BeginDrain refuses new attempts during a planned change and cancels the interruptible ones in
-// flight. It implements order.Drainer.
+// BeginDrain refuses new attempts during a planned change, that is while an order is executed, and
+// cancels the interruptible ones in flight. It implements order.Drainer. The Drain RPC calls Leave
+// instead.
 func (s *Sidecar) BeginDrain(_ context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,12 +86,13 @@
 	return len(s.inFlight)
 }
 
-// Draining reports whether new attempts are refused.
+// Draining reports whether new attempts are refused with the reason "draining". Otherwise they may
+// still be refused because MaxInFlight is reached.
 func (s *Sidecar) Draining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainingLocked()
 }
 
-// drainingLocked reports whether new attempts are refused. The caller must hold mu.
+// drainingLocked implements Draining. The caller must hold mu.
 func (s *Sidecar) drainingLocked() bool { return s.leaving || s.listedLeaving || s.reconfiguring }
--- a/sidecar/execute.go
+++ b/sidecar/execute.go
@@ -30,10 +30,10 @@
 	if refused := s.admit(r, cancel); refused != nil {
 		return s.sendFinal(ctx, r, out, &v1.Final{Outcome: refused.outcome, Reason: refused.reason, Detail: refused.detail})
 	}
-	dispatched := true
-	defer func() { s.release(r, dispatched) }()
+	mayHaveRun := true
+	defer func() { s.release(r, mayHaveRun) }()
 	f := s.dispatch(ctx, r, out)
-	dispatched = f.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN
+	mayHaveRun = f.GetOutcome() != v1.Outcome_OUTCOME_NOT_RUN
 	return s.sendFinal(ctx, r, out, f)
 }
 
@@ -49,7 +49,7 @@
 // runModel streams the engine's answer to out and returns the content of the final frame.
 func (s *Sidecar) runModel(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
 	req := generateRequest(r)
-	req.KVHandle = s.importPromptKV(ctx, r)
+	req.KVHandle = s.tryImportPromptKV(ctx, r)
 	tokens, err := s.engine.Generate(ctx, req)
 	if err != nil {
 		f := s.finalForError(ctx, err)
@@ -88,8 +88,8 @@
 	return r.GetRequestId() + "/" + strconv.FormatUint(uint64(r.GetAttempt()), 10)
 }
 
-// runPlain sends a plain request to the backend server, sends its answer as a single frame and
-// returns the content of the final frame.
+// runPlain sends a plain request to the backend server, sends a non-empty body of the answer as a
+// single frame that counts as one token, and returns the content of the final frame.
 func (s *Sidecar) runPlain(ctx context.Context, r *v1.ExecuteRequest, out Sender) *v1.Final {
 	p := r.GetPlain()
 	resp, err := s.backend.Do(ctx, &external.PlainRequest{
@@ -126,7 +126,7 @@
 		f.Reason, f.Detail = v1.Reason_REASON_DRAINING, errInterrupted.Error()
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		f.Reason, f.Detail = v1.Reason_REASON_DEADLINE, "deadline passed while the request ran"
-	case ctx.Err() != nil:
+	case ctx.Err() != nil: // any other cancellation, by a Cancel call or a closed connection
 		f.Reason, f.Detail = v1.Reason_REASON_CANCELLED, "caller left"
 	case errors.Is(err, io.EOF):
 		f.Detail = "answer ended without a finish reason"
@@ -150,7 +150,8 @@
 }
 
 // Report returns a current load report without cache events. Only final frames carry cache events:
-// in probe responses they would use up to 2.5 KB/s of an entry's 4 KB/s budget for control traffic.
+// in probe responses they would take up to 2.5 KB/s of the 4 KB/s to which an entry limits its control
+// traffic.
 func (s *Sidecar) Report(_ context.Context) *v1.LoadReport {
 	r := &v1.LoadReport{
 		Instance: s.cfg.Instance, Incarnation: s.cfg.Incarnation, Sequence: s.sequence.Add(1),
@@ -166,7 +167,7 @@
 		pieces += a.pieces
 	}
 	s.mu.Unlock()
-	if v := s.state.Load(); v != nil {
+	if v := s.snapshot.Load(); v != nil {
 		r.TotalPieces = uint32(v.totalPieces)
 		r.Role = string(v.state.Config.Role)
 		for _, m := range v.state.Config.Models {
--- a/sidecar/prefill.go
+++ b/sidecar/prefill.go
@@ -16,14 +16,14 @@
 const (
 	// prefillChunkBytes is the maximum size of one chunk of an exported KV cache.
 	prefillChunkBytes = 1 << 20
-	// maxExportBytes is the maximum size of one prompt's KV cache: 128 Ki tokens of 16 KiB each.
-	maxExportBytes = 2 << 30
+	// maxTransferBytes is the maximum size of one prompt's KV cache: 128 Ki tokens of 16 KiB each.
+	maxTransferBytes = 2 << 30
 )
 
 // Errors of a KV cache transfer.
 var (
-	errExportTruncated = errors.New("KV cache transfer ended before its last chunk")
-	errExportTooLarge  = errors.New("KV cache transfer exceeds the maximum size")
+	errTransferTruncated = errors.New("KV cache transfer ended before its last chunk")
+	errTransferTooLarge  = errors.New("KV cache transfer exceeds the maximum of 2 GiB")
 )
 
 // ChunkSender sends the chunks of an exported KV cache.
@@ -84,14 +84,13 @@
 	return out.Send(&v1.PrefillChunk{Data: data, Last: true})
 }
 
-// importPromptKV fetches the KV cache of a prompt from the prefill sidecar named in the request,
-// imports it into the local engine and returns its handle. The handle is empty if the request names
-// no prefill sidecar or the transfer fails; the local engine then prefills the prompt itself.
-func (s *Sidecar) importPromptKV(ctx context.Context, r *v1.ExecuteRequest) string {
+// tryImportPromptKV calls importPromptKV and returns the handle. The handle is empty if the request
+// names no prefill sidecar or the transfer fails; the local engine then prefills the prompt itself.
+func (s *Sidecar) tryImportPromptKV(ctx context.Context, r *v1.ExecuteRequest) string {
 	if r.GetPrefill() == nil {
 		return ""
 	}
-	handle, err := s.fetchPromptKV(ctx, r)
+	handle, err := s.importPromptKV(ctx, r)
 	if err != nil {
 		s.log.WithFields(logrus.Fields{"request_id": r.GetRequestId(), "from": r.GetPrefill().GetInstance()}).
 			WithError(err).Info("KV cache transfer from the prefill engine failed; prefilling the prompt locally")
@@ -100,8 +99,9 @@
 	return handle
 }
 
-// fetchPromptKV receives the KV cache from the prefill sidecar and imports it into the local engine.
-func (s *Sidecar) fetchPromptKV(ctx context.Context, r *v1.ExecuteRequest) (string, error) {
+// importPromptKV fetches the KV cache of a prompt from the prefill sidecar named in the request,
+// imports it into the local engine and returns its handle there.
+func (s *Sidecar) importPromptKV(ctx context.Context, r *v1.ExecuteRequest) (string, error) {
 	stream, err := s.cfg.Peers.Worker(r.GetPrefill().GetAddress()).Prefill(ctx, connect.NewRequest(&v1.PrefillRequest{Attempt: prefillAttempt(r)}))
 	if err != nil {
 		return "", err
@@ -110,8 +110,8 @@
 	var data []byte
 	for stream.Receive() {
 		data = append(data, stream.Msg().GetData()...)
-		if len(data) > maxExportBytes {
-			return "", errExportTooLarge
+		if len(data) > maxTransferBytes {
+			return "", errTransferTooLarge
 		}
 		if stream.Msg().GetLast() {
 			return s.engine.ImportKV(ctx, data)
@@ -120,7 +120,7 @@
 	if err := stream.Err(); err != nil {
 		return "", err
 	}
-	return "", errExportTruncated
+	return "", errTransferTruncated
 }
 
 // prefillAttempt returns the attempt to send to the prefill sidecar. It is repeatable and names no
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -12,8 +12,8 @@
 	"github.com/quetzallug/quetzallug/order"
 )
 
-// errWrongTarget means that a message is addressed to another engine, pool or instance, or needs an
-// engine where there is none.
+// errWrongTarget refuses a message that is addressed to another engine, pool or instance. It also
+// refuses a message that needs an engine if this sidecar's backend server is a plain one.
 var errWrongTarget = errors.New("message is for another target")
 
 // Service implements WorkerService for a sidecar.
@@ -89,7 +89,7 @@
 	if s.orders != nil && pool == s.pool && engine == s.sidecar.cfg.Instance {
 		return nil
 	}
-	s.log.WithFields(logrus.Fields{"pool": pool, "engine": engine}).Warn("order message refused: wrong target")
+	s.log.WithFields(logrus.Fields{"pool": pool, "engine": engine}).Warn("order message refused: it is for another engine, or this sidecar has no engine")
 	return connect.NewError(connect.CodeInvalidArgument, errWrongTarget)
 }
 
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -45,8 +45,8 @@
 	Attempts once.ExecutorSettings
 }
 
-// Sidecar admits and runs the attempts of one backend server. Exactly one of engine and backend is
-// set.
+// Sidecar admits and runs the attempts of one backend server. Exactly one of engine and backend (a
+// plain backend server) is set.
 type Sidecar struct {
 	cfg     Config
 	engine  external.Engine
@@ -58,8 +58,10 @@
 	// dedup detects duplicate attempts. Lock order: mu before the lock of dedup.
 	dedup *once.Executor
 
+	// sequence numbers the load reports.
 	sequence atomic.Uint64
-	state    atomic.Pointer[engineSnapshot]
+	// snapshot is nil while the engine's state is unknown, and for a plain backend server.
+	snapshot atomic.Pointer[engineSnapshot]
 
 	// mu guards the fields below. It is not held during calls to the engine, the backend server or
 	// other processes.
@@ -71,7 +73,7 @@
 	// New attempts are refused while any of these flags is set.
 	leaving       bool // shutdown by a signal, an operator's drain, or another sidecar has claimed the engine
 	listedLeaving bool // the platform's instance list marks this instance as leaving
-	reconfiguring bool // an order is being executed
+	reconfiguring bool // a planned change: an order is being executed
 	// attemptEnded is closed and replaced whenever an attempt ends.
 	attemptEnded chan struct{}
 }
@@ -133,8 +135,9 @@
 }
 
 // admit registers an attempt as in flight and returns nil, or returns the reason for refusing it. A
-// refused attempt has no effect on the backend server. The outcome of a duplicate is "unknown" rather
-// than "not run", because the first copy may have run.
+// refused attempt has no effect on the backend server. The outcome of a duplicate, or of a
+// further attempt of an unrepeatable request, is "unknown" rather than "not run", because the earlier
+// one may have run.
 func (s *Sidecar) admit(r *v1.ExecuteRequest, cancel context.CancelCauseFunc) *refusal {
 	if refused := s.validate(r); refused != nil {
 		return refused
@@ -143,9 +146,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.dedup.Begin(time.Now(), s.onceAttempt(r)) {
-	case once.RefuseDuplicate:
+	case once.RefuseDuplicate: // this attempt, or another one of an unrepeatable request, was received before
 		return &refusal{v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DUPLICATE_ATTEMPT, "attempt was received before"}
-	case once.RefuseFull:
+	case once.RefuseFull: // the table of attempts is full
 		return notRun(v1.Reason_REASON_QUEUE_FULL, "too many recent attempts")
 	case once.RefuseIncarnation:
 		return notRun(v1.Reason_REASON_WRONG_INCARNATION, "this sidecar's incarnation is "+s.cfg.Incarnation)
@@ -155,10 +158,10 @@
 		return refused
 	}
 	s.countWorkLocked(r)
-	prompt, answer := int(r.GetModel().GetPromptTokens()), int(r.GetModel().GetMaxTokens())
+	promptTokens, maxTokens := int(r.GetModel().GetPromptTokens()), int(r.GetModel().GetMaxTokens())
 	s.inFlight[key] = &attempt{
-		cancel: cancel, interruptible: r.GetInterruptible(), prefillTokens: prompt, decodeTokens: answer,
-		pieces: (prompt + answer + external.PieceTokens - 1) / external.PieceTokens,
+		cancel: cancel, interruptible: r.GetInterruptible(), prefillTokens: promptTokens, decodeTokens: maxTokens,
+		pieces: (promptTokens + maxTokens + external.PieceTokens - 1) / external.PieceTokens,
 	}
 	s.metrics.InFlight(len(s.inFlight))
 	return nil
@@ -199,6 +202,7 @@
 		return notRun(v1.Reason_REASON_WRONG_INCARNATION, "an unrepeatable request must name the incarnation")
 	case r.GetRemainingMs() == 0:
 		return notRun(v1.Reason_REASON_DEADLINE, "deadline has passed")
+	// A model request needs an engine, a plain request a plain backend server.
 	case (s.engine != nil) != (r.GetModel() != nil) || (s.backend != nil) != (r.GetPlain() != nil):
 		return notRun(v1.Reason_REASON_INVALID, "request does not fit the kind of backend server")
 	case s.engine != nil && !s.modelLoaded(r.GetModel()):
@@ -210,7 +214,7 @@
 // modelLoaded reports whether the engine had loaded the model and adapter when its state was last
 // read.
 func (s *Sidecar) modelLoaded(m *v1.ModelRequest) bool {
-	v := s.state.Load()
+	v := s.snapshot.Load()
 	if v == nil {
 		return false
 	}
@@ -263,10 +267,10 @@
 	}
 }
 
-// release removes an attempt that has ended and wakes the callers of Wait. If the attempt was not
-// dispatched to the backend server, a further attempt of an unrepeatable request may run.
-func (s *Sidecar) release(r *v1.ExecuteRequest, dispatched bool) {
-	s.dedup.End(time.Now(), s.onceAttempt(r), dispatched)
+// release removes an attempt that has ended and wakes the callers of Wait. Unless the attempt may
+// have run on the backend server, a further attempt of an unrepeatable request is admitted.
+func (s *Sidecar) release(r *v1.ExecuteRequest, mayHaveRun bool) {
+	s.dedup.End(time.Now(), s.onceAttempt(r), mayHaveRun)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.inFlight, attemptKey{r.GetRequestId(), r.GetAttempt()})
@@ -324,17 +328,17 @@
 	state, err := s.engine.State(ctx)
 	if err != nil {
 		// An unreachable engine counts as having no models loaded until its state is read again.
-		s.state.Store(nil)
+		s.snapshot.Store(nil)
 		return err
 	}
 	// Only the capacity is used: the engine reports its load with a delay, and the sidecar counts
 	// the attempts in flight itself.
 	load, err := s.engine.Load(ctx)
 	if err != nil {
-		s.state.Store(nil)
+		s.snapshot.Store(nil)
 		return err
 	}
-	previous := s.state.Swap(&engineSnapshot{state: state, totalPieces: load.TotalPieces})
+	previous := s.snapshot.Swap(&engineSnapshot{state: state, totalPieces: load.TotalPieces})
 	if previous != nil && previous.state.StartID != state.StartID {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/stream/assembler.go
+++ b/stream/assembler.go
@@ -42,8 +42,9 @@
 type Assembler struct {
 	requestID string
 	attempt   uint32
-	next      uint64
-	complete  bool
+	// next is the number of tokens delivered, which is the offset of the next token.
+	next     uint64
+	complete bool
 }
 
 // NewAssembler returns an assembler for the answer to one request. Begin must be called before the
@@ -60,7 +61,8 @@
 }
 
 // Restart resets the offset to zero after the caller has discarded the delivered part of the answer.
-// Begin must follow: only then are frames of the earlier attempts dropped.
+// Begin must be called before the next Accept, because frames of the current attempt would still be
+// accepted.
 func (a *Assembler) Restart() { a.next = 0 }
 
 // Offset returns the number of tokens delivered so far, which is the next expected offset.
