--- a/test/boundary/boundary_test.go
+++ b/test/boundary/boundary_test.go
@@ -1,4 +1,4 @@
-// Package boundary checks that what the users' platform calls things stays in its adapter.
+// Package boundary checks that the names of the users' platform occur only in its adapter.
 package boundary
 
 import (
@@ -16,10 +16,10 @@
 
 const root = "../.."
 
-// adapterImport is the package that only the composition may import.
+// adapterImport is the import path of the adapter. Only the folders in mayImportAdapter may import it.
 const adapterImport = "github.com/quetzallug/quetzallug/platform"
 
-// wireNames are spelled so on the platform's wire and nowhere in the product.
+// wireNames are names of the platform's wire protocol, which the rest of the product must not use.
 var wireNames = []string{
 	"Quetzallug-Attempt", "Quetzallug-Deadline", "Quetzallug-Token", "Quetzallug-Prefix", "Quetzallug-Expect", "Quetzallug-Request-P",
 	"Quetzallug-Stage", "Quetzallug-Kv", "Quetzallug-Pin", "Quetzallug-Response", "Quetzallug-Not", "Quetzallug-Server", "Kv-Fetch",
@@ -27,13 +27,15 @@
 	"sticky-sessions", "traffic-split", "gap-aim-ms", "QUETZALLUG_CONFIG",
 }
 
-// allowed are the folders that may hold wire names: the adapter, and test equipment that speaks the wire.
-var allowed = []string{"platform", "standin/site", "test"}
+// mayUseWireNames lists the folders that may contain wire names: the adapter, and test code that implements
+// the wire protocol.
+var mayUseWireNames = []string{"platform", "standin/site", "test"}
 
-// composition may import the adapter.
-var composition = []string{"cmd", "test", "platform"}
+// mayImportAdapter lists the folders that may import the adapter: those that assemble the program, the
+// tests, and the adapter itself.
+var mayImportAdapter = []string{"cmd", "test", "platform"}
 
-// Guards against names of the wire, and imports of the adapter, that spread into the product.
+// Guards against wire names, and imports of the adapter, in the rest of the product.
 func TestWireNamesStayInTheAdapter(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -49,36 +51,36 @@
 			return nil
 		}
 		files++
-		check(t, path, filepath.ToSlash(rel))
+		checkFile(t, path, filepath.ToSlash(rel))
 		return nil
 	})
 	require.NoError(t, err)
 	require.Greater(t, files, 100)
 }
 
-func check(t *testing.T, path, rel string) {
+func checkFile(t *testing.T, path, rel string) {
 	source, err := os.ReadFile(path)
 	require.NoError(t, err)
-	if !in(rel, allowed) {
+	if !inAnyFolder(rel, mayUseWireNames) {
 		for _, name := range wireNames {
 			if strings.Contains(string(source), name) {
-				t.Errorf("%s holds the platform's name %q", rel, name)
+				t.Errorf("%s contains the wire name %q of the platform", rel, name)
 			}
 		}
 	}
-	if in(rel, composition) {
+	if inAnyFolder(rel, mayImportAdapter) {
 		return
 	}
 	f, err := parser.ParseFile(token.NewFileSet(), path, source, parser.ImportsOnly)
 	require.NoError(t, err)
-	for _, i := range f.Imports {
-		if p, _ := strconv.Unquote(i.Path.Value); p == adapterImport {
+	for _, spec := range f.Imports {
+		if p, _ := strconv.Unquote(spec.Path.Value); p == adapterImport {
 			t.Errorf("%s imports the adapter", rel)
 		}
 	}
 }
 
-func in(rel string, folders []string) bool {
+func inAnyFolder(rel string, folders []string) bool {
 	for _, f := range folders {
 		if strings.HasPrefix(rel, f+"/") {
 			return true
--- a/test/site/drawn_test.go
+++ b/test/site/drawn_test.go
@@ -16,229 +16,232 @@
 )
 
 var (
-	drawn     = flag.Int("drawn", 0, "number of deployments drawn with fresh seeds; 0 draws the fixed ones")
-	drawnSeed = flag.Uint64("drawn-seed", 0, "the only deployment to draw")
+	deploymentCount = flag.Int("drawn", 0, "number of random deployments to test with new seeds; 0 uses the fixed seeds")
+	deploymentSeed  = flag.Uint64("drawn-seed", 0, "seed of the only random deployment to test")
 )
 
 const (
-	fixedDrawn  = 25
-	drawnLength = 20 * time.Second
-	drawnCalls  = 150
+	fixedDeployments      = 25
+	faultPhase            = 20 * time.Second
+	requestsPerDeployment = 150
 )
 
-// Guards against code that leans on the deployments it was written for: services, counts, slots, stages,
-// kinds and time-outs are drawn, and so are the faults. Checks are what callers and workers saw.
+// Guards against code that only works in the deployments of the other tests: the services, the numbers of
+// workers and slots, the stages, the request kinds, the timeouts and the faults are random. Checks use only
+// what callers and workers observed.
 func TestDrawnDeployments(t *testing.T) {
 	var seeds []uint64
 	switch {
-	case *drawnSeed != 0:
-		seeds = []uint64{*drawnSeed}
-	case *drawn > 0:
-		for range *drawn {
+	case *deploymentSeed != 0:
+		seeds = []uint64{*deploymentSeed}
+	case *deploymentCount > 0:
+		for range *deploymentCount {
 			seeds = append(seeds, rand.Uint64())
 		}
 	default:
-		for i := range uint64(fixedDrawn) {
+		for i := range uint64(fixedDeployments) {
 			seeds = append(seeds, i+1)
 		}
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			bubble(t, func(_ *testing.T, w *world) { playDrawn(w, rand.New(rand.NewPCG(seed, seed))) })
+			runInBubble(t, func(_ *testing.T, env *testEnv) { runRandomDeployment(env, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-// deployment is what was drawn.
-type deployment struct {
-	*world
-	rnd     *rand.Rand
-	routes  []jsonMap
-	nodes   []*node
-	plain   int
-	engines int
+// randomDeployment is a testEnv with random workers, routes and gateways.
+type randomDeployment struct {
+	*testEnv
+	rnd          *rand.Rand
+	routes       []jsonMap
+	nodes        []*gatewayNode
+	plainWorkers int
+	engines      int
 }
 
-func between(rnd *rand.Rand, least, most int) int { return least + rnd.IntN(most-least+1) }
+func randomBetween(rnd *rand.Rand, low, high int) int { return low + rnd.IntN(high-low+1) }
 
-func playDrawn(w *world, rnd *rand.Rand) {
-	d := &deployment{world: w, rnd: rnd}
-	d.draw()
-	time.Sleep(settle)
+// runRandomDeployment sends requests during random faults, checks the responses, the retry budget and the
+// role orders, and then checks that requests succeed again.
+func runRandomDeployment(env *testEnv, rnd *rand.Rand) {
+	d := &randomDeployment{testEnv: env, rnd: rnd}
+	d.generate()
+	time.Sleep(settleTime)
 	var calls sync.WaitGroup
 	var mu sync.Mutex
-	replies := map[*reply]ask{}
-	for range drawnCalls {
-		a, n := d.ask(), d.nodes[rnd.IntN(len(d.nodes))]
-		after := time.Duration(rnd.IntN(int(drawnLength)))
+	responses := map[*response]request{}
+	for range requestsPerDeployment {
+		req, n := d.randomRequest(), d.nodes[rnd.IntN(len(d.nodes))]
+		delay := time.Duration(rnd.IntN(int(faultPhase)))
 		calls.Go(func() {
-			time.Sleep(after)
-			r := w.call(n, a)
+			time.Sleep(delay)
+			r := env.call(n, req)
 			mu.Lock()
-			replies[r] = a
+			responses[r] = req
 			mu.Unlock()
 		})
 	}
-	calls.Go(d.faults)
+	calls.Go(d.injectFaults)
 	calls.Wait()
-	for r, a := range replies {
-		w.check(r, a.path, a.events)
+	for r, req := range responses {
+		env.checkResponse(r, req.path, req.events)
 	}
-	d.checkBudget(len(replies))
-	w.checkOrders()
+	d.checkRetryBudget(len(responses))
+	env.checkOrders()
 
-	w.store.SetMode(site.StoreUp)
-	w.net.Heal()
-	for _, wk := range w.workers {
+	env.store.SetMode(site.StoreUp)
+	env.net.Heal()
+	for _, wk := range env.workers {
 		wk.SetFault(nil)
 	}
-	n := w.gateway("edge-last")
-	for _, a := range []ask{{path: pathRead + "x"}, {path: pathStream + "x", prompt: "zz:50", events: 1}} {
-		if _, decode := w.stages(); a.events == 0 || decode > 0 {
-			d.recovers(n, a)
+	n := env.addGateway("edge-last")
+	for _, req := range []request{{path: pathRead + "x"}, {path: pathStream + "x", prompt: "zz:50", events: 1}} {
+		if _, decode := env.countStages(); req.events == 0 || decode > 0 {
+			d.waitForRecovery(n, req)
 		}
 	}
 }
 
-// recoveryTime is the users' bound.
-const recoveryTime = 12 * time.Second
+// recoveryTimeout is the longest recovery time that the users allow.
+const recoveryTimeout = 12 * time.Second
 
-// recovers asks again, as callers do, until it is served.
-func (d *deployment) recovers(n *node, a ask) {
-	var r *reply
-	for end := time.Now().Add(recoveryTime); time.Now().Before(end); d.play(500 * time.Millisecond) {
-		if r = d.call(n, a); r.whole() {
+// waitForRecovery repeats a request until it succeeds, and fails the test after recoveryTimeout.
+func (d *randomDeployment) waitForRecovery(n *gatewayNode, req request) {
+	var r *response
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); d.runFor(500 * time.Millisecond) {
+		if r = d.call(n, req); r.succeeded() {
 			return
 		}
 	}
-	d.t.Errorf("%s is not served after the faults: %d %v %s", a.path, r.status, r.err, r.body)
+	d.t.Errorf("%s does not succeed after the faults: %d %v %s", req.path, r.status, r.err, r.body)
 }
 
-func (d *deployment) draw() {
+func (d *randomDeployment) generate() {
 	rnd := d.rnd
-	d.plain, d.engines = between(rnd, 1, 4), between(rnd, 0, 8)
-	for i := range d.plain {
-		d.worker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: between(rnd, 2, 16), Work: time.Duration(between(rnd, 1, 60)) * time.Millisecond})
+	d.plainWorkers, d.engines = randomBetween(rnd, 1, 4), randomBetween(rnd, 0, 8)
+	for i := range d.plainWorkers {
+		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: randomBetween(rnd, 2, 16), Work: time.Duration(randomBetween(rnd, 1, 60)) * time.Millisecond})
 	}
-	second := between(rnd, 0, 2)
-	for i := range second {
-		d.worker(site.WorkerConfig{ID: fmt.Sprintf("i-api2-%d", i), Service: "api2", Slots: between(rnd, 2, 16)})
+	api2Workers := randomBetween(rnd, 0, 2)
+	for i := range api2Workers {
+		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api2-%d", i), Service: "api2", Slots: randomBetween(rnd, 2, 16)})
 	}
 	for i := range d.engines {
 		stage := "decode"
 		if rnd.IntN(3) == 0 {
 			stage = "prefill"
 		}
-		d.worker(site.WorkerConfig{
-			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: between(rnd, 2, 48), Stage: stage, RoleSwitch: 3 * time.Second,
-			Work: time.Duration(between(rnd, 1, 50)) * time.Millisecond, PerToken: time.Duration(between(rnd, 1, 20)) * time.Microsecond,
+		d.addWorker(site.WorkerConfig{
+			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: randomBetween(rnd, 2, 48), Stage: stage, RoleSwitch: 3 * time.Second,
+			Work: time.Duration(randomBetween(rnd, 1, 50)) * time.Millisecond, PerToken: time.Duration(randomBetween(rnd, 1, 20)) * time.Microsecond,
 		})
 	}
-	read := routeOf("read", pathRead, "idempotent", "api", d.limits())
-	if second > 0 && rnd.IntN(2) == 0 {
+	read := routeConfig("read", pathRead, "idempotent", "api", d.randomRouteSettings())
+	if api2Workers > 0 && rnd.IntN(2) == 0 {
 		delete(read, "service")
-		read["traffic-split"] = []jsonMap{{"service": "api", "weight": between(rnd, 1, 99)}, {"service": "api2", "weight": between(rnd, 0, 50)}}
+		read["traffic-split"] = []jsonMap{{"service": "api", "weight": randomBetween(rnd, 1, 99)}, {"service": "api2", "weight": randomBetween(rnd, 0, 50)}}
 	}
 	stream := func(resumable bool) jsonMap {
-		m := d.limits()
+		m := d.randomRouteSettings()
 		m["sticky-sessions"], m["resumable"], m["gap-aim-ms"] = rnd.IntN(4) > 0, resumable, 200
 		return m
 	}
 	d.routes = []jsonMap{
-		read, routeOf("once", pathOnce, "non_idempotent", "api", d.limits()),
-		routeOf("resume", pathResume, "streaming", "llm", stream(true)), routeOf("stream", pathStream, "streaming", "llm", stream(false)),
+		read, routeConfig("once", pathOnce, "non_idempotent", "api", d.randomRouteSettings()),
+		routeConfig("resume", pathResume, "streaming", "llm", stream(true)), routeConfig("stream", pathStream, "streaming", "llm", stream(false)),
 	}
-	d.configure(d.routes...)
-	for i := range between(rnd, 1, 4) {
-		d.nodes = append(d.nodes, d.gateway(fmt.Sprintf("edge-%d", i)))
+	d.writeConfig(d.routes...)
+	for i := range randomBetween(rnd, 1, 4) {
+		d.nodes = append(d.nodes, d.addGateway(fmt.Sprintf("edge-%d", i)))
 	}
 }
 
-func (d *deployment) limits() jsonMap {
-	return jsonMap{"timeout-ms": between(d.rnd, 500, 3000), "max-attempts": between(d.rnd, 1, 3), "priority": d.rnd.IntN(4), "target-latency-ms": between(d.rnd, 50, 500)}
+func (d *randomDeployment) randomRouteSettings() jsonMap {
+	return jsonMap{"timeout-ms": randomBetween(d.rnd, 500, 3000), "max-attempts": randomBetween(d.rnd, 1, 3), "priority": d.rnd.IntN(4), "target-latency-ms": randomBetween(d.rnd, 50, 500)}
 }
 
-func (d *deployment) ask() ask {
+func (d *randomDeployment) randomRequest() request {
 	rnd := d.rnd
-	a := ask{path: []string{pathRead, pathOnce, pathResume, pathStream}[rnd.IntN(4)] + fmt.Sprint(rnd.IntN(1000)), body: strings.Repeat("b", rnd.IntN(5000))}
-	if strings.HasPrefix(a.path, pathResume) || strings.HasPrefix(a.path, pathStream) {
-		a.events = between(rnd, 1, 9)
-		a.prompt = fmt.Sprintf("a%d:%d,b%d:%d,c%d:%d", rnd.IntN(3), 1000, rnd.IntN(9), 2000, rnd.IntN(1e9), between(rnd, 10, 4000))
+	req := request{path: []string{pathRead, pathOnce, pathResume, pathStream}[rnd.IntN(4)] + fmt.Sprint(rnd.IntN(1000)), body: strings.Repeat("b", rnd.IntN(5000))}
+	if strings.HasPrefix(req.path, pathResume) || strings.HasPrefix(req.path, pathStream) {
+		req.events = randomBetween(rnd, 1, 9)
+		req.prompt = fmt.Sprintf("a%d:%d,b%d:%d,c%d:%d", rnd.IntN(3), 1000, rnd.IntN(9), 2000, rnd.IntN(1e9), randomBetween(rnd, 10, 4000))
 	}
 	if rnd.IntN(10) == 0 {
-		a.leave = time.Duration(between(rnd, 5, 400)) * time.Millisecond
+		req.disconnectAfter = time.Duration(randomBetween(rnd, 5, 400)) * time.Millisecond
 	}
-	return a
+	return req
 }
 
-// faults come one after the other, each for a while; many overlap.
-func (d *deployment) faults() {
-	var running sync.WaitGroup
-	for end := time.Now().Add(drawnLength); time.Now().Before(end); {
+// injectFaults starts random faults during faultPhase. Faults may overlap.
+func (d *randomDeployment) injectFaults() {
+	var wg sync.WaitGroup
+	for end := time.Now().Add(faultPhase); time.Now().Before(end); {
 		rnd := rand.New(rand.NewPCG(d.rnd.Uint64(), 1))
-		running.Go(func() { d.fault(rnd) })
-		d.show()
-		time.Sleep(time.Duration(between(d.rnd, 100, 1500)) * time.Millisecond)
+		wg.Go(func() { d.injectFault(rnd) })
+		d.refreshRegistrations()
+		time.Sleep(time.Duration(randomBetween(d.rnd, 100, 1500)) * time.Millisecond)
 	}
-	running.Wait()
+	wg.Wait()
 }
 
-func (d *deployment) fault(rnd *rand.Rand) {
-	lasts := time.Duration(between(rnd, 100, 4000)) * time.Millisecond
+func (d *randomDeployment) injectFault(rnd *rand.Rand) {
+	duration := time.Duration(randomBetween(rnd, 100, 4000)) * time.Millisecond
 	wk, n := d.workers[rnd.IntN(len(d.workers))], d.nodes[rnd.IntN(len(d.nodes))]
 	switch rnd.IntN(9) {
 	case 0, 1, 2:
-		kind, share, count := site.Fault(between(rnd, 1, int(site.FaultUnframed))), between(rnd, 1, 4), 0
+		kind, every, count := site.Fault(randomBetween(rnd, 1, int(site.FaultUnframed))), randomBetween(rnd, 1, 4), 0
 		wk.SetFault(func(*http.Request) site.Fault {
-			if count++; count%share == 0 {
+			if count++; count%every == 0 {
 				return kind
 			}
 			return site.FaultNone
 		})
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		wk.SetFault(nil)
 	case 3:
-		d.store.SetMode(site.StoreMode(between(rnd, 1, 3)))
-		time.Sleep(lasts)
+		d.store.SetMode(site.StoreMode(randomBetween(rnd, 1, 3)))
+		time.Sleep(duration)
 		d.store.SetMode(site.StoreUp)
 	case 4:
 		d.net.Cut(n.host.Name, wk.ID(), true)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		d.net.Cut(n.host.Name, wk.ID(), false)
 	case 5:
 		d.net.Cut("store", n.host.Name, true)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		d.net.Cut("store", n.host.Name, false)
 	case 6:
 		d.store.Remove("servers/" + wk.ID())
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		wk.Register(d.store)
 	case 7:
-		d.configure(d.routes...)
+		d.writeConfig(d.routes...)
 		d.store.Compact()
 	case 8:
-		d.store.LoseWrites(between(rnd, 1, 3), lasts)
+		d.store.LoseWrites(randomBetween(rnd, 1, 3), duration)
 		d.store.EndLeases()
 	}
 }
 
-// checkBudget counts the arrivals beyond the first of each request. The first reading of its prompt that
-// an engine accepts is not one.
-func (d *deployment) checkBudget(requests int) {
-	arrivals, read := map[string]int{}, map[string]bool{}
+// checkRetryBudget counts the arrivals after the first of each request, without one completed prefill, and
+// compares them with the retry budget.
+func (d *randomDeployment) checkRetryBudget(requests int) {
+	arrivals, prefilled := map[string]int{}, map[string]bool{}
 	for _, wk := range d.workers {
 		for _, id := range wk.Arrivals() {
 			arrivals[id]++
 		}
 		for _, r := range wk.Runs() {
-			read[r.ID] = read[r.ID] || (r.Prefill && r.Finished)
+			prefilled[r.ID] = prefilled[r.ID] || (r.Prefill && r.Finished)
 		}
 	}
 	extra := 0
 	for id, n := range arrivals {
-		if extra += n - 1; read[id] {
+		if extra += n - 1; prefilled[id] {
 			extra--
 		}
 	}
-	require.LessOrEqual(d.t, float64(extra), 0.2*float64(requests)+float64(len(d.nodes)), "arrivals beyond the first of %d requests", requests)
+	require.LessOrEqual(d.t, float64(extra), 0.2*float64(requests)+float64(len(d.nodes)), "too many retries of %d requests", requests)
 }
--- a/test/site/gateway_test.go
+++ b/test/site/gateway_test.go
@@ -14,66 +14,70 @@
 	"github.com/quetzallug/quetzallug/standin/site"
 )
 
-const prompt = "aa:2000,bb:3000,cc:1000"
+const longPrompt = "aa:2000,bb:3000,cc:1000"
 
-// calm starts two plain workers, three engines and a gateway that knows them.
-func calm(w *world) *node {
-	w.configure()
-	w.worker(site.WorkerConfig{ID: "i-a", Service: "api"})
-	w.worker(site.WorkerConfig{ID: "i-b", Service: "api"})
+// startDefaultDeployment starts two plain workers, one prefill engine, two decode engines and a gateway,
+// and waits until the gateway has read their registrations.
+func startDefaultDeployment(env *testEnv) *gatewayNode {
+	env.writeConfig()
+	env.addWorker(site.WorkerConfig{ID: "i-a", Service: "api"})
+	env.addWorker(site.WorkerConfig{ID: "i-b", Service: "api"})
 	for _, e := range []struct{ id, stage string }{{"i-p", "prefill"}, {"i-d", "decode"}, {"i-e", "decode"}} {
-		w.worker(site.WorkerConfig{ID: e.id, Service: "llm", Stage: e.stage, PerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second})
+		env.addWorker(site.WorkerConfig{ID: e.id, Service: "llm", Stage: e.stage, PerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second})
 	}
-	n := w.gateway("edge-1")
-	time.Sleep(settle)
+	n := env.addGateway("edge-1")
+	time.Sleep(settleTime)
 	return n
 }
 
-func bubble(t *testing.T, f func(*testing.T, *world)) {
+// runInBubble runs f with a new testEnv in a synctest bubble.
+func runInBubble(t *testing.T, f func(*testing.T, *testEnv)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		// Also when a check fails: a goroutine that is left over ends the bubble with a panic.
-		defer w.stop()
-		f(t, w)
+		env := newTestEnv(t)
+		// Deferred, so that it also runs when a check fails: synctest panics if goroutines remain.
+		defer env.stop()
+		f(t, env)
 	})
 }
 
-// Guards against a path that serves nothing, or not unchanged.
+// Guards against a gateway that, without any faults, fails requests or changes them on the way.
 func TestCalm(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		for _, a := range []ask{
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		for _, req := range []request{
 			{path: pathRead + "x?q=1%20", method: http.MethodGet},
 			{path: pathOnce + "y", body: strings.Repeat("b", 5000)},
-			{path: pathResume + "z", prompt: prompt, events: 3, body: "p"},
-			{path: pathStream + "z", prompt: prompt, events: 5, body: "p"},
+			{path: pathResume + "z", prompt: longPrompt, events: 3, body: "p"},
+			{path: pathStream + "z", prompt: longPrompt, events: 5, body: "p"},
 		} {
-			r := w.call(n, a)
-			require.True(t, r.whole(), "%s: %d %v %q", a.path, r.status, r.err, r.body)
-			w.check(r, a.path, a.events)
-			runs := w.runsOf(r.id)
+			r := env.call(n, req)
+			require.True(t, r.succeeded(), "%s: %d %v %q", req.path, r.status, r.err, r.body)
+			env.checkResponse(r, req.path, req.events)
+			runs := env.runsOf(r.id)
 			require.Len(t, runs, 1)
-			require.Equal(t, a.body, runs[0].Body)
-			require.Equal(t, a.path, runs[0].Target)
+			require.Equal(t, req.body, runs[0].Body)
+			require.Equal(t, req.path, runs[0].Target)
 			require.InDelta(t, 2000, runs[0].Deadline, 200)
 		}
 	})
 }
 
-// Guards against long prompts that engines read at half their speed although prefill engines are free.
+// Guards against long prompts that are prefilled on decode engines, which take twice as long, although a
+// prefill engine is free. Short prompts stay on the decode engine.
 func TestLongPromptsAreReadOnPrefillEngines(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		r := w.call(n, ask{path: pathStream + "z", prompt: prompt, events: 2})
-		require.True(t, r.whole())
-		require.NotEmpty(t, w.runsOf(r.id)[0].Source)
-		r = w.call(n, ask{path: pathStream + "z", prompt: "dd:50,ee:60", events: 2})
-		require.True(t, r.whole())
-		require.Empty(t, w.runsOf(r.id)[0].Source)
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		r := env.call(n, request{path: pathStream + "z", prompt: longPrompt, events: 2})
+		require.True(t, r.succeeded())
+		require.NotEmpty(t, env.runsOf(r.id)[0].Source)
+		r = env.call(n, request{path: pathStream + "z", prompt: "dd:50,ee:60", events: 2})
+		require.True(t, r.succeeded())
+		require.Empty(t, env.runsOf(r.id)[0].Source)
 	})
 }
 
-// Guards against requests that are broken, doubled, mixed up or falsely refused when workers misbehave.
+// Guards against responses that are corrupt, duplicated, swapped between requests or wrongly refused
+// when workers fail.
 func TestWorkerFaults(t *testing.T) {
 	faults := map[string]site.Fault{
 		"shed": site.FaultShed, "error": site.FaultError, "reset early": site.FaultResetEarly, "lost": site.FaultLost,
@@ -82,9 +86,9 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, w *world) {
-				n := calm(w)
-				for _, wk := range w.workers {
+			runInBubble(t, func(t *testing.T, env *testEnv) {
+				n := startDefaultDeployment(env)
+				for _, wk := range env.workers {
 					count := 0
 					wk.SetFault(func(*http.Request) site.Fault {
 						if count++; count%2 == 1 {
@@ -93,147 +97,150 @@
 						return site.FaultNone
 					})
 				}
-				served := 0
+				successes := 0
 				for range 6 {
-					for _, a := range []ask{
+					for _, req := range []request{
 						{path: pathRead + "x", method: http.MethodGet},
 						{path: pathOnce + "x", body: strings.Repeat("b", 30000)},
-						{path: pathResume + "x", prompt: prompt, events: 4},
-						{path: pathStream + "x", prompt: prompt, events: 4},
+						{path: pathResume + "x", prompt: longPrompt, events: 4},
+						{path: pathStream + "x", prompt: longPrompt, events: 4},
 					} {
-						if fault == site.FaultEarly && strings.HasPrefix(a.path, pathResume) {
+						if fault == site.FaultEarly && strings.HasPrefix(req.path, pathResume) {
 							continue
 						}
-						if fault == site.FaultEarly && strings.HasPrefix(a.path, pathStream) {
+						if fault == site.FaultEarly && strings.HasPrefix(req.path, pathStream) {
 							continue
 						}
-						r := w.call(n, a)
-						w.check(r, a.path, a.events)
-						if r.whole() {
-							served++
+						r := env.call(n, req)
+						env.checkResponse(r, req.path, req.events)
+						if r.succeeded() {
+							successes++
 						}
 					}
 				}
-				require.Positive(t, served)
+				require.Positive(t, successes)
 			})
 		})
 	}
 }
 
-// Guards against a request that may be repeated and fails because one worker failed.
+// Guards against a repeatable request that fails because one worker failed, instead of being retried on
+// another.
 func TestRepeatableRequestsAreSentAgain(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		// The retry budget is a share of earlier requests.
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		// The retry budget is a share of recent requests, so these come first.
 		for range 20 {
-			require.True(t, w.call(n, ask{path: pathRead + "warm"}).whole())
-			require.True(t, w.call(n, ask{path: pathStream + "warm", prompt: "dd:50", events: 1}).whole())
+			require.True(t, env.call(n, request{path: pathRead + "warm"}).succeeded())
+			require.True(t, env.call(n, request{path: pathStream + "warm", prompt: "dd:50", events: 1}).succeeded())
 		}
-		for _, a := range []ask{{path: pathRead + "x"}, {path: pathResume + "x", prompt: "ff:50,gg:50", events: 4}} {
+		for _, req := range []request{{path: pathRead + "x"}, {path: pathResume + "x", prompt: "ff:50,gg:50", events: 4}} {
 			var once sync.Once
-			for _, wk := range w.workers {
+			for _, wk := range env.workers {
 				wk.SetFault(func(*http.Request) (f site.Fault) {
 					once.Do(func() { f = site.FaultTruncate })
 					return f
 				})
 			}
-			r := w.call(n, a)
-			require.True(t, r.whole(), "%s: %d %v %q", a.path, r.status, r.err, r.body)
-			w.check(r, a.path, a.events)
-			require.Len(t, w.runsOf(r.id), 2)
+			r := env.call(n, req)
+			require.True(t, r.succeeded(), "%s: %d %v %q", req.path, r.status, r.err, r.body)
+			env.checkResponse(r, req.path, req.events)
+			require.Len(t, env.runsOf(r.id), 2)
 		}
 	})
 }
 
-// Guards against more repeats than the share of requests that all entries together may send.
+// Guards against a gateway that retries a larger share of requests than its retry budget allows
+// when all workers fail.
 func TestRetryBudgetHoldsUnderFailure(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		for _, wk := range w.workers {
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		for _, wk := range env.workers {
 			wk.SetFault(func(*http.Request) site.Fault { return site.FaultError })
 		}
 		const requests = 200
 		for range requests {
-			r := w.call(n, ask{path: pathRead + "x", method: http.MethodGet})
+			r := env.call(n, request{path: pathRead + "x", method: http.MethodGet})
 			require.Equal(t, http.StatusInternalServerError, r.status)
 			time.Sleep(10 * time.Millisecond)
 		}
 		arrivals := 0
-		for _, wk := range w.workers {
+		for _, wk := range env.workers {
 			arrivals += len(wk.Arrivals())
 		}
 		require.LessOrEqual(t, arrivals-requests, requests/5+1)
-		require.Greater(t, arrivals, requests, "nothing was sent again")
+		require.Greater(t, arrivals, requests, "no request was retried")
 	})
 }
 
-// Guards against a worker that goes on after its caller has left.
+// Guards against a worker that continues a request after the caller has disconnected.
 func TestLeavingCallersEndTheRun(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		r := w.call(n, ask{path: pathStream + "x", prompt: "dd:50,ee:60", events: 50, leave: 200 * time.Millisecond})
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		r := env.call(n, request{path: pathStream + "x", prompt: "dd:50,ee:60", events: 50, disconnectAfter: 200 * time.Millisecond})
 		time.Sleep(300 * time.Millisecond)
-		runs := w.runsOf(r.id)
+		runs := env.runsOf(r.id)
 		require.Len(t, runs, 1)
 		require.False(t, runs[0].Ended.IsZero())
 		require.Less(t, runs[0].Ended.Sub(runs[0].Started), 400*time.Millisecond)
 
-		// A worker that sends nothing shows the end of the caller only if the gateway watches for it.
-		for _, wk := range w.workers {
+		// While a worker sends nothing, no write to the caller fails, so the gateway has to watch the
+		// connection of the caller.
+		for _, wk := range env.workers {
 			wk.SetFault(func(*http.Request) site.Fault { return site.FaultHang })
 		}
-		r = w.call(n, ask{path: pathOnce + "x", leave: 200 * time.Millisecond})
+		r = env.call(n, request{path: pathOnce + "x", disconnectAfter: 200 * time.Millisecond})
 		time.Sleep(300 * time.Millisecond)
-		runs = w.runsOf(r.id)
+		runs = env.runsOf(r.id)
 		require.Len(t, runs, 1)
 		require.False(t, runs[0].Ended.IsZero())
 		require.Less(t, runs[0].Ended.Sub(runs[0].Started), 400*time.Millisecond)
 	})
 }
 
-// Guards against requests that reach a draining worker after the drain bound.
+// Guards against requests to a worker that has been draining for longer than the gateway takes to notice.
 func TestDrainingWorkersGetNothing(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		w.workers[0].Drain(w.store)
-		time.Sleep(settle)
-		before := len(w.workers[0].Arrivals())
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		env.workers[0].Drain(env.store)
+		time.Sleep(settleTime)
+		before := len(env.workers[0].Arrivals())
 		for range 20 {
-			require.True(t, w.call(n, ask{path: pathOnce + "x"}).whole())
+			require.True(t, env.call(n, request{path: pathOnce + "x"}).succeeded())
 		}
-		require.Len(t, w.workers[0].Arrivals(), before)
+		require.Len(t, env.workers[0].Arrivals(), before)
 	})
 }
 
-// Guards against a registration that lapsed during an outage of the store and costs a living worker,
-// and against one that is kept although its worker has left in calm.
+// Guards against the removal of a running worker whose registration lapsed during an outage of the
+// store, and against registrations that are kept although they were deleted while the store was available.
 func TestLapsedRegistrations(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		w.store.Remove("servers/i-a")
-		time.Sleep(settle)
-		require.Len(t, n.roster.Servers("api"), 1, "left in calm")
-		w.workers[0].Register(w.store)
-		time.Sleep(settle)
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		env.store.Remove("servers/i-a")
+		time.Sleep(settleTime)
+		require.Len(t, n.roster.Servers("api"), 1, "deleted while the store was available")
+		env.workers[0].Register(env.store)
+		time.Sleep(settleTime)
 		require.Len(t, n.roster.Servers("api"), 2)
 
-		w.store.SetMode(site.StoreBusy)
+		env.store.SetMode(site.StoreBusy)
 		time.Sleep(3 * time.Second)
-		w.store.Remove("servers/i-a")
-		w.store.Remove("servers/i-b")
-		w.store.SetMode(site.StoreUp)
-		time.Sleep(settle)
-		require.Len(t, n.roster.Servers("api"), 2, "lapsed while the store was away")
-		w.workers[0].Register(w.store)
+		env.store.Remove("servers/i-a")
+		env.store.Remove("servers/i-b")
+		env.store.SetMode(site.StoreUp)
+		time.Sleep(settleTime)
+		require.Len(t, n.roster.Servers("api"), 2, "lapsed while the store was unavailable")
+		env.workers[0].Register(env.store)
 		time.Sleep(3 * time.Second)
-		require.Len(t, n.roster.Servers("api"), 1, "the other one did not return")
+		require.Len(t, n.roster.Servers("api"), 1, "the other worker did not register again")
 	})
 }
 
-// Guards against entries of other writers that take requests.
+// Guards against requests that are routed to invalid registrations written by other clients of the store.
 func TestForgedRegistrations(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
 		for key, value := range map[string]any{
 			"servers/x1": []byte("\xff\x00 not json"), "servers/x2": jsonMap{"service": "api"},
 			"servers/x3": jsonMap{"service": "api", "address": 5, "zone": "z", "slots": 1, "state": "ready"},
@@ -241,163 +248,166 @@
 			"servers/x5": jsonMap{"service": "api", "address": "nowhere", "zone": "z", "slots": 1, "state": "ready"},
 			"servers/x6": jsonMap{"service": "api", "address": "10.1.64.1:8080", "zone": "z", "slots": 1, "state": "ready", "born": 1.5},
 		} {
-			w.store.Put(key, value)
+			env.store.Put(key, value)
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		require.Len(t, n.roster.Servers("api"), 2)
 	})
 }
 
-// Guards against a worker of another service that gets requests at the address of one that has gone.
+// Guards against requests that run on a worker of another service because it reuses the address of a
+// worker whose registration still exists.
 func TestReusedAddress(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		w.configure()
-		w.worker(site.WorkerConfig{ID: "i-new", Service: "api2", Address: "10.1.64.9:8080"})
-		w.worker(site.WorkerConfig{ID: "i-b", Service: "api"})
-		w.store.Put("servers/i-old", jsonMap{"service": "api", "address": "10.1.64.9:8080", "zone": "z", "slots": 6, "state": "ready"})
-		n := w.gateway("edge-1")
-		time.Sleep(settle)
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		env.writeConfig()
+		env.addWorker(site.WorkerConfig{ID: "i-new", Service: "api2", Address: "10.1.64.9:8080"})
+		env.addWorker(site.WorkerConfig{ID: "i-b", Service: "api"})
+		env.store.Put("servers/i-old", jsonMap{"service": "api", "address": "10.1.64.9:8080", "zone": "z", "slots": 6, "state": "ready"})
+		n := env.addGateway("edge-1")
+		time.Sleep(settleTime)
 		for range 10 {
-			r := w.call(n, ask{path: pathOnce + "x"})
-			w.check(r, pathOnce+"x", 0)
+			r := env.call(n, request{path: pathOnce + "x"})
+			env.checkResponse(r, pathOnce+"x", 0)
 		}
-		require.Empty(t, w.workers[0].Runs())
+		require.Empty(t, env.workers[0].Runs())
 	})
 }
 
-// Guards against a configuration that comes late, goes back, or a 404 before any is known.
+// Guards against 404 responses before a configuration is known, and against configuration changes that
+// are applied late or replaced by an older version.
 func TestConfiguration(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		w.store.SetMode(site.StoreSilent)
-		n := w.gateway("edge-1")
-		time.Sleep(settle)
-		require.Equal(t, http.StatusServiceUnavailable, w.call(n, ask{path: pathRead + "x"}).status)
-		w.configure()
-		w.worker(site.WorkerConfig{ID: "i-a", Service: "api"})
-		w.store.SetMode(site.StoreUp)
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		env.store.SetMode(site.StoreSilent)
+		n := env.addGateway("edge-1")
+		time.Sleep(settleTime)
+		require.Equal(t, http.StatusServiceUnavailable, env.call(n, request{path: pathRead + "x"}).status)
+		env.writeConfig()
+		env.addWorker(site.WorkerConfig{ID: "i-a", Service: "api"})
+		env.store.SetMode(site.StoreUp)
 		time.Sleep(2 * time.Second)
-		require.True(t, w.call(n, ask{path: pathRead + "x"}).whole())
-		require.Equal(t, http.StatusNotFound, w.call(n, ask{path: "/none/x"}).status)
+		require.True(t, env.call(n, request{path: pathRead + "x"}).succeeded())
+		require.Equal(t, http.StatusNotFound, env.call(n, request{path: "/none/x"}).status)
 
-		old := w.store.Value("op/config")
-		w.configure(routeOf("other", "/other/", "idempotent", "api", nil))
+		old := env.store.Value("op/config")
+		env.writeConfig(routeConfig("other", "/other/", "idempotent", "api", nil))
 		time.Sleep(200 * time.Millisecond)
-		require.True(t, w.call(n, ask{path: "/other/x"}).whole())
-		require.Equal(t, http.StatusNotFound, w.call(n, ask{path: pathRead + "x"}).status)
-		w.store.Put("op/config", old)
-		w.store.Put("op/config", []byte("{"))
-		time.Sleep(settle)
-		require.True(t, w.call(n, ask{path: "/other/x"}).whole(), "went back to an older version")
+		require.True(t, env.call(n, request{path: "/other/x"}).succeeded())
+		require.Equal(t, http.StatusNotFound, env.call(n, request{path: pathRead + "x"}).status)
+		env.store.Put("op/config", old)
+		env.store.Put("op/config", []byte("{"))
+		time.Sleep(settleTime)
+		require.True(t, env.call(n, request{path: "/other/x"}).succeeded(), "an older or invalid configuration was applied")
 	})
 }
 
-// Guards against changes that are missed because the store forgot its history.
+// Guards against changes that are missed because the store compacted its history.
 func TestCompactedHistory(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		w.configure(routeOf("other", "/other/", "idempotent", "api", nil))
-		w.workers[0].Drain(w.store)
-		w.store.Compact()
-		time.Sleep(settle)
-		require.True(t, w.call(n, ask{path: "/other/x"}).whole())
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		env.writeConfig(routeConfig("other", "/other/", "idempotent", "api", nil))
+		env.workers[0].Drain(env.store)
+		env.store.Compact()
+		time.Sleep(settleTime)
+		require.True(t, env.call(n, request{path: "/other/x"}).succeeded())
 		require.Len(t, n.roster.Servers("api"), 1)
 	})
 }
 
-// Guards against headers that only the system may set.
+// Guards against internal headers that a caller sets and the gateway passes on to a worker.
 func TestCallersCannotSetTheSystemsHeaders(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		r := w.call(n, ask{path: pathStream + "x", prompt: "dd:50,ee:60", events: 1, header: http.Header{
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		r := env.call(n, request{path: pathStream + "x", prompt: "dd:50,ee:60", events: 1, header: http.Header{
 			"Quetzallug-Kv-Source": {"10.1.64.3:8080/h-other"}, "Quetzallug-Stage": {"prefill"},
 			"Quetzallug-Expect-Instance": {"i-x"}, "Connection": {"Quetzallug-Expect-Version"}, "Quetzallug-Expect-Version": {"9"},
 		}})
-		require.True(t, r.whole())
-		require.Empty(t, w.runsOf(r.id)[0].Source)
+		require.True(t, r.succeeded())
+		require.Empty(t, env.runsOf(r.id)[0].Source)
 	})
 }
 
-// Guards against a request that is held back although it was given up: its final answer comes at once.
+// Guards against a delay before a request is refused when its service has no backend server.
 func TestNoServerIsRefusedAtOnce(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		w.configure()
-		n := w.gateway("edge-1")
-		time.Sleep(settle)
-		r := w.call(n, ask{path: pathOnce + "x"})
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		env.writeConfig()
+		n := env.addGateway("edge-1")
+		time.Sleep(settleTime)
+		r := env.call(n, request{path: pathOnce + "x"})
 		require.Equal(t, http.StatusServiceUnavailable, r.status)
 		require.NotEmpty(t, r.header.Get("Retry-After"))
 		require.Less(t, r.elapsed, 50*time.Millisecond)
 	})
 }
 
-// Guards against a caller who waits past the time that the operator allows.
+// Guards against a request that outlasts the timeout of its route.
 func TestTimeoutOfTheRoute(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		w.configure(routeOf("once", pathOnce, "non_idempotent", "api", jsonMap{"timeout-ms": 500}))
-		time.Sleep(settle)
-		for _, wk := range w.workers {
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		env.writeConfig(routeConfig("once", pathOnce, "non_idempotent", "api", jsonMap{"timeout-ms": 500}))
+		time.Sleep(settleTime)
+		for _, wk := range env.workers {
 			wk.SetFault(func(*http.Request) site.Fault { return site.FaultHang })
 		}
-		r := w.call(n, ask{path: pathOnce + "x"})
+		r := env.call(n, request{path: pathOnce + "x"})
 		require.Equal(t, http.StatusGatewayTimeout, r.status)
 		require.InDelta(t, 500, r.elapsed.Milliseconds(), 50)
 	})
 }
 
-// Guards against a worker that is avoided for ever because a stream which broke off still counts as in
-// progress there (soak seed 9115907571842290497).
+// Guards against a worker that never receives requests again because its interrupted streams still count
+// as in progress (soak seed 9115907571842290497).
 func TestBrokenStreamsDoNotCountForEver(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		bad := w.workers[3]
-		require.Equal(t, "decode", bad.Stage())
-		bad.SetFault(func(*http.Request) site.Fault { return site.FaultTruncate })
-		// No two prompts share a part that would draw them to one engine.
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		faulty := env.workers[3]
+		require.Equal(t, "decode", faulty.Stage())
+		faulty.SetFault(func(*http.Request) site.Fault { return site.FaultTruncate })
+		// The prompts share no prefix, so that cache affinity does not route them to one engine.
 		for i := range 12 {
-			w.call(n, ask{path: pathStream + "x", prompt: fmt.Sprintf("a%d:50,b%d:60", i, i), events: 4})
+			env.call(n, request{path: pathStream + "x", prompt: fmt.Sprintf("a%d:50,b%d:60", i, i), events: 4})
 		}
-		bad.SetFault(nil)
-		// Until its failures are forgotten.
+		faulty.SetFault(nil)
+		// Long enough for the failures to no longer count against the worker.
 		time.Sleep(time.Minute)
-		before := len(bad.Runs())
+		before := len(faulty.Runs())
 		require.Positive(t, before)
 		for i := range 30 {
-			r := w.call(n, ask{path: pathStream + "x", prompt: fmt.Sprintf("c%d:50,d%d:60", i, i), events: 4})
-			require.True(t, r.whole(), "%d %s", r.status, r.body)
+			r := env.call(n, request{path: pathStream + "x", prompt: fmt.Sprintf("c%d:50,d%d:60", i, i), events: 4})
+			require.True(t, r.succeeded(), "%d %s", r.status, r.body)
 		}
-		require.Greater(t, len(bad.Runs()), before)
+		require.Greater(t, len(faulty.Runs()), before)
 	})
 }
 
-// Guards against "no server" while engines that generate are only avoided.
+// Guards against refusing a request for lack of a server when decode engines exist but are all avoided
+// because of recent failures.
 func TestAvoidedEnginesAreBetterThanNone(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		for _, wk := range w.workers {
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		for _, wk := range env.workers {
 			if wk.Stage() == "decode" {
 				wk.SetFault(func(*http.Request) site.Fault { return site.FaultLost })
 			}
 		}
 		for range 8 {
-			w.call(n, ask{path: pathStream + "x", prompt: "dd:50,ee:60", events: 1})
+			env.call(n, request{path: pathStream + "x", prompt: "dd:50,ee:60", events: 1})
 		}
-		r := w.call(n, ask{path: pathStream + "x", prompt: "dd:50,ee:60", events: 1})
+		r := env.call(n, request{path: pathStream + "x", prompt: "dd:50,ee:60", events: 1})
 		require.NotEqual(t, http.StatusServiceUnavailable, r.status, r.body)
 	})
 }
 
-// Guards against memory that is held for prompts read in vain, and against a call for each prompt that
-// was fetched.
+// Guards against a prefill engine that keeps the cache entry of a prefilled prompt that no
+// decode engine fetched, and against needless free calls for prompts that were fetched.
 func TestPromptsReadInVainAreFreed(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		reader := w.workers[2]
-		require.Equal(t, "prefill", reader.Stage())
-		require.True(t, w.call(n, ask{path: pathStream + "x", prompt: prompt, events: 1}).whole())
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		prefillEngine := env.workers[2]
+		require.Equal(t, "prefill", prefillEngine.Stage())
+		require.True(t, env.call(n, request{path: pathStream + "x", prompt: longPrompt, events: 1}).succeeded())
 		time.Sleep(time.Second)
-		require.Zero(t, reader.Freed())
-		for _, wk := range w.workers {
+		require.Zero(t, prefillEngine.Freed())
+		for _, wk := range env.workers {
 			wk.SetFault(func(r *http.Request) site.Fault {
 				if r.Header.Get("Quetzallug-Stage") == "" {
 					return site.FaultShed
@@ -405,30 +415,31 @@
 				return site.FaultNone
 			})
 		}
-		r := w.call(n, ask{path: pathStream + "x", prompt: prompt, events: 1})
+		r := env.call(n, request{path: pathStream + "x", prompt: longPrompt, events: 1})
 		require.Equal(t, http.StatusServiceUnavailable, r.status)
-		w.check(r, pathStream+"x", 1)
+		env.checkResponse(r, pathStream+"x", 1)
 		time.Sleep(time.Second)
-		require.Equal(t, 1, reader.Freed())
+		require.Equal(t, 1, prefillEngine.Freed())
 	})
 }
 
-// Guards against a worker that left while a gateway was cut off from the store, and still gets requests
-// when the gateway has been back for as long as the platform allows: a registration that is missing after
-// the cut was kept for 2.5 s after the last call had failed, which ends up to 1.2 s after the cut. Found on
-// halte-boards trouble-2 (DRAIN, 3.3 s after the worker's end was acknowledged).
+// Guards against requests to a worker that deregistered while the gateway could not reach the store, sent
+// later than the platform allows after the gateway reconnected. A registration that was missing after the
+// outage was kept for 2.5 s after the last failed call, which can come up to 1.2 s after the outage ended.
+// It was seen as a request 3.3 s after the worker's shutdown had been acknowledged.
 func TestWorkersThatLeftDuringACut(t *testing.T) {
-	const contact = 3 * time.Second
+	// removalBound is the time that the platform allows after the connection is restored.
+	const removalBound = 3 * time.Second
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 100 * time.Millisecond {
 		t.Run(offset.String(), func(t *testing.T) {
-			bubble(t, func(t *testing.T, w *world) {
-				n := calm(w)
-				w.store.SetMode(site.StoreSilent)
+			runInBubble(t, func(t *testing.T, env *testEnv) {
+				n := startDefaultDeployment(env)
+				env.store.SetMode(site.StoreSilent)
 				time.Sleep(5*time.Second + offset)
-				w.store.Remove("servers/i-a")
+				env.store.Remove("servers/i-a")
 				time.Sleep(300 * time.Millisecond)
-				w.store.SetMode(site.StoreUp)
-				time.Sleep(contact)
+				env.store.SetMode(site.StoreUp)
+				time.Sleep(removalBound)
 				require.Len(t, n.roster.Servers("api"), 1)
 			})
 		})
--- a/test/site/roles_test.go
+++ b/test/site/roles_test.go
@@ -13,52 +13,55 @@
 
 const engines = 8
 
-// fleet starts engines of which one reads prompts, and gateways.
-func fleet(w *world, gateways int, change func(*site.WorkerConfig)) []*node {
-	w.configure()
-	w.worker(site.WorkerConfig{ID: "i-api", Service: "api"})
+// startEngines starts one plain worker, one prefill engine, decode engines and gateways. modifyConfig may
+// change the configuration of an engine.
+func startEngines(env *testEnv, gateways int, modifyConfig func(*site.WorkerConfig)) []*gatewayNode {
+	env.writeConfig()
+	env.addWorker(site.WorkerConfig{ID: "i-api", Service: "api"})
 	for i := range engines {
 		cfg := site.WorkerConfig{ID: fmt.Sprintf("i-%d", i), Service: "llm", Stage: "decode", PerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second}
 		if i == 0 {
 			cfg.Stage = "prefill"
 		}
-		if change != nil {
-			change(&cfg)
+		if modifyConfig != nil {
+			modifyConfig(&cfg)
 		}
-		w.worker(cfg)
+		env.addWorker(cfg)
 	}
-	var out []*node
+	var out []*gatewayNode
 	for i := range gateways {
-		out = append(out, w.gateway(fmt.Sprintf("edge-%d", i+1)))
+		out = append(out, env.addGateway(fmt.Sprintf("edge-%d", i+1)))
 	}
 	return out
 }
 
-// show writes the engines' entries as they do when their role changes.
-func (w *world) show() {
-	for _, wk := range w.workers {
-		wk.Register(w.store)
+// refreshRegistrations writes the current registrations of all workers, as engines do when their role
+// changes.
+func (env *testEnv) refreshRegistrations() {
+	for _, wk := range env.workers {
+		wk.Register(env.store)
 	}
 }
 
-// play lets time pass while the engines keep their entries up to date.
-func (w *world) play(d time.Duration) {
+// runFor lets time pass while the workers keep their registrations up to date.
+func (env *testEnv) runFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		w.show()
+		env.refreshRegistrations()
 	}
 }
 
-func (w *world) orders() []site.Order {
+// orders returns the role orders that the workers accepted, by time.
+func (env *testEnv) orders() []site.Order {
 	var all []site.Order
-	for _, wk := range w.workers {
+	for _, wk := range env.workers {
 		all = append(all, wk.Orders()...)
 	}
 	slices.SortFunc(all, func(a, b site.Order) int { return a.At.Compare(b.At) })
 	return all
 }
 
-func (w *world) stages() (prefill, decode int) {
-	for _, wk := range w.workers {
+func (env *testEnv) countStages() (prefill, decode int) {
+	for _, wk := range env.workers {
 		switch wk.Stage() {
 		case "prefill":
 			prefill++
@@ -69,80 +72,80 @@
 	return prefill, decode
 }
 
-// checkOrders verifies that no two holders share a fence number, that fence numbers never fall, and
-// that holders do not take turns within the lease time.
-func (w *world) checkOrders() {
-	w.t.Helper()
+// checkOrders verifies that each fence number has one lease holder, that fence numbers never decrease, and
+// that orders of different holders are at least orderGuard apart.
+func (env *testEnv) checkOrders() {
+	env.t.Helper()
 	holders := map[uint64]string{}
-	all := w.orders()
+	all := env.orders()
 	for i, o := range all {
 		if h, ok := holders[o.Fence]; ok {
-			require.Equal(w.t, h, o.Holder, "two holders with fence number %d", o.Fence)
+			require.Equal(env.t, h, o.Holder, "two lease holders have fence number %d", o.Fence)
 		}
 		holders[o.Fence] = o.Holder
 		if i == 0 {
 			continue
 		}
-		last := all[i-1]
-		require.GreaterOrEqual(w.t, o.Fence, last.Fence)
-		if o.Holder != last.Holder {
-			require.GreaterOrEqual(w.t, o.At.Sub(last.At), guard, "%s after %s", o.Holder, last.Holder)
+		previous := all[i-1]
+		require.GreaterOrEqual(env.t, o.Fence, previous.Fence)
+		if o.Holder != previous.Holder {
+			require.GreaterOrEqual(env.t, o.At.Sub(previous.At), orderGuard, "order of %s too soon after one of %s", o.Holder, previous.Holder)
 		}
 	}
 }
 
-// Guards against a fleet that stays in the roles that it started with, and against orders without end.
+// Guards against engines that stay in their initial roles, and against role orders that never cease.
 func TestRolesAreOrderedOnce(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		fleet(w, 3, nil)
-		w.play(20 * time.Second)
-		prefill, decode := w.stages()
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		startEngines(env, 3, nil)
+		env.runFor(20 * time.Second)
+		prefill, decode := env.countStages()
 		require.Equal(t, engines, prefill+decode)
 		require.Greater(t, prefill, decode)
 		require.GreaterOrEqual(t, decode, 2)
-		n := len(w.orders())
-		require.Equal(t, prefill-1, n, "more orders than changes")
-		w.play(40 * time.Second)
-		require.Len(t, w.orders(), n)
-		w.checkOrders()
+		orderCount := len(env.orders())
+		require.Equal(t, prefill-1, orderCount, "number of orders differs from the number of role changes")
+		env.runFor(40 * time.Second)
+		require.Len(t, env.orders(), orderCount)
+		env.checkOrders()
 	})
 }
 
-// Guards against orders of two holders: the first one is killed, frozen or cut off from the store while
-// there is work to do, and wakes again.
+// Guards against orders of two lease holders at a time. The first holder is killed, is frozen or
+// disconnected from the store for 12 s, or loses its lease, while role changes are still needed.
 func TestOrdersOfOneHolder(t *testing.T) {
-	for name, fault := range map[string]func(w *world, n *node){
-		"killed": func(w *world, n *node) { n.kill() },
-		"frozen": func(w *world, n *node) {
-			w.net.Freeze(n.host, true)
-			time.AfterFunc(12*time.Second, func() { w.net.Freeze(n.host, false) })
+	for name, injectFault := range map[string]func(env *testEnv, n *gatewayNode){
+		"killed": func(env *testEnv, n *gatewayNode) { n.kill() },
+		"frozen": func(env *testEnv, n *gatewayNode) {
+			env.net.Freeze(n.host, true)
+			time.AfterFunc(12*time.Second, func() { env.net.Freeze(n.host, false) })
 		},
-		"cut": func(w *world, n *node) {
-			w.net.Cut(n.host.Name, "store", true)
-			time.AfterFunc(12*time.Second, func() { w.net.Cut(n.host.Name, "store", false) })
+		"cut": func(env *testEnv, n *gatewayNode) {
+			env.net.Cut(n.host.Name, "store", true)
+			time.AfterFunc(12*time.Second, func() { env.net.Cut(n.host.Name, "store", false) })
 		},
-		"lease revoked": func(w *world, n *node) { w.store.EndLeases() },
+		"lease revoked": func(env *testEnv, n *gatewayNode) { env.store.EndLeases() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, w *world) {
-				nodes := fleet(w, 3, nil)
-				for len(w.orders()) == 0 {
-					w.play(500 * time.Millisecond)
+			runInBubble(t, func(t *testing.T, env *testEnv) {
+				nodes := startEngines(env, 3, nil)
+				for len(env.orders()) == 0 {
+					env.runFor(500 * time.Millisecond)
 				}
-				holder := w.orders()[0].Holder
+				holder := env.orders()[0].Holder
 				for _, n := range nodes {
 					if n.host.Name == holder {
-						fault(w, n)
+						injectFault(env, n)
 					}
 				}
-				// Engines that are replaced bring back the roles of the start, so that there is work.
+				// New engines start in the decode role, so that further role changes are needed.
 				for i := range 6 {
-					w.worker(site.WorkerConfig{ID: fmt.Sprintf("i-new-%d", i), Service: "llm", Stage: "decode", RoleSwitch: 3 * time.Second})
-					w.play(6 * time.Second)
+					env.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-new-%d", i), Service: "llm", Stage: "decode", RoleSwitch: 3 * time.Second})
+					env.runFor(6 * time.Second)
 				}
-				w.checkOrders()
+				env.checkOrders()
 				holders := map[string]bool{}
-				for _, o := range w.orders() {
+				for _, o := range env.orders() {
 					holders[o.Holder] = true
 				}
 				require.GreaterOrEqual(t, len(holders), 1)
@@ -151,42 +154,44 @@
 	}
 }
 
-// Guards against an order that is carried out late and undoes a newer one.
+// Guards against repeated orders to an engine that has not yet applied the first one: applied late, the
+// first would undo a newer one.
 func TestLateOrders(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		fleet(w, 2, func(c *site.WorkerConfig) {
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		startEngines(env, 2, func(c *site.WorkerConfig) {
 			if c.ID == "i-1" || c.ID == "i-2" {
 				c.LateOrders = 7 * time.Second
 			}
 		})
-		w.play(60 * time.Second)
-		for _, wk := range w.workers {
+		env.runFor(60 * time.Second)
+		for _, wk := range env.workers {
 			require.LessOrEqual(t, len(wk.Orders()), 1, wk.ID())
 		}
-		w.checkOrders()
+		env.checkOrders()
 	})
 }
 
-// Guards against a gateway that knows nothing while the store is away and gives orders or stops serving.
+// Guards against a gateway that gives role orders or stops serving while the store is unavailable, and
+// against one that does not apply a new configuration afterwards.
 func TestStoreAway(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		nodes := fleet(w, 2, nil)
-		w.play(15 * time.Second)
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		nodes := startEngines(env, 2, nil)
+		env.runFor(15 * time.Second)
 		for _, mode := range []site.StoreMode{site.StoreBusy, site.StoreSilent, site.StoreReset} {
-			w.store.SetMode(mode)
-			before := len(w.orders())
+			env.store.SetMode(mode)
+			before := len(env.orders())
 			for range 20 {
 				time.Sleep(400 * time.Millisecond)
-				r := w.call(nodes[0], ask{path: pathRead + "x"})
-				require.True(t, r.whole(), "%d %v", r.status, r.err)
+				r := env.call(nodes[0], request{path: pathRead + "x"})
+				require.True(t, r.succeeded(), "%d %v", r.status, r.err)
 			}
-			require.Len(t, w.orders(), before)
-			w.store.SetMode(site.StoreUp)
+			require.Len(t, env.orders(), before)
+			env.store.SetMode(site.StoreUp)
 			time.Sleep(5 * time.Second)
-			w.configure()
+			env.writeConfig()
 			time.Sleep(2 * time.Second)
-			require.EqualValues(t, w.version, nodes[0].tables.Table().Version)
+			require.EqualValues(t, env.version, nodes[0].tables.Table().Version)
 		}
-		w.checkOrders()
+		env.checkOrders()
 	})
 }
--- a/test/site/slow_test.go
+++ b/test/site/slow_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against callers that hold a request for ever by sending its body a byte a second, or that send
-// a body beyond the operator's limit, and against others that are served worse meanwhile. The
-// operator's limit for bodies is 64 KB here, and the route's time-out 2 s.
+// Guards against callers that hold a request open by sending its body slowly, or that send an invalid
+// body or one above the size limit, and against slower responses to other callers meanwhile. The body
+// limit is 64 KiB here, and the timeout of the route 2 s.
 func TestBodiesThatCannotBeRead(t *testing.T) {
 	for name, tc := range map[string]struct {
 		head   string
@@ -32,10 +32,10 @@
 		"length contradicts": {"Content-Length: 5\r\nContent-Length: 6\r\n", "", 0, http.StatusBadRequest, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, w *world) {
-				n := calm(w)
+			runInBubble(t, func(t *testing.T, env *testEnv) {
+				n := startDefaultDeployment(env)
 				started := time.Now()
-				c, err := w.net.Dial(context.Background(), w.callers, n.address)
+				c, err := env.net.Dial(context.Background(), env.callerHost, n.address)
 				require.NoError(t, err)
 				defer c.Close()
 				require.NoError(t, c.SetReadDeadline(started.Add(time.Minute)))
@@ -46,20 +46,20 @@
 					if tc.pause > 0 {
 						step = 1
 					}
-					for text := tc.body; text != ""; text = text[step:] {
-						if _, err := io.WriteString(c, text[:step]); err != nil {
+					for remaining := tc.body; remaining != ""; remaining = remaining[step:] {
+						if _, err := io.WriteString(c, remaining[:step]); err != nil {
 							return
 						}
 						select {
-						case <-w.callers.Ctx.Done():
+						case <-env.callerHost.Ctx.Done():
 							return
 						case <-time.After(tc.pause):
 						}
 					}
 				}()
 				for range 10 {
-					r := w.call(n, ask{path: pathOnce + "y", body: "b"})
-					require.True(t, r.whole())
+					r := env.call(n, request{path: pathOnce + "y", body: "b"})
+					require.True(t, r.succeeded())
 					require.Less(t, r.elapsed, 100*time.Millisecond)
 				}
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -68,32 +68,32 @@
 				require.Equal(t, tc.status, resp.StatusCode)
 				require.True(t, resp.Close)
 				require.LessOrEqual(t, time.Since(started), tc.within)
-				require.Empty(t, w.runsOf("slow"))
+				require.Empty(t, env.runsOf("slow"))
 				_, err = io.Copy(io.Discard, resp.Body)
 				require.NoError(t, err)
-				one, err := c.Read(make([]byte, 1))
-				require.Zero(t, one)
-				require.Error(t, err, "the connection stays open after %s", name)
-				w.callers.Cancel()
+				count, err := c.Read(make([]byte, 1))
+				require.Zero(t, count)
+				require.Error(t, err, "connection is still open after %s", name)
+				env.callerHost.Cancel()
 			})
 		})
 	}
 }
 
-// Guards against a status that hides what operators look for: readiness, version, backend servers that
-// get nothing, connections.
+// Guards against a gateway status without the facts that operators need: readiness, configuration version,
+// unusable backend servers and connections.
 func TestStatusOfAGateway(t *testing.T) {
-	bubble(t, func(t *testing.T, w *world) {
-		n := calm(w)
-		// Enough for both of two equal servers to get some.
+	runInBubble(t, func(t *testing.T, env *testEnv) {
+		n := startDefaultDeployment(env)
+		// Enough requests for both of two equal servers to receive some.
 		for range 40 {
-			require.True(t, w.call(n, ask{path: pathRead + "x", method: http.MethodGet}).whole())
+			require.True(t, env.call(n, request{path: pathRead + "x", method: http.MethodGet}).succeeded())
 		}
-		w.workers[1].Drain(w.store)
-		time.Sleep(settle)
+		env.workers[1].Drain(env.store)
+		time.Sleep(settleTime)
 		s := n.gateway.Status(time.Now())
 		require.True(t, s.Ready)
-		require.EqualValues(t, w.version, s.Config)
+		require.EqualValues(t, env.version, s.Config)
 		require.Equal(t, 4, s.Routes)
 		require.GreaterOrEqual(t, s.StoreAgeMS, int64(0))
 		require.Less(t, s.StoreAgeMS, int64(2000))
@@ -104,11 +104,11 @@
 		require.GreaterOrEqual(t, s.Servers[0].LoadAgeMS, int64(0))
 		require.Equal(t, "draining", s.Servers[1].State)
 		require.False(t, s.Servers[1].Usable)
-		require.EqualValues(t, -1, s.Servers[2].LoadAgeMS, "no request went there")
+		require.EqualValues(t, -1, s.Servers[2].LoadAgeMS, "no request was sent to this server")
 		require.Equal(t, "api", s.Services[0].Service)
 		require.Equal(t, 2, s.Services[0].Servers)
 		require.Equal(t, 1, s.Services[0].Usable)
 		require.Positive(t, s.Services[0].RetryBudgetLeft)
-		require.Equal(t, "api2", s.Services[1].Service, "a service of the configuration without backend servers is shown")
+		require.Equal(t, "api2", s.Services[1].Service, "a configured service without backend servers is missing")
 	})
 }
--- a/test/site/world_test.go
+++ b/test/site/world_test.go
@@ -1,6 +1,6 @@
-// Package site proves the gateway on the stand-in of the users' platform in virtual time: gateways,
-// store, workers and callers run in one synctest bubble, connected by a network in memory. Checks use
-// only what callers and workers saw.
+// Package site tests the gateway against a simulation of the users' platform in virtual time: gateways,
+// store, workers and callers run in one synctest bubble and are connected by an in-memory network. Most
+// checks use only what callers and workers observed.
 package site
 
 import (
@@ -32,31 +32,31 @@
 const (
 	storeAddress = "10.200.1.7:1"
 	hostname     = "a.example"
-	// settle is longer than a gateway takes to follow the store.
-	settle   = time.Second
-	leaseTTL = 3500 * time.Millisecond
-	guard    = 3 * time.Second
+	// settleTime is longer than a gateway takes to apply a change of the store.
+	settleTime = time.Second
+	leaseTTL   = 3500 * time.Millisecond
+	orderGuard = 3 * time.Second
 )
 
-// world is one deployment.
-type world struct {
-	t       *testing.T
-	net     *memnet.Network
-	store   *site.Store
-	storeAt *memnet.Host
-	callers *memnet.Host
-	version int
-	closers []func()
+// testEnv is a deployment in one synctest bubble: a store, workers and gateways.
+type testEnv struct {
+	t          *testing.T
+	net        *memnet.Network
+	store      *site.Store
+	storeHost  *memnet.Host
+	callerHost *memnet.Host
+	version    int
+	cleanups   []func()
 
 	mu       sync.Mutex
 	workers  []*site.Worker
-	gateways []*node
-	ids      int
+	gateways []*gatewayNode
+	lastID   int
 }
 
-// node is one gateway process.
-type node struct {
-	w       *world
+// gatewayNode is one simulated gateway process.
+type gatewayNode struct {
+	env     *testEnv
 	host    *memnet.Host
 	address string
 	gateway *gateway.Gateway
@@ -66,32 +66,32 @@
 	done    sync.WaitGroup
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, net: memnet.New(), store: site.NewStore()}
-	w.callers = w.host("callers")
-	w.storeAt = w.host("store")
-	w.serve(w.storeAt, storeAddress, w.store)
-	return w
+func newTestEnv(t *testing.T) *testEnv {
+	env := &testEnv{t: t, net: memnet.New(), store: site.NewStore()}
+	env.callerHost = env.newHost("callers")
+	env.storeHost = env.newHost("store")
+	env.serve(env.storeHost, storeAddress, env.store)
+	return env
 }
 
-func (w *world) host(name string) *memnet.Host {
+func (env *testEnv) newHost(name string) *memnet.Host {
 	h := &memnet.Host{Name: name}
 	h.Ctx, h.Cancel = context.WithCancel(context.Background())
 	return h
 }
 
-func (w *world) serve(h *memnet.Host, addr string, handler http.Handler) *http.Server {
+func (env *testEnv) serve(h *memnet.Host, addr string, handler http.Handler) *http.Server {
 	srv := &http.Server{Handler: handler, ErrorLog: nil}
-	l := w.net.Listen(h, addr)
+	l := env.net.Listen(h, addr)
 	go func() { _ = srv.Serve(l) }()
-	w.closers = append(w.closers, func() { _ = srv.Close() })
+	env.cleanups = append(env.cleanups, func() { _ = srv.Close() })
 	return srv
 }
 
-// worker starts and registers a worker.
-func (w *world) worker(cfg site.WorkerConfig) {
+// addWorker starts and registers a worker.
+func (env *testEnv) addWorker(cfg site.WorkerConfig) {
 	if cfg.Address == "" {
-		cfg.Address = fmt.Sprintf("10.1.64.%d:8080", len(w.workers)+1)
+		cfg.Address = fmt.Sprintf("10.1.64.%d:8080", len(env.workers)+1)
 	}
 	if cfg.Slots == 0 {
 		cfg.Slots = 8
@@ -101,98 +101,99 @@
 	}
 	cfg.Zone = "z"
 	wk := site.NewWorker(cfg)
-	w.workers = append(w.workers, wk)
-	w.serve(w.host(cfg.ID), cfg.Address, wk)
-	wk.Register(w.store)
+	env.workers = append(env.workers, wk)
+	env.serve(env.newHost(cfg.ID), cfg.Address, wk)
+	wk.Register(env.store)
 }
 
-// gateway starts a gateway process.
-func (w *world) gateway(name string) *node {
-	n := &node{w: w, host: w.host(name), address: fmt.Sprintf("10.1.0.%d:8144", len(w.gateways)+1), tables: &route.Holder{}, roster: gateway.NewRoster()}
-	dial := func(ctx context.Context, _, addr string) (net.Conn, error) { return w.net.Dial(ctx, n.host, addr) }
-	a := &platform.Adapter{}
-	require.NoError(w.t, a.Provision(context.Background(), kernel.Settings{"address": storeAddress, "watch-wait": "1.7s"}))
-	a.SetDial(dial)
+// addGateway starts a gateway with its store watcher, lease manager and role planner.
+func (env *testEnv) addGateway(name string) *gatewayNode {
+	n := &gatewayNode{env: env, host: env.newHost(name), address: fmt.Sprintf("10.1.0.%d:8144", len(env.gateways)+1), tables: &route.Holder{}, roster: gateway.NewRoster()}
+	dial := func(ctx context.Context, _, addr string) (net.Conn, error) { return env.net.Dial(ctx, n.host, addr) }
+	adapter := &platform.Adapter{}
+	require.NoError(env.t, adapter.Provision(context.Background(), kernel.Settings{"address": storeAddress, "watch-wait": "1.7s"}))
+	adapter.SetDial(dial)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	pool := upstream.NewPoolWithDial(dial)
-	n.gateway = gateway.New(gateway.Config{DataCentre: "z", RetryWindow: 10 * time.Second, RetryShare: 0.2, RetrySlack: 1}, a, n.tables, n.roster, pool, nothing{}, log)
-	leases, err := lease.NewManager(a, lease.Config{Holder: name, Pools: []string{gateway.RolesPool}, TTL: leaseTTL, SafetyMargin: leaseTTL / 7, MaxPools: 1, Random: rand.New(rand.NewPCG(1, uint64(len(w.gateways)))).Float64})
-	require.NoError(w.t, err)
-	roles := gateway.NewRolePlanner(name, leaseTTL+guard, a, leases, n.tables, n.roster, pool, nothing{}, log)
-	for _, run := range []func(context.Context){gateway.NewStoreWatcher(a, n.tables, n.roster, log).Run, leases.Run, roles.Run} {
+	n.gateway = gateway.New(gateway.Config{DataCentre: "z", RetryWindow: 10 * time.Second, RetryShare: 0.2, RetrySlack: 1}, adapter, n.tables, n.roster, pool, noopMetrics{}, log)
+	leases, err := lease.NewManager(adapter, lease.Config{Holder: name, Pools: []string{gateway.RolesPool}, TTL: leaseTTL, SafetyMargin: leaseTTL / 7, MaxPools: 1, Random: rand.New(rand.NewPCG(1, uint64(len(env.gateways)))).Float64})
+	require.NoError(env.t, err)
+	roles := gateway.NewRolePlanner(name, leaseTTL+orderGuard, adapter, leases, n.tables, n.roster, pool, noopMetrics{}, log)
+	for _, run := range []func(context.Context){gateway.NewStoreWatcher(adapter, n.tables, n.roster, log).Run, leases.Run, roles.Run} {
 		n.done.Go(func() { run(n.host.Ctx) })
 	}
-	n.server = w.serve(n.host, n.address, n.gateway)
-	w.gateways = append(w.gateways, n)
-	w.closers = append(w.closers, func() {
+	n.server = env.serve(n.host, n.address, n.gateway)
+	env.gateways = append(env.gateways, n)
+	env.cleanups = append(env.cleanups, func() {
 		n.kill()
 		pool.Close()
-		_ = a.Cleanup()
+		_ = adapter.Cleanup()
 	})
 	return n
 }
 
-func (n *node) kill() {
-	n.w.net.Kill(n.host)
+func (n *gatewayNode) kill() {
+	n.env.net.Kill(n.host)
 	_ = n.server.Close()
 	n.done.Wait()
 }
 
-// stop ends everything, so that no goroutine of the bubble is left.
-func (w *world) stop() {
-	w.net.Heal()
-	w.store.Close()
-	for _, f := range w.closers {
+// stop shuts everything down. All goroutines must end before the bubble does.
+func (env *testEnv) stop() {
+	env.net.Heal()
+	env.store.Close()
+	for _, f := range env.cleanups {
 		f()
 	}
 	time.Sleep(time.Minute)
 }
 
-type nothing struct{}
+type noopMetrics struct{}
 
-func (nothing) Request(string, string, string, time.Duration) {}
-func (nothing) Refusal(string, string)                        {}
-func (nothing) FirstEvent(string, string, time.Duration)      {}
-func (nothing) EventGap(string, time.Duration)                {}
-func (nothing) Attempt(string, string)                        {}
-func (nothing) Prompt(string, gateway.PromptTokens)           {}
-func (nothing) RoleOrder(string, string, string)              {}
+func (noopMetrics) Request(string, string, string, time.Duration) {}
+func (noopMetrics) Refusal(string, string)                        {}
+func (noopMetrics) FirstEvent(string, string, time.Duration)      {}
+func (noopMetrics) EventGap(string, time.Duration)                {}
+func (noopMetrics) Attempt(string, string)                        {}
+func (noopMetrics) Prompt(string, gateway.PromptTokens)           {}
+func (noopMetrics) RoleOrder(string, string, string)              {}
 
-// Routes of the world. Each names one kind of request.
+// Path prefixes of the default routes, one per kind of request.
 const (
-	pathRead   = "/read/"   // may be repeated, 3 attempts
-	pathOnce   = "/once/"   // must not be repeated
-	pathResume = "/resume/" // a stream that may resume
-	pathStream = "/stream/" // a stream that must not be repeated
+	pathRead   = "/read/"   // idempotent: at most 3 attempts
+	pathOnce   = "/once/"   // not idempotent: must not run twice
+	pathResume = "/resume/" // resumable stream
+	pathStream = "/stream/" // stream that must not run twice
 )
 
 type jsonMap = map[string]any
 
-func routeOf(name, prefix, kind, service string, more jsonMap) jsonMap {
+func routeConfig(name, prefix, kind, service string, overrides jsonMap) jsonMap {
 	r := jsonMap{
 		"name": name, "hostname": hostname, "path-prefix": prefix, "type": kind, "timeout-ms": 2000, "target-latency-ms": 150,
 		"priority": 0, "service": service, "max-attempts": 3,
 	}
-	for k, v := range more {
+	for k, v := range overrides {
 		r[k] = v
 	}
 	return r
 }
 
-// configure writes the next version of the operator's configuration.
-func (w *world) configure(routes ...jsonMap) {
-	w.version += 3
+// writeConfig writes the next version of the operator's configuration, with the default routes if none
+// are given.
+func (env *testEnv) writeConfig(routes ...jsonMap) {
+	env.version += 3
 	if len(routes) == 0 {
 		routes = []jsonMap{
-			routeOf("read", pathRead, "idempotent", "api", nil),
-			routeOf("once", pathOnce, "non_idempotent", "api", nil),
-			routeOf("resume", pathResume, "streaming", "llm", jsonMap{"sticky-sessions": true, "resumable": true, "gap-aim-ms": 200}),
-			routeOf("stream", pathStream, "streaming", "llm", jsonMap{"sticky-sessions": true, "gap-aim-ms": 200, "max-attempts": 1}),
+			routeConfig("read", pathRead, "idempotent", "api", nil),
+			routeConfig("once", pathOnce, "non_idempotent", "api", nil),
+			routeConfig("resume", pathResume, "streaming", "llm", jsonMap{"sticky-sessions": true, "resumable": true, "gap-aim-ms": 200}),
+			routeConfig("stream", pathStream, "streaming", "llm", jsonMap{"sticky-sessions": true, "gap-aim-ms": 200, "max-attempts": 1}),
 		}
 	}
-	w.store.Put("op/config", jsonMap{
-		"version": w.version, "routes": routes,
+	env.store.Put("op/config", jsonMap{
+		"version": env.version, "routes": routes,
 		"services": []jsonMap{
 			{"name": "api", "health-path": "/health", "max-connections": 100},
 			{"name": "api2", "health-path": "/health", "max-connections": 100},
@@ -202,8 +203,8 @@
 	})
 }
 
-// reply is what a caller got.
-type reply struct {
+// response is the result of one request as the caller sees it.
+type response struct {
 	id      string
 	status  int
 	body    string
@@ -212,67 +213,68 @@
 	elapsed time.Duration
 }
 
-// whole tells whether the caller got a complete success.
-func (r *reply) whole() bool { return r.err == nil && r.status == http.StatusOK }
+// succeeded reports whether the caller received a complete response with status 200.
+func (r *response) succeeded() bool { return r.err == nil && r.status == http.StatusOK }
 
-// ask is one request of a caller.
-type ask struct {
+// request describes one request of a caller.
+type request struct {
 	path   string
 	method string
 	body   string
 	events int
 	prompt string
 	header http.Header
-	leave  time.Duration
+	// disconnectAfter, if above 0, is the time after which the caller closes the connection.
+	disconnectAfter time.Duration
 }
 
-// call sends one request on a new connection.
-func (w *world) call(n *node, a ask) *reply {
-	w.mu.Lock()
-	w.ids++
-	id := fmt.Sprintf("%016x", w.ids)
-	w.mu.Unlock()
-	if a.method == "" {
-		a.method = http.MethodPost
+// call sends one request on a new connection and waits for the response.
+func (env *testEnv) call(n *gatewayNode, req request) *response {
+	env.mu.Lock()
+	env.lastID++
+	id := fmt.Sprintf("%016x", env.lastID)
+	env.mu.Unlock()
+	if req.method == "" {
+		req.method = http.MethodPost
 	}
-	out := &reply{id: id}
+	resp := &response{id: id}
 	started := time.Now()
-	defer func() { out.elapsed = time.Since(started) }()
-	c, err := w.net.Dial(context.Background(), w.callers, n.address)
+	defer func() { resp.elapsed = time.Since(started) }()
+	c, err := env.net.Dial(context.Background(), env.callerHost, n.address)
 	if err != nil {
-		out.err = err
-		return out
+		resp.err = err
+		return resp
 	}
 	defer c.Close()
-	if a.leave > 0 {
-		t := time.AfterFunc(a.leave, func() { _ = c.Close() })
-		defer t.Stop()
+	if req.disconnectAfter > 0 {
+		timer := time.AfterFunc(req.disconnectAfter, func() { _ = c.Close() })
+		defer timer.Stop()
 	}
-	r, err := http.NewRequest(a.method, "http://"+hostname+a.path, strings.NewReader(a.body))
-	require.NoError(w.t, err)
+	r, err := http.NewRequest(req.method, "http://"+hostname+req.path, strings.NewReader(req.body))
+	require.NoError(env.t, err)
 	r.Header.Set("Quetzallug-Attempt-Id", id)
 	r.Header.Set("Quetzallug-Deadline-Ms", "2000")
-	if a.prompt != "" {
+	if req.prompt != "" {
 		r.Header.Set("Quetzallug-Model", "m")
-		r.Header.Set("Quetzallug-Token-Count", fmt.Sprintf("%d,%d", promptTokens(a.prompt), a.events))
-		r.Header.Set("Quetzallug-Prefix-Hash", a.prompt)
+		r.Header.Set("Quetzallug-Token-Count", fmt.Sprintf("%d,%d", promptTokens(req.prompt), req.events))
+		r.Header.Set("Quetzallug-Prefix-Hash", req.prompt)
 	}
-	for k, v := range a.header {
+	for k, v := range req.header {
 		r.Header[k] = v
 	}
 	if err := r.Write(c); err != nil {
-		out.err = err
-		return out
+		resp.err = err
+		return resp
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), r)
+	httpResp, err := http.ReadResponse(bufio.NewReader(c), r)
 	if err != nil {
-		out.err = err
-		return out
+		resp.err = err
+		return resp
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
-	out.status, out.header, out.body, out.err = resp.StatusCode, resp.Header, string(b), err
-	return out
+	defer httpResp.Body.Close()
+	b, err := io.ReadAll(httpResp.Body)
+	resp.status, resp.header, resp.body, resp.err = httpResp.StatusCode, httpResp.Header, string(b), err
+	return resp
 }
 
 func promptTokens(prompt string) int {
@@ -286,10 +288,10 @@
 	return total
 }
 
-// runsOf returns the runs of a request on all workers, readings of the prompt excluded.
-func (w *world) runsOf(id string) []site.Run {
+// runsOf returns the runs of a request on all workers, without prefills.
+func (env *testEnv) runsOf(id string) []site.Run {
 	var out []site.Run
-	for _, wk := range w.workers {
+	for _, wk := range env.workers {
 		for _, r := range wk.Runs() {
 			if r.ID == id && !r.Prefill {
 				out = append(out, r)
@@ -299,18 +301,19 @@
 	return out
 }
 
-// check verifies what must hold for each answer.
-func (w *world) check(r *reply, path string, events int) {
-	w.t.Helper()
-	runs := w.runsOf(r.id)
+// checkResponse verifies that a request which must not be repeated ran at most once, that a success is
+// complete, unchanged and signed for this request, and that a request refused with 503 did not run.
+func (env *testEnv) checkResponse(r *response, path string, events int) {
+	env.t.Helper()
+	runs := env.runsOf(r.id)
 	repeatable := strings.HasPrefix(path, pathRead) || strings.HasPrefix(path, pathResume)
 	if !repeatable {
-		require.LessOrEqual(w.t, len(runs), 1, "%s ran more than once", path)
+		require.LessOrEqual(env.t, len(runs), 1, "%s ran more than once", path)
 	}
 	switch {
-	case r.whole():
-		require.NotEmpty(w.t, r.header.Get("Quetzallug-Response-Signature"), "success without signature")
-		require.True(w.t, strings.HasSuffix(r.header.Get("Quetzallug-Response-Signature"), "."+r.id), "signature of another request")
+	case r.succeeded():
+		require.NotEmpty(env.t, r.header.Get("Quetzallug-Response-Signature"), "successful response without a signature")
+		require.True(env.t, strings.HasSuffix(r.header.Get("Quetzallug-Response-Signature"), "."+r.id), "response has the signature of another request")
 		want := site.Answer(r.id, path)
 		if events > 0 {
 			want = ""
@@ -318,8 +321,8 @@
 				want += site.Event(r.id, i)
 			}
 		}
-		require.Equal(w.t, want, r.body)
+		require.Equal(env.t, want, r.body)
 	case r.status == http.StatusServiceUnavailable && r.err == nil && !repeatable:
-		require.Empty(w.t, runs, "%s refused though it ran", path)
+		require.Empty(env.t, runs, "%s was refused although it ran", path)
 	}
 }
