--- a/test/soak/cause_test.go
+++ b/test/soak/cause_test.go
@@ -17,54 +17,54 @@
 	"github.com/quetzallug/quetzallug/standin/site"
 )
 
-// Guards against failed requests whose cause can't be found from the logs of the real program: one is
-// refused, one breaks off in its stream, and one is late because its first backend server failed.
+// Guards against failed requests whose cause cannot be found in the logs of the real program. One request
+// is refused, the stream of another is interrupted, and a third is slow because its first attempt failed.
 func TestCauseFromLogsAlone(t *testing.T) {
 	bin, dir := t.TempDir(), t.TempDir()
 	require.NoError(t, testcluster.Build("../..", bin))
 	d := newDeployment(t, filepath.Join(bin, "quetzallugd"), dir)
 	d.waitReady()
-	l := newLoad(d)
-	ask := func(kind string) string {
+	l := newLoadGenerator(d)
+	send := func(kind string) string {
 		c, err := net.Dial("tcp", d.gateways[0].address)
 		require.NoError(t, err)
 		defer c.Close()
 		l.call(c, bufio.NewReader(c), kind)
 		return l.results[len(l.results)-1].id
 	}
-	fault := func(f site.Fault) {
+	setFaults := func(f site.Fault) {
 		for _, w := range d.workers {
 			w.SetFault(func(*http.Request) site.Fault { return f })
 		}
 	}
-	// The retry budget is a share of earlier requests.
+	// The retry budget is a share of recent requests, so these come first.
 	for range 30 {
-		ask("read")
+		send("read")
 	}
 
-	fault(site.FaultShed)
-	refused := ask("once")
-	fault(site.FaultTruncate)
-	broken := ask("stream")
-	first := true
+	setFaults(site.FaultShed)
+	refused := send("once")
+	setFaults(site.FaultTruncate)
+	broken := send("stream")
+	firstAttempt := true
 	for _, w := range d.workers {
 		w.SetFault(func(*http.Request) site.Fault {
-			if !first {
+			if !firstAttempt {
 				return site.FaultNone
 			}
-			first = false
+			firstAttempt = false
 			time.Sleep(300 * time.Millisecond)
 			return site.FaultLost
 		})
 	}
-	late := ask("read")
+	late := send("read")
 	d.stop()
 
 	explain := func(id string) string {
-		var out, errs bytes.Buffer
-		code := cli.Run(t.Context(), []string{"explain", id, "--logs", filepath.Join(dir, "edge-0.log")}, cli.Streams{In: strings.NewReader(""), Out: &out, Err: &errs})
-		require.Equal(t, cli.ExitOK, code, errs.String())
-		return out.String()
+		var stdout, stderr bytes.Buffer
+		code := cli.Run(t.Context(), []string{"explain", id, "--logs", filepath.Join(dir, "edge-0.log")}, cli.Streams{In: strings.NewReader(""), Out: &stdout, Err: &stderr})
+		require.Equal(t, cli.ExitOK, code, stderr.String())
+		return stdout.String()
 	}
 	require.Contains(t, explain(refused), "server_full")
 	require.Contains(t, explain(refused), "it did not run")
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -19,39 +19,42 @@
 )
 
 const (
-	gateways   = 3
-	plain      = 3
-	engines    = 5
-	roleSwitch = 500 * time.Millisecond
-	// orderGuard is the least time between orders of two holders, as the gateways are told.
+	gateways       = 3
+	plainWorkers   = 3
+	engines        = 5
+	roleSwitchTime = 500 * time.Millisecond
+	// orderGuard is the minimum time between orders of two lease holders. The gateways get it as a flag.
 	orderGuard = 3 * time.Second
-	// thawSlack is the time after a pause in which orders of the paused process don't count.
-	thawSlack = 300 * time.Millisecond
-	// readyBound is the recovery time that the users allow, and slack for a busy machine.
-	readyBound = 60 * time.Second
-	stopBound  = 20 * time.Second
+	// resumeTolerance is the time around the end of a pause in which orders are not checked, because a
+	// resumed process can still send an order that it had begun before the pause.
+	resumeTolerance = 300 * time.Millisecond
+	// readyTimeout is the recovery time that the users allow, plus a margin for a busy machine.
+	readyTimeout = 60 * time.Second
+	stopTimeout  = 20 * time.Second
 )
 
-// deployment is the store and the workers, in this process, and gateways in processes of their own.
+// deployment consists of a store and workers in the test process and gateways in separate processes.
 type deployment struct {
-	t         *testing.T
-	store     *site.Store
-	storeLink *testcluster.Forwarder
-	workers   []*worker
-	gateways  []*gatewayProcess
-	closers   []func()
-	version   int
+	t              *testing.T
+	store          *site.Store
+	storeForwarder *testcluster.Forwarder
+	workers        []*worker
+	gateways       []*gatewayProcess
+	cleanups       []func()
+	version        int
 
-	mu     sync.Mutex
-	thawed []time.Time
+	mu        sync.Mutex
+	resumedAt []time.Time
 }
 
+// worker is a simulated worker that is reached through a forwarder.
 type worker struct {
 	*site.Worker
-	link *testcluster.Forwarder
+	forwarder *testcluster.Forwarder
 }
 
-// gatewayProcess is one gateway. mu keeps the faults of one process apart.
+// gatewayProcess is one gateway process. mu is held during a fault, so that faults of one process do not
+// overlap.
 type gatewayProcess struct {
 	*testcluster.Process
 	mu           sync.Mutex
@@ -61,23 +64,23 @@
 
 func newDeployment(t *testing.T, program, dir string) *deployment {
 	d := &deployment{t: t, store: site.NewStore()}
-	d.storeLink = d.forward(d.serve(d.store))
-	for i := range plain {
-		d.worker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: 16, Work: 5 * time.Millisecond})
+	d.storeForwarder = d.startForwarder(d.serve(d.store))
+	for i := range plainWorkers {
+		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: 16, Work: 5 * time.Millisecond})
 	}
 	for i := range engines {
 		stage := "decode"
 		if i == 0 {
 			stage = "prefill"
 		}
-		d.worker(site.WorkerConfig{
+		d.addWorker(site.WorkerConfig{
 			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: 16, Stage: stage, Work: 10 * time.Millisecond,
-			PerToken: time.Microsecond, RoleSwitch: roleSwitch,
+			PerToken: time.Microsecond, RoleSwitch: roleSwitchTime,
 		})
 	}
-	d.configure()
+	d.writeConfig()
 	for i := range gateways {
-		d.gateway(program, dir, fmt.Sprintf("edge-%d", i))
+		d.addGateway(program, dir, fmt.Sprintf("edge-%d", i))
 	}
 	return d
 }
@@ -87,53 +90,53 @@
 	require.NoError(d.t, err)
 	srv := &http.Server{Handler: h}
 	go func() { _ = srv.Serve(l) }()
-	d.closers = append(d.closers, func() { _ = srv.Close() })
+	d.cleanups = append(d.cleanups, func() { _ = srv.Close() })
 	return l.Addr().String()
 }
 
-func (d *deployment) forward(target string) *testcluster.Forwarder {
+func (d *deployment) startForwarder(target string) *testcluster.Forwarder {
 	f, err := testcluster.NewForwarder(target)
 	require.NoError(d.t, err)
-	d.closers = append(d.closers, f.Close)
+	d.cleanups = append(d.cleanups, f.Close)
 	return f
 }
 
-func (d *deployment) worker(cfg site.WorkerConfig) {
+func (d *deployment) addWorker(cfg site.WorkerConfig) {
 	w := &worker{}
-	w.link = d.forward(d.serve(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.ServeHTTP(rw, r) })))
-	cfg.Address, cfg.Zone = w.link.Address(), "z"
+	w.forwarder = d.startForwarder(d.serve(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.ServeHTTP(rw, r) })))
+	cfg.Address, cfg.Zone = w.forwarder.Address(), "z"
 	w.Worker = site.NewWorker(cfg)
 	w.Register(d.store)
 	d.workers = append(d.workers, w)
 }
 
-func (d *deployment) gateway(program, dir, name string) {
+func (d *deployment) addGateway(program, dir, name string) {
 	address, err := testcluster.FreeAddress()
 	require.NoError(d.t, err)
 	ready, err := testcluster.FreeAddress()
 	require.NoError(d.t, err)
 	p, err := testcluster.NewProcess(name, program, filepath.Join(dir, name+".log"), []string{
 		"gateway", "--instance", name, "--data-centre", "z", "--listen", address, "--ready-listen", ready,
-		"--adapter-address", d.storeLink.Address(), "--retry-share", "0.2", "--order-guard", orderGuard.String(),
+		"--adapter-address", d.storeForwarder.Address(), "--retry-share", "0.2", "--order-guard", orderGuard.String(),
 		"--lame-duck", "300ms", "--grace", "6s",
 	})
 	require.NoError(d.t, err)
 	d.gateways = append(d.gateways, &gatewayProcess{Process: p, address: address, readyAddress: ready})
 }
 
-// configure writes the next version of the operator's configuration. Versions differ in a time-out.
-func (d *deployment) configure() {
+// writeConfig writes the next version of the operator's configuration. Each version has another timeout.
+func (d *deployment) writeConfig() {
 	d.mu.Lock()
 	d.version++
 	version := d.version
 	d.mu.Unlock()
 	type m = map[string]any
-	one := func(name, kind, service string, more m) m {
+	newRoute := func(name, kind, service string, overrides m) m {
 		r := m{
 			"name": name, "hostname": "a.example", "path-prefix": "/" + name + "/", "type": kind, "timeout-ms": 2000 + version,
 			"target-latency-ms": 1000, "priority": 0, "service": service, "max-attempts": 3,
 		}
-		for k, v := range more {
+		for k, v := range overrides {
 			r[k] = v
 		}
 		return r
@@ -141,13 +144,13 @@
 	d.store.Put("op/config", m{
 		"version": version,
 		"routes": []m{
-			one("read", "idempotent", "api", nil), one("once", "non_idempotent", "api", nil),
-			one("resume", "streaming", "llm", m{"sticky-sessions": true, "resumable": true, "gap-aim-ms": 200}),
-			one("stream", "streaming", "llm", m{"sticky-sessions": true, "gap-aim-ms": 200}),
+			newRoute("read", "idempotent", "api", nil), newRoute("once", "non_idempotent", "api", nil),
+			newRoute("resume", "streaming", "llm", m{"sticky-sessions": true, "resumable": true, "gap-aim-ms": 200}),
+			newRoute("stream", "streaming", "llm", m{"sticky-sessions": true, "gap-aim-ms": 200}),
 		},
 		"services": []m{
 			{"name": "api", "health-path": "/health", "max-connections": 100},
-			{"name": "llm", "health-path": "/health", "max-connections": 100, "engine": m{"slots": 16, "role-switch-s": roleSwitch.Seconds()}},
+			{"name": "llm", "health-path": "/health", "max-connections": 100, "engine": m{"slots": 16, "role-switch-s": roleSwitchTime.Seconds()}},
 		},
 		"limits": m{"max-body-bytes": 65536},
 	})
@@ -156,21 +159,21 @@
 func (d *deployment) stop() {
 	for _, g := range d.gateways {
 		_ = g.Resume()
-		if err := g.Stop(stopBound); err != nil {
+		if err := g.Stop(stopTimeout); err != nil {
 			d.t.Errorf("%s: %v", g.Name, err)
 		}
 	}
 	d.store.Close()
-	for _, f := range slices.Backward(d.closers) {
+	for _, f := range slices.Backward(d.cleanups) {
 		f()
 	}
 }
 
 func (d *deployment) waitReady() {
-	deadline := time.Now().Add(readyBound)
+	deadline := time.Now().Add(readyTimeout)
 	for _, g := range d.gateways {
 		for !g.ready() {
-			require.True(d.t, time.Now().Before(deadline), "%s is not ready", g.Name)
+			require.True(d.t, time.Now().Before(deadline), "%s did not become ready in time", g.Name)
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
@@ -186,90 +189,93 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// fault starts a random fault every few hundred milliseconds. Faults overlap.
-func (d *deployment) fault(rnd *rand.Rand, length time.Duration) {
-	var running sync.WaitGroup
-	for end := time.Now().Add(length); time.Now().Before(end); {
-		lasts := time.Duration(100+rnd.IntN(2500)) * time.Millisecond
+// injectFaults starts a random fault every few hundred milliseconds. Faults may overlap.
+func (d *deployment) injectFaults(rnd *rand.Rand, total time.Duration) {
+	var wg sync.WaitGroup
+	for end := time.Now().Add(total); time.Now().Before(end); {
+		duration := time.Duration(100+rnd.IntN(2500)) * time.Millisecond
 		w := d.workers[rnd.IntN(len(d.workers))]
 		g := d.gateways[rnd.IntN(len(d.gateways))]
-		kind, share, what := rnd.IntN(14), rnd.IntN(3)+2, site.Fault(1+rnd.IntN(int(site.FaultUnframed)))
-		running.Go(func() { d.bring(kind, share, what, w, g, lasts) })
-		d.show()
+		faultKind, n, workerFault := rnd.IntN(14), rnd.IntN(3)+2, site.Fault(1+rnd.IntN(int(site.FaultUnframed)))
+		wg.Go(func() { d.injectFault(faultKind, n, workerFault, w, g, duration) })
+		d.refreshRegistrations()
 		time.Sleep(time.Duration(50+rnd.IntN(500)) * time.Millisecond)
 	}
-	running.Wait()
+	wg.Wait()
 }
 
-// show writes the workers' entries, which follow their roles.
-func (d *deployment) show() {
+// refreshRegistrations writes the current registrations of all workers, which change with their roles.
+func (d *deployment) refreshRegistrations() {
 	for _, w := range d.workers {
 		w.Register(d.store)
 	}
 }
 
-func (d *deployment) bring(kind, share int, what site.Fault, w *worker, g *gatewayProcess, lasts time.Duration) {
-	switch kind {
+// injectFault injects one fault and ends it after the duration. n is a small number that parametrises the
+// fault, such as the interval between failing requests.
+func (d *deployment) injectFault(faultKind, n int, workerFault site.Fault, w *worker, g *gatewayProcess, duration time.Duration) {
+	switch faultKind {
 	case 0, 1, 2:
-		n := 0
+		count := 0
 		w.SetFault(func(*http.Request) site.Fault {
-			if n++; n%share == 0 {
-				return what
+			if count++; count%n == 0 {
+				return workerFault
 			}
 			return site.FaultNone
 		})
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		w.SetFault(nil)
 	case 3:
-		w.link.Hold(true, true)
-		time.Sleep(lasts)
-		w.link.Hold(false, false)
+		w.forwarder.Hold(true, true)
+		time.Sleep(duration)
+		w.forwarder.Hold(false, false)
 	case 4:
-		w.link.Hold(false, true)
-		time.Sleep(lasts)
-		w.link.Hold(false, false)
+		w.forwarder.Hold(false, true)
+		time.Sleep(duration)
+		w.forwarder.Hold(false, false)
 	case 5:
-		w.link.Reset()
+		w.forwarder.Reset()
 	case 6:
-		d.storeLink.Hold(true, true)
-		time.Sleep(lasts)
-		d.storeLink.Hold(false, false)
+		d.storeForwarder.Hold(true, true)
+		time.Sleep(duration)
+		d.storeForwarder.Hold(false, false)
 	case 7:
-		d.store.SetMode(site.StoreMode(1 + share%3))
-		time.Sleep(lasts)
+		d.store.SetMode(site.StoreMode(1 + n%3))
+		time.Sleep(duration)
 		d.store.SetMode(site.StoreUp)
 	case 8:
-		d.store.LoseWrites(share, lasts/4)
+		d.store.LoseWrites(n, duration/4)
 		d.store.Compact()
 	case 9:
-		d.configure()
+		d.writeConfig()
 	case 10:
 		d.store.Remove("servers/" + w.ID())
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		w.Register(d.store)
 	case 11:
-		d.disturb(g, func() {
+		d.runExclusively(g, func() {
 			g.Kill()
-			time.Sleep(lasts / 4)
+			time.Sleep(duration / 4)
 			require.NoError(d.t, g.Restart())
 		})
 	case 12:
-		d.disturb(g, func() {
+		d.runExclusively(g, func() {
 			_ = g.Pause()
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			_ = g.Resume()
 			d.mu.Lock()
-			d.thawed = append(d.thawed, time.Now())
+			d.resumedAt = append(d.resumedAt, time.Now())
 			d.mu.Unlock()
 		})
 	case 13:
-		d.disturb(g, func() {
-			// A signal before its program runs ends any process; nothing is lost by it.
-			runs := g.ready()
-			if runs {
+		d.runExclusively(g, func() {
+			// A signal that arrives before the program has started ends the process. Nothing is lost by
+			// that, so the result of Stop is only checked if the gateway was ready.
+			wasReady := g.ready()
+			if wasReady {
 				_ = g.Signal(syscall.SIGHUP)
 			}
-			if err := g.Stop(stopBound); err != nil && runs {
+			if err := g.Stop(stopTimeout); err != nil && wasReady {
 				d.t.Errorf("%s: %v", g.Name, err)
 			}
 			require.NoError(d.t, g.Restart())
@@ -277,24 +283,27 @@
 	}
 }
 
-func (d *deployment) disturb(g *gatewayProcess, f func()) {
+// runExclusively runs f while no other fault of the gateway process is in progress.
+func (d *deployment) runExclusively(g *gatewayProcess, f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f()
 }
 
-func (d *deployment) heal() {
+// clearFaults ends all faults and registers all workers.
+func (d *deployment) clearFaults() {
 	d.store.SetMode(site.StoreUp)
 	d.store.LoseWrites(0, 0)
-	d.storeLink.Hold(false, false)
+	d.storeForwarder.Hold(false, false)
 	for _, w := range d.workers {
 		w.SetFault(nil)
-		w.link.Hold(false, false)
+		w.forwarder.Hold(false, false)
 		w.Register(d.store)
 	}
 }
 
-// checkOrders verifies that fence numbers have one holder each and that holders do not take turns.
+// checkOrders verifies that each fence number has one lease holder, and that orders of a new holder have a
+// higher fence number and come at least orderGuard after those of the previous one.
 func (d *deployment) checkOrders() {
 	var all []site.Order
 	for _, w := range d.workers {
@@ -302,19 +311,19 @@
 	}
 	slices.SortFunc(all, func(a, b site.Order) int { return a.At.Compare(b.At) })
 	holders := map[uint64]string{}
-	var last *site.Order
+	var previous *site.Order
 	for i := range all {
 		o := &all[i]
-		if slices.ContainsFunc(d.thawed, func(at time.Time) bool { return o.At.Sub(at).Abs() < thawSlack }) {
+		if slices.ContainsFunc(d.resumedAt, func(at time.Time) bool { return o.At.Sub(at).Abs() < resumeTolerance }) {
 			continue
 		}
 		if h, ok := holders[o.Fence]; ok && h != o.Holder {
 			d.t.Errorf("%s and %s gave orders with fence number %d", h, o.Holder, o.Fence)
 		}
 		holders[o.Fence] = o.Holder
-		if last != nil && last.Holder != o.Holder && (o.At.Sub(last.At) < orderGuard || o.Fence <= last.Fence) {
-			d.t.Errorf("order of %s (fence %d) %s after one of %s (fence %d)", o.Holder, o.Fence, o.At.Sub(last.At), last.Holder, last.Fence)
+		if previous != nil && previous.Holder != o.Holder && (o.At.Sub(previous.At) < orderGuard || o.Fence <= previous.Fence) {
+			d.t.Errorf("order of %s (fence %d) %s after one of %s (fence %d)", o.Holder, o.Fence, o.At.Sub(previous.At), previous.Holder, previous.Fence)
 		}
-		last = o
+		previous = o
 	}
 }
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -18,58 +18,60 @@
 )
 
 const (
-	callers     = 24
+	callerCount = 24
 	callTimeout = 4 * time.Second
-	// servedInARow is the number of good answers of each kind that show recovery.
-	servedInARow = 20
+	// requiredSuccesses is the number of consecutive successes of each kind after which the deployment
+	// counts as recovered.
+	requiredSuccesses = 20
 )
 
 var kinds = []string{"read", "once", "resume", "stream"}
 
-// load sends requests on kept connections until it is stopped, and checks what comes back.
-type load struct {
+// loadGenerator sends requests on persistent connections until it is stopped, and checks the responses.
+type loadGenerator struct {
 	d      *deployment
 	cancel context.CancelFunc
 	ctx    context.Context
-	done   sync.WaitGroup
+	wg     sync.WaitGroup
 
-	mu       sync.Mutex
-	next     int
-	results  []result
-	errors   []string
-	row      map[string]int
-	outcomes map[string]int
+	mu      sync.Mutex
+	lastID  int
+	results []result
+	errors  []string
+	// consecutive is the number of successes of each kind since its last failure.
+	consecutive map[string]int
+	outcomes    map[string]int
 }
 
-// result is what one caller got.
+// result is the result of one request as the caller saw it.
 type result struct {
-	id, kind string
-	refused  bool
-	whole    bool
+	id, kind  string
+	refused   bool
+	succeeded bool
 }
 
-func newLoad(d *deployment) *load {
-	l := &load{d: d, row: map[string]int{}, outcomes: map[string]int{}}
+func newLoadGenerator(d *deployment) *loadGenerator {
+	l := &loadGenerator{d: d, consecutive: map[string]int{}, outcomes: map[string]int{}}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
-func (l *load) start() {
-	for i := range callers {
-		l.done.Go(func() { l.caller(i) })
+func (l *loadGenerator) start() {
+	for i := range callerCount {
+		l.wg.Go(func() { l.runCaller(i) })
 	}
 }
 
-func (l *load) stop() {
+func (l *loadGenerator) stop() {
 	l.cancel()
-	l.done.Wait()
+	l.wg.Wait()
 	l.checkRuns()
 }
 
-// caller keeps one connection for as long as it may.
-func (l *load) caller(n int) {
+// runCaller sends requests of one kind and reuses its connection for as long as the gateway allows.
+func (l *loadGenerator) runCaller(n int) {
 	var c net.Conn
-	var br *bufio.Reader
+	var reader *bufio.Reader
 	for l.ctx.Err() == nil {
 		if c == nil {
 			g := l.d.gateways[rand.IntN(len(l.d.gateways))]
@@ -79,9 +81,9 @@
 				time.Sleep(50 * time.Millisecond)
 				continue
 			}
-			br = bufio.NewReader(c)
+			reader = bufio.NewReader(c)
 		}
-		if !l.call(c, br, kinds[n%len(kinds)]) {
+		if !l.call(c, reader, kinds[n%len(kinds)]) {
 			_ = c.Close()
 			c = nil
 		}
@@ -92,11 +94,11 @@
 	}
 }
 
-// call sends one request and tells whether its connection may be used again.
-func (l *load) call(c net.Conn, br *bufio.Reader, kind string) bool {
+// call sends one request and reports whether its connection can be reused.
+func (l *loadGenerator) call(c net.Conn, reader *bufio.Reader, kind string) bool {
 	l.mu.Lock()
-	l.next++
-	id := fmt.Sprintf("%016x", l.next)
+	l.lastID++
+	id := fmt.Sprintf("%016x", l.lastID)
 	l.mu.Unlock()
 	target := fmt.Sprintf("/%s/%s", kind, id)
 	events := 0
@@ -107,31 +109,31 @@
 	r.Header.Set("Quetzallug-Deadline-Ms", "2000")
 	if kind == "resume" || kind == "stream" {
 		events = 1 + rand.IntN(8)
-		own := 100 + rand.IntN(2000)
+		uniqueTokens := 100 + rand.IntN(2000)
 		r.Header.Set("Quetzallug-Model", "m")
-		r.Header.Set("Quetzallug-Token-Count", fmt.Sprintf("%d,%d", 3000+own, events))
-		r.Header.Set("Quetzallug-Prefix-Hash", fmt.Sprintf("a%d:1000,b%d:2000,c%s:%d", rand.IntN(3), rand.IntN(20), id, own))
+		r.Header.Set("Quetzallug-Token-Count", fmt.Sprintf("%d,%d", 3000+uniqueTokens, events))
+		r.Header.Set("Quetzallug-Prefix-Hash", fmt.Sprintf("a%d:1000,b%d:2000,c%s:%d", rand.IntN(3), rand.IntN(20), id, uniqueTokens))
 	}
 	_ = c.SetDeadline(time.Now().Add(callTimeout))
 	if err := r.Write(c); err != nil {
-		l.note(result{id: id, kind: kind}, "write failed")
+		l.record(result{id: id, kind: kind}, "write failed")
 		return false
 	}
-	resp, err := http.ReadResponse(br, r)
+	resp, err := http.ReadResponse(reader, r)
 	if err != nil {
-		l.note(result{id: id, kind: kind}, "no answer")
+		l.record(result{id: id, kind: kind}, "no answer")
 		return false
 	}
 	b, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
 	if err != nil {
-		l.note(result{id: id, kind: kind}, "cut in the answer")
+		l.record(result{id: id, kind: kind}, "cut in the answer")
 		return false
 	}
 	refused := resp.StatusCode == http.StatusServiceUnavailable
-	l.note(result{id: id, kind: kind, refused: refused, whole: resp.StatusCode == http.StatusOK}, fmt.Sprint(resp.StatusCode))
+	l.record(result{id: id, kind: kind, refused: refused, succeeded: resp.StatusCode == http.StatusOK}, fmt.Sprint(resp.StatusCode))
 	if resp.StatusCode == http.StatusOK {
-		l.checkAnswer(id, target, events, resp.Header, string(b))
+		l.checkResponse(id, target, events, resp.Header, string(b))
 	}
 	if resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusBadRequest {
 		l.fail("%s %s got %d", kind, id, resp.StatusCode)
@@ -139,7 +141,7 @@
 	return !resp.Close
 }
 
-func (l *load) checkAnswer(id, target string, events int, h http.Header, body string) {
+func (l *loadGenerator) checkResponse(id, target string, events int, header http.Header, body string) {
 	want := site.Answer(id, target)
 	if events > 0 {
 		want = ""
@@ -148,69 +150,69 @@
 		}
 	}
 	if body != want {
-		l.fail("%s got another answer: %.200q", target, body)
+		l.fail("%s got an unexpected response body: %.200q", target, body)
 	}
-	if !strings.HasSuffix(h.Get("Quetzallug-Response-Signature"), "."+id) {
-		l.fail("%s got the signature %q", target, h.Get("Quetzallug-Response-Signature"))
+	if !strings.HasSuffix(header.Get("Quetzallug-Response-Signature"), "."+id) {
+		l.fail("%s got an unexpected signature %q", target, header.Get("Quetzallug-Response-Signature"))
 	}
 }
 
-func (l *load) note(r result, outcome string) {
+func (l *loadGenerator) record(r result, outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.results = append(l.results, r)
 	l.outcomes[r.kind+" "+outcome]++
-	l.row[r.kind]++
-	if !r.whole {
-		l.row[r.kind] = 0
+	l.consecutive[r.kind]++
+	if !r.succeeded {
+		l.consecutive[r.kind] = 0
 	}
 }
 
-func (l *load) fail(format string, args ...any) {
+func (l *loadGenerator) fail(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.errors = append(l.errors, fmt.Sprintf(format, args...))
 }
 
-func (l *load) check(ok func() bool, what string) {
-	if !ok() {
-		l.fail("%s", what)
+func (l *loadGenerator) expect(condition func() bool, message string) {
+	if !condition() {
+		l.fail("%s", message)
 	}
 }
 
-func (l *load) served() bool {
+func (l *loadGenerator) anySucceeded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.results {
-		if r.whole {
+		if r.succeeded {
 			return true
 		}
 	}
 	return false
 }
 
-// waitServed waits until each kind of request is served many times in a row.
-func (l *load) waitServed() {
+// waitForRecovery waits until each kind of request has succeeded requiredSuccesses times in a row.
+func (l *loadGenerator) waitForRecovery() {
 	l.mu.Lock()
-	clear(l.row)
+	clear(l.consecutive)
 	l.mu.Unlock()
-	for end := time.Now().Add(readyBound); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		l.d.show()
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		l.d.refreshRegistrations()
 		l.mu.Lock()
 		all := true
 		for _, k := range kinds {
-			all = all && l.row[k] >= servedInARow
+			all = all && l.consecutive[k] >= requiredSuccesses
 		}
 		l.mu.Unlock()
 		if all {
 			return
 		}
 	}
-	l.fail("not every kind of request is served after the faults: %v", l.row)
+	l.fail("not every kind of request recovered after the faults; consecutive successes: %v", l.consecutive)
 }
 
-// checkRuns compares what callers were told with what workers ran.
-func (l *load) checkRuns() {
+// checkRuns compares the results of the callers with the runs of the workers.
+func (l *loadGenerator) checkRuns() {
 	runs := map[string]int{}
 	for _, w := range l.d.workers {
 		for _, r := range w.Runs() {
@@ -225,21 +227,21 @@
 			l.fail("%s %s ran %d times", r.kind, r.id, runs[r.id])
 		}
 		if !repeatable && r.refused && runs[r.id] > 0 {
-			l.fail("%s %s was refused and ran", r.kind, r.id)
+			l.fail("%s %s was refused although it ran", r.kind, r.id)
 		}
-		if r.whole && runs[r.id] == 0 {
-			l.fail("%s %s was answered and did not run", r.kind, r.id)
+		if r.succeeded && runs[r.id] == 0 {
+			l.fail("%s %s succeeded although it did not run", r.kind, r.id)
 		}
 	}
 }
 
-func (l *load) failures() []string {
+func (l *loadGenerator) failures() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.errors
 }
 
-func (l *load) summary() string {
+func (l *loadGenerator) summary() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return fmt.Sprintf("%d requests, %v", len(l.results), l.outcomes)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,6 +1,7 @@
-// Package soak runs gateways as separate processes against the stand-in of the users' platform on
-// loopback and brings about random faults from outside them. Checks use only what callers and workers
-// saw. A seed names a schedule of faults; the interleaving of processes differs between runs.
+// Package soak runs gateways as separate processes against a simulation of the users' platform on the
+// loopback interface, and injects random faults from outside the processes. Most checks use only what
+// callers and workers observed. A seed determines the schedule of faults, but the interleaving of the
+// processes differs between runs.
 package soak
 
 import (
@@ -18,27 +19,28 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 0, "number of fresh seeds; 0 runs the fixed ones")
-	seed   = flag.Uint64("seed", 0, "the only seed to run")
-	length = flag.Duration("length", 6*time.Second, "time during which faults come")
-	logs   = flag.String("logs", "", "directory that keeps the logs of all processes")
+	seeds  = flag.Int("seeds", 0, "number of new random seeds to run; 0 runs the fixed seeds")
+	seed   = flag.Uint64("seed", 0, "the only seed to run; 0 runs several")
+	length = flag.Duration("length", 6*time.Second, "duration of the fault phase of each seed")
+	logs   = flag.String("logs", "", "directory in which to keep the logs of all processes")
 )
 
-// fixedSeeds run in CI. A seed that ever failed stays here, with the cause.
+// fixedSeeds run in CI. Seeds that found a failure are kept here with its cause.
 var fixedSeeds = []uint64{
 	20261204,
-	// The stand-in answered a hanging stream with an empty success at its time limit; a worker answers 504.
+	// The simulated worker ended a hanging stream at its deadline with an empty successful response instead
+	// of the status 504 of a real worker.
 	4712463620271783105,
 	3575342084053007081,
-	// SIGHUP ended a process that was starting: it was handled only once all was set up.
+	// SIGHUP ended a process that was starting, because its handler was installed only after the setup.
 	7085740786696474655,
 	12490154874927744332,
 	13048827396821084613,
 	6445014425434027971,
 	3996980461148586961,
 	10771193138473149037,
-	// Streams that were broken off by a panic still counted as in progress, and their engines were
-	// avoided for ever.
+	// Streams that were aborted by a panic still counted as in progress, so that their engines received no
+	// requests any more.
 	9115907571842290497,
 	12979586039161303901,
 }
@@ -46,19 +48,19 @@
 func TestSoak(t *testing.T) {
 	bin := t.TempDir()
 	require.NoError(t, testcluster.Build("../..", bin))
-	for _, s := range chosenSeeds() {
+	for _, s := range selectSeeds() {
 		t.Run(fmt.Sprint(s), func(t *testing.T) {
 			dir := t.TempDir()
 			if *logs != "" {
 				dir = filepath.Join(*logs, fmt.Sprint(s))
 				require.NoError(t, os.MkdirAll(dir, 0o700))
 			}
-			play(t, filepath.Join(bin, "quetzallugd"), dir, s)
+			runSchedule(t, filepath.Join(bin, "quetzallugd"), dir, s)
 		})
 	}
 }
 
-func chosenSeeds() []uint64 {
+func selectSeeds() []uint64 {
 	switch {
 	case *seed != 0:
 		return []uint64{*seed}
@@ -72,18 +74,19 @@
 	return fixedSeeds
 }
 
-// play runs one schedule: calm, faults, and recovery.
-func play(t *testing.T, program, dir string, s uint64) {
+// runSchedule runs one seed: it starts a deployment, sends requests during faults, ends the faults and
+// checks that the deployment recovers.
+func runSchedule(t *testing.T, program, dir string, s uint64) {
 	d := newDeployment(t, program, dir)
 	defer d.stop()
 	d.waitReady()
-	load := newLoad(d)
+	load := newLoadGenerator(d)
 	load.start()
-	d.fault(rand.New(rand.NewPCG(s, s)), *length)
-	d.heal()
+	d.injectFaults(rand.New(rand.NewPCG(s, s)), *length)
+	d.clearFaults()
 	d.waitReady()
-	load.check(load.served, "nothing was served during the faults")
-	load.waitServed()
+	load.expect(load.anySucceeded, "no request succeeded during the faults")
+	load.waitForRecovery()
 	load.stop()
 	d.checkOrders()
 	for _, failure := range load.failures() {
--- a/test/soak/status_test.go
+++ b/test/soak/status_test.go
@@ -19,15 +19,15 @@
 	"github.com/quetzallug/quetzallug/standin/site"
 )
 
-// Guards against a running gateway of which operators cannot learn what it believes: the tool's status
-// and workers, and each of the metrics that docs/OPERATIONS.md names.
+// Guards against running gateways whose state operators cannot see: it checks the status and workers
+// commands of the command line tool, and each metric that docs/OPERATIONS.md names.
 func TestStatusAndMetricsOfTheRealProgram(t *testing.T) {
 	bin, dir := t.TempDir(), t.TempDir()
 	require.NoError(t, testcluster.Build("../..", bin))
 	d := newDeployment(t, filepath.Join(bin, "quetzallugd"), dir)
 	d.waitReady()
-	l := newLoad(d)
-	ask := func(kind string) {
+	l := newLoadGenerator(d)
+	send := func(kind string) {
 		c, err := net.Dial("tcp", d.gateways[0].address)
 		require.NoError(t, err)
 		defer c.Close()
@@ -35,25 +35,25 @@
 	}
 	for range 20 {
 		for _, kind := range []string{"read", "once", "stream", "resume"} {
-			ask(kind)
+			send(kind)
 		}
 	}
-	for _, w := range d.workers[:plain] {
+	for _, w := range d.workers[:plainWorkers] {
 		w.SetFault(func(*http.Request) site.Fault { return site.FaultShed })
 	}
-	ask("once")
+	send("once")
 	c, err := net.Dial("tcp", d.gateways[0].address)
 	require.NoError(t, err)
 	_, err = io.WriteString(c, "no request\r\n\r\n")
 	require.NoError(t, err)
 	_, _ = io.ReadAll(c)
 
-	tool := func(args ...string) string {
-		var out, errs bytes.Buffer
+	runCLI := func(args ...string) string {
+		var stdout, stderr bytes.Buffer
 		code := cli.Run(t.Context(), append(args, "-o", "json", "--gateway", d.gateways[0].readyAddress, "--gateway", d.gateways[1].readyAddress),
-			cli.Streams{In: strings.NewReader(""), Out: &out, Err: &errs})
-		require.Equal(t, cli.ExitOK, code, errs.String())
-		return out.String()
+			cli.Streams{In: strings.NewReader(""), Out: &stdout, Err: &stderr})
+		require.Equal(t, cli.ExitOK, code, stderr.String())
+		return stdout.String()
 	}
 	var status []struct {
 		Instance string `json:"instance"`
@@ -61,15 +61,15 @@
 		Config   uint64 `json:"config"`
 		Servers  int    `json:"servers"`
 	}
-	require.NoError(t, json.Unmarshal([]byte(tool("status")), &status))
+	require.NoError(t, json.Unmarshal([]byte(runCLI("status")), &status))
 	require.Len(t, status, 2)
 	require.Equal(t, "edge-0", status[0].Instance)
 	require.True(t, status[0].Ready)
 	require.EqualValues(t, 1, status[0].Config)
-	require.Equal(t, plain+engines, status[0].Servers)
+	require.Equal(t, plainWorkers+engines, status[0].Servers)
 	var workers []gateway.ServerStatus
-	require.NoError(t, json.Unmarshal([]byte(tool("workers")), &workers))
-	require.Len(t, workers, plain+engines)
+	require.NoError(t, json.Unmarshal([]byte(runCLI("workers")), &workers))
+	require.Len(t, workers, plainWorkers+engines)
 
 	resp, err := http.Get("http://" + d.gateways[0].readyAddress + "/metrics")
 	require.NoError(t, err)
