--- a/test/site/drawn_test.go
+++ b/test/site/drawn_test.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// checkRetryBudget counts the arrivals after the first of each request, without one completed prefill, and
+// checkRetryBudget counts the arrivals after the first of each request, except for one completed prefill, and
 // compares them with the retry budget.
 func (d *randomDeployment) checkRetryBudget(requests int) {
 	arrivals, prefilled := map[string]int{}, map[string]bool{}
--- a/test/site/gateway_test.go
+++ b/test/site/gateway_test.go
@@ -150,8 +150,8 @@
 	})
 }
 
-// Guards against a gateway that retries a larger share of requests than its retry budget allows
-// when all workers fail.
+// Guards against a gateway that retries a larger share of requests than its retry budget allows when
+// all workers fail.
 func TestRetryBudgetHoldsUnderFailure(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
@@ -198,7 +198,7 @@
 	})
 }
 
-// Guards against requests to a worker that has been draining for longer than the gateway takes to notice.
+// Guards against requests that are sent to a draining worker after the drain bound.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
@@ -397,8 +397,8 @@
 	})
 }
 
-// Guards against a prefill engine that keeps the cache entry of a prefilled prompt that no
-// decode engine fetched, and against needless free calls for prompts that were fetched.
+// Guards against a prefill engine that keeps the cache entry of a prefilled prompt that no decode
+// engine fetched, and against needless free calls for prompts that were fetched.
 func TestPromptsReadInVainAreFreed(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
--- a/test/site/world_test.go
+++ b/test/site/world_test.go
@@ -301,8 +301,8 @@
 	return out
 }
 
-// checkResponse verifies that a request which must not be repeated ran at most once, that a success is
-// complete, unchanged and signed for this request, and that a request refused with 503 did not run.
+// checkResponse verifies that a success is complete, unchanged and signed for this request, and that a
+// request which must not be repeated ran at most once, or not at all if it was refused with 503.
 func (env *testEnv) checkResponse(r *response, path string, events int) {
 	env.t.Helper()
 	runs := env.runsOf(r.id)
