--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -1,5 +1,5 @@
 // Package backend simulates a plain backend server for tests. GET returns a schedule; every other
-// method executes an action and records it in a journal, which makes duplicate executions visible.
+// method executes an action. A journal records all requests, which makes duplicate executions visible.
 package backend
 
 import (
@@ -25,18 +25,18 @@
 type Config struct {
 	// ServiceTime is the duration of one request; a negative value means none.
 	ServiceTime time.Duration
-	// Limit is the maximum number of concurrent requests; further ones wait.
+	// Limit is the maximum number of requests executed at the same time; further ones wait.
 	Limit int
-	// JournalLimit is the minimum number of latest records that the journal keeps; it drops older
-	// ones when it reaches twice this length. 0 means no limit.
+	// JournalLimit bounds the journal, which keeps at least this many of the latest records and fewer
+	// than twice as many. 0 keeps all.
 	JournalLimit int
 }
 
 // Faults are the faults to inject.
 type Faults struct {
-	// FailBeforeRun is the number of next requests that fail before execution.
+	// FailBeforeRun is n if the next n requests fail before execution.
 	FailBeforeRun int `json:"fail_before_run"`
-	// LoseResponse is the number of next requests that are executed but lose their response.
+	// LoseResponse is n if the next n requests are executed but their responses are lost.
 	LoseResponse int `json:"lose_response"`
 	// SlowMS is added to the service time, in milliseconds.
 	SlowMS int `json:"slow_ms"`
@@ -62,7 +62,7 @@
 	// Executions is the number of executions so far with this idempotency key, or with this request
 	// ID if the request has no key.
 	Executions int `json:"executions,omitempty"`
-	// Departures is the schedule returned by a GET. It depends only on the path.
+	// Departures holds the departure times (HH:MM) returned by a GET. They depend only on the path.
 	Departures []string `json:"departures,omitempty"`
 }
 
@@ -106,15 +106,15 @@
 }
 
 // Executions returns the number of actions executed with an idempotency key, or with a request ID
-// for requests without a key.
+// for requests without a key. GETs are not counted.
 func (s *Server) Executions(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[key]
 }
 
-// Do implements external.Backend. An action in the journal has been executed, whether or not its
-// response reaches the caller.
+// Do implements external.Backend. Every request in the journal has been executed, whether or not its
+// response reached the caller.
 func (s *Server) Do(ctx context.Context, r *external.PlainRequest) (*external.PlainResponse, error) {
 	if r.Timeout > 0 {
 		var cancel context.CancelFunc
@@ -126,12 +126,12 @@
 		return nil, err
 	}
 	defer release()
-	slow, fail := s.consumeFaults()
+	extraTime, fail := s.consumeFaults()
 	if fail {
 		return nil, fmt.Errorf("%w: injected failure before execution", external.ErrEngineFailed)
 	}
-	if err := sleep(ctx, s.cfg.ServiceTime+slow); err != nil {
-		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
+	if err := sleep(ctx, s.cfg.ServiceTime+extraTime); err != nil {
+		return nil, fmt.Errorf("%w: executing: %w", external.ErrEngineFailed, err)
 	}
 	n, lost := s.execute(r)
 	if lost {
@@ -155,7 +155,7 @@
 	case s.slots <- struct{}{}:
 		return func() { <-s.slots }, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, ctx.Err())
+		return nil, fmt.Errorf("%w: waiting for a slot: %w", external.ErrEngineFailed, ctx.Err())
 	}
 }
 
@@ -165,8 +165,9 @@
 	s.waiting += n
 }
 
-// consumeFaults returns the faults of the next request and counts down FailBeforeRun.
-func (s *Server) consumeFaults() (slow time.Duration, fail bool) {
+// consumeFaults returns the extra service time of the next request and whether it fails before
+// execution. It counts down FailBeforeRun.
+func (s *Server) consumeFaults() (extraTime time.Duration, fail bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.FailBeforeRun > 0 {
@@ -177,7 +178,7 @@
 }
 
 // execute records the request and returns the number of executions with its key, which is 0 for a
-// GET.
+// GET. lost reports that the response is to be dropped; it counts down LoseResponse.
 func (s *Server) execute(r *external.PlainRequest) (n int, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,6 +215,7 @@
 	}, nil
 }
 
+// departures returns four departure times (HH:MM) derived from the path.
 func departures(path string) []string {
 	h := xxhash.Sum64String(path)
 	out := make([]string, 0, 4)
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -15,15 +15,15 @@
 
 // prefixCache is an LRU cache of prompt blocks. It is guarded by Engine.mu.
 type prefixCache struct {
-	limit        int
+	maxBlocks    int
 	blocks       map[uint64]*list.Element
 	recent       *list.List // of uint64 block hashes, most recently used first
 	events       []loggedEvent
 	lastSequence uint64
 }
 
-func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, blocks: map[uint64]*list.Element{}, recent: list.New()}
+func newPrefixCache(maxBlocks int) *prefixCache {
+	return &prefixCache{maxBlocks: maxBlocks, blocks: map[uint64]*list.Element{}, recent: list.New()}
 }
 
 // match returns the number of leading blocks that are cached and moves them to the front of the LRU
@@ -41,10 +41,10 @@
 	return n
 }
 
-// store adds blocks and evicts the least recently used ones beyond the limit. Blocks are added from
+// store adds blocks and evicts the least recently used ones beyond maxBlocks. Blocks are added from
 // last to first, so that the end of a prompt is evicted before its start.
 func (c *prefixCache) store(hashes []uint64) {
-	for i := min(len(hashes), c.limit) - 1; i >= 0; i-- {
+	for i := min(len(hashes), c.maxBlocks) - 1; i >= 0; i-- {
 		h := hashes[i]
 		if el, ok := c.blocks[h]; ok {
 			c.recent.MoveToFront(el)
@@ -53,7 +53,7 @@
 		c.blocks[h] = c.recent.PushFront(h)
 		c.appendEvent(h, false)
 	}
-	for c.recent.Len() > c.limit {
+	for c.recent.Len() > c.maxBlocks {
 		h := c.recent.Remove(c.recent.Back()).(uint64)
 		delete(c.blocks, h)
 		c.appendEvent(h, true)
@@ -66,14 +66,15 @@
 		CacheEvent: external.CacheEvent{Sequence: c.lastSequence, Prefix: prefix, Evicted: evicted},
 		at:         time.Now(),
 	})
-	if len(c.events) >= 2*eventLogLength {
-		c.events = append(c.events[:0], c.events[eventLogLength:]...)
+	if len(c.events) >= 2*minLoggedEvents {
+		c.events = append(c.events[:0], c.events[minLoggedEvents:]...)
 	}
 }
 
 // eventsAfter returns the events after a sequence number that are at least delay old. About one in
-// gap events is omitted; which ones depends on the seed and the sequence number only.
-func (c *prefixCache) eventsAfter(after uint64, delay time.Duration, gap int, seed uint64) []external.CacheEvent {
+// lossInterval events is omitted, or none if it is not positive; which ones depends on the seed and the
+// sequence number only.
+func (c *prefixCache) eventsAfter(after uint64, delay time.Duration, lossInterval int, seed uint64) []external.CacheEvent {
 	var out []external.CacheEvent
 	for _, ev := range c.events {
 		if ev.Sequence <= after {
@@ -82,7 +83,7 @@
 		if time.Since(ev.at) < delay {
 			break
 		}
-		if gap > 0 && splitMix64(seed+ev.Sequence)%uint64(gap) == 0 {
+		if lossInterval > 0 && splitMix64(seed+ev.Sequence)%uint64(lossInterval) == 0 {
 			continue
 		}
 		out = append(out, ev.CacheEvent)
--- a/standin/engine/config.go
+++ b/standin/engine/config.go
@@ -33,8 +33,8 @@
 	// maxKVCaches is the maximum number of requests whose KV cache can be exported, and of imported
 	// KV caches.
 	maxKVCaches = 256
-	// eventLogLength is the minimum number of latest cache events that are kept.
-	eventLogLength = 4096
+	// minLoggedEvents is the minimum number of latest cache events that are kept.
+	minLoggedEvents = 4096
 )
 
 // Config sets an engine's capacity, speed and behaviour. Zero values select the defaults.
@@ -53,18 +53,19 @@
 	PrefillChunk int
 	// Pieces is the capacity in units of external.PieceTokens tokens. A request reserves the pieces of
 	// its prompt and its longest possible answer.
-	Pieces     int
+	Pieces int
+	// MaxRunning and MaxQueued are the maximum numbers of running and queued requests.
 	MaxRunning int
 	MaxQueued  int
 	// CacheBlocks is the capacity of the prefix cache in blocks of enginewire.BlockTokens tokens.
 	CacheBlocks int
 
-	// LoadLag is the age of load reports. Samples are taken at most once per LoadLag/32.
+	// LoadLag is the age of the load that Load reports.
 	LoadLag time.Duration
-	// EventDelay is the time before a cache event is reported. About one in EventGap events is lost;
-	// a negative value means none.
+	// EventDelay is the time before a cache event is reported; a negative value means no delay.
 	EventDelay time.Duration
-	EventGap   int
+	// About one in EventGap cache events is lost; a negative value means that none is.
+	EventGap int
 
 	// OrderTime is the duration of an order.
 	OrderTime time.Duration
@@ -73,8 +74,8 @@
 
 	// Instant makes each call of Next generate a token, without step time, batching or limits.
 	Instant bool
-	// JournalLimit is the minimum number of latest records that the journal keeps; it drops older
-	// ones when it reaches twice this length. 0 means no limit.
+	// JournalLimit bounds the journal, which keeps at least this many of the latest records and fewer
+	// than twice as many. 0 keeps all.
 	JournalLimit int
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -23,30 +23,33 @@
 // there are requests, so an idle engine has no goroutine.
 type Engine struct {
 	cfg      Config
-	closed   chan struct{}
+	closing  chan struct{} // closed by Close, which ends the step loop's wait
 	stepLoop sync.WaitGroup
 
 	mu           sync.Mutex
 	state        external.EngineState
-	down         bool
-	isClosed     bool
-	starts       uint64
-	stepping     bool
+	down         bool // crashed or closed
+	closed       bool
+	startCount   uint64
+	stepLoopRuns bool
 	queue        []*sequence // waiting, ordered by priority, then arrival
 	running      []*sequence // admitted, ordered by priority, then arrival
-	instant      map[*sequence]struct{}
-	arrivals     uint64
-	freePieces   int
-	cache        *prefixCache
-	kv           *kvCache
-	loadSamples  []loadSample
-	currentOrder *runningOrder
-	// highestFence and orderConfigs survive crashes, because they are used only to detect violations.
-	highestFence       uint64
-	orderConfigs       map[orderID]external.EngineConfig
-	loseOrderResponses int
-	journal            []Record
-	violations         []Violation
+	// instantRequests holds the requests in flight in Instant mode.
+	instantRequests map[*sequence]struct{}
+	arrivals        uint64
+	freePieces      int
+	cache           *prefixCache
+	kv              *kvTransfers
+	loadSamples     []loadSample
+	currentOrder    *runningOrder
+	// highestStartedFence is the highest fence of an order that started; state.Fence is the highest one
+	// seen. highestStartedFence and orderConfigs survive crashes, because they are used only to detect
+	// violations.
+	highestStartedFence uint64
+	orderConfigs        map[orderID]external.EngineConfig
+	loseOrderResponses  int
+	journal             []Record
+	violations          []Violation
 }
 
 var _ external.Engine = (*Engine)(nil)
@@ -55,7 +58,7 @@
 func New(cfg Config) *Engine {
 	e := &Engine{
 		cfg:          cfg.withDefaults(),
-		closed:       make(chan struct{}),
+		closing:      make(chan struct{}),
 		orderConfigs: map[orderID]external.EngineConfig{},
 	}
 	e.startProcess(cfg.Initial)
@@ -64,25 +67,25 @@
 
 // startProcess resets the state to that of a newly started process.
 func (e *Engine) startProcess(c external.EngineConfig) {
-	e.starts++
-	id := splitMix64(xxhash.Sum64String(e.cfg.Name) ^ splitMix64(e.cfg.Seed+e.starts))
+	e.startCount++
+	id := splitMix64(xxhash.Sum64String(e.cfg.Name) ^ splitMix64(e.cfg.Seed+e.startCount))
 	e.state = external.EngineState{Config: cloneConfig(c), StartID: fmt.Sprintf("%016x", id)}
 	e.down = false
 	e.freePieces = e.cfg.Pieces
 	e.cache = newPrefixCache(e.cfg.CacheBlocks)
-	e.kv = newKVCache()
+	e.kv = newKVTransfers()
 	e.loadSamples = nil
-	e.instant = map[*sequence]struct{}{}
+	e.instantRequests = map[*sequence]struct{}{}
 	e.recordLoad()
 }
 
 // Close ends all requests and waits for the step loop to return.
 func (e *Engine) Close() error {
 	e.mu.Lock()
-	if !e.isClosed {
-		e.isClosed = true
+	if !e.closed {
+		e.closed = true
 		e.stop("engine closed")
-		close(e.closed)
+		close(e.closing)
 	}
 	e.mu.Unlock()
 	e.stepLoop.Wait()
@@ -100,12 +103,12 @@
 	}
 }
 
-// Restart starts the engine again, crashing it first if it is up. The given configuration is usually
-// empty, but tests may pass a wrong one. Order and fence numbers are reset.
+// Restart starts the engine again, crashing it first if it is up. c is the configuration after the
+// start; a real engine starts with an empty one. The order and fence numbers in State are reset.
 func (e *Engine) Restart(c external.EngineConfig) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.isClosed {
+	if e.closed {
 		return
 	}
 	if !e.down {
@@ -122,7 +125,7 @@
 	e.abortAll(reason)
 	if e.currentOrder != nil {
 		e.recordOrder(OrderLost, e.currentOrder.order, reason)
-		e.endOrder(fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
+		e.releaseOrder(fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
 	}
 }
 
@@ -145,8 +148,9 @@
 	return s, nil
 }
 
-// Load implements external.Engine. PrefillTokens and DecodeTokens are the outstanding work of running
-// and queued requests; each answer counts with its longest possible length.
+// Load implements external.Engine. It returns the first sample, because recordLoad drops those before
+// the latest one that is at least LoadLag old. PrefillTokens and DecodeTokens are the outstanding work
+// of running and queued requests; DecodeTokens assumes that each answer reaches MaxTokens.
 func (e *Engine) Load(ctx context.Context) (external.EngineLoad, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,8 +181,9 @@
 	return nil
 }
 
-// recordLoad samples the current load and drops the samples that are too old to be reported. If the
-// last sample is less than one sampling interval old, its load is replaced instead.
+// recordLoad samples the current load and drops the samples that are too old to be reported. If there
+// are several samples and the last is less than lag/loadSamplesPerLag old, its load is replaced instead.
+// A single sample is the one that Load reports, so its load is replaced only if lag is 0.
 func (e *Engine) recordLoad() {
 	now := time.Now()
 	lag := e.cfg.LoadLag
@@ -195,13 +200,13 @@
 
 func (e *Engine) currentLoad() external.EngineLoad {
 	l := external.EngineLoad{
-		Running: len(e.running) + len(e.instant), Queued: len(e.queue),
+		Running: len(e.running) + len(e.instantRequests), Queued: len(e.queue),
 		FreePieces: e.freePieces, TotalPieces: e.cfg.Pieces,
 	}
 	for _, list := range [][]*sequence{e.running, e.queue} {
 		for _, s := range list {
 			l.PrefillTokens += int64(s.prefillLeft)
-			l.DecodeTokens += int64(max(0, s.req.MaxTokens-s.produced))
+			l.DecodeTokens += int64(max(0, s.req.MaxTokens-s.generateOffset))
 		}
 	}
 	return l
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -121,7 +121,8 @@
 	require.Less(t, equal, 5)
 }
 
-// Guards against step durations outside the range that the planners assume.
+// Guards against a prefill rate outside 60,000 to 100,000 tokens/s, and a decode step of the wrong
+// duration.
 func TestPrefillRateAndStepTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{})
@@ -252,7 +253,7 @@
 		rest := *r
 		rest.Offset, rest.KVHandle = 1, handle
 		require.Equal(t, whole, head+generate(t, decode, &rest))
-		require.Less(t, time.Since(begin), 250*time.Millisecond, "39 decode steps took longer in virtual time")
+		require.Less(t, time.Since(begin), 250*time.Millisecond, "39 decode steps took 250 ms or more of virtual time: the prompt was prefilled again")
 
 		begin = time.Now()
 		other := request("b", 50_000, 1)
@@ -272,14 +273,14 @@
 		s, err := e.Generate(t.Context(), request("a", 1, 2000))
 		require.NoError(t, err)
 		defer s.Close()
-		running := func() int {
+		inFlight := func() int {
 			l, err := e.Load(t.Context())
 			require.NoError(t, err)
 			return l.Running + l.Queued
 		}
 		time.Sleep(900 * time.Millisecond)
-		require.Equal(t, 0, running())
+		require.Equal(t, 0, inFlight())
 		time.Sleep(200 * time.Millisecond)
-		require.Equal(t, 1, running())
+		require.Equal(t, 1, inFlight())
 	})
 }
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -15,39 +15,41 @@
 type sequence struct {
 	engine           *Engine
 	req              external.GenerateRequest
-	key              uint64
+	answerKey        uint64 // hash of all that determines the answer
 	arrival          uint64
-	length           int
+	answerLength     int // tokens of the whole answer, including those before Offset
 	finishReason     string
-	pieces           int
+	reservedPieces   int
 	promptTokens     int
-	hashes           []uint64
-	wake             chan struct{}
+	prefixHashes     []uint64        // of the prompt's blocks
+	wake             chan struct{}   // signals Next
 	ctxDone          <-chan struct{} // done channel of the caller's context
 	stopContextWatch func() bool
 
 	prefillLeft int // tokens left to prefill
 	stepPrefill int // tokens that the current step prefills
-	produced    int // absolute offset of the next token to generate
-	delivered   int // absolute offset of the next token to deliver
-	exhausted   bool
-	ended       bool
-	err         error
+	// generateOffset and deliverOffset are the offsets in the whole answer of the next token to generate
+	// and to deliver.
+	generateOffset int
+	deliverOffset  int
+	finalChunkRead bool // Next has returned the last chunk
+	ended          bool // the generation is over
+	err            error
 }
 
 // Generate implements external.Engine. MaxTokens limits the whole answer, including the tokens before
 // Offset.
 func (e *Engine) Generate(ctx context.Context, r *external.GenerateRequest) (external.TokenStream, error) {
-	s := &sequence{engine: e, req: *r, key: answerKey(r), wake: make(chan struct{}, 1), ctxDone: ctx.Done()}
-	s.length, s.finishReason = answerLength(s.key, r.MaxTokens)
+	s := &sequence{engine: e, req: *r, answerKey: answerKey(r), wake: make(chan struct{}, 1), ctxDone: ctx.Done()}
+	s.answerLength, s.finishReason = answerLength(s.answerKey, r.MaxTokens)
 	s.promptTokens = r.PromptTokens
 	if s.promptTokens <= 0 {
 		s.promptTokens = enginewire.CountWords(r.Prompt)
 	}
-	s.pieces = (s.promptTokens + r.MaxTokens + external.PieceTokens - 1) / external.PieceTokens
-	s.produced, s.delivered = r.Offset, r.Offset
+	s.reservedPieces = (s.promptTokens + r.MaxTokens + external.PieceTokens - 1) / external.PieceTokens
+	s.generateOffset, s.deliverOffset = r.Offset, r.Offset
 	if !e.cfg.Instant {
-		s.hashes = enginewire.AppendPrefixHashes(nil, r.Model, r.Adapter, r.Prompt, e.cfg.CacheBlocks)
+		s.prefixHashes = enginewire.AppendPrefixHashes(nil, r.Model, r.Adapter, r.Prompt, e.cfg.CacheBlocks)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,12 +80,12 @@
 		return fmt.Sprintf("model %q is not loaded", r.Model)
 	case r.Adapter != "" && !hasModel(e.state.Config.Adapters, r.Adapter):
 		return fmt.Sprintf("adapter %q is not loaded", r.Adapter)
-	case r.Offset > s.length:
-		return fmt.Sprintf("offset %d is beyond the answer's %d tokens", r.Offset, s.length)
+	case r.Offset > s.answerLength:
+		return fmt.Sprintf("offset %d is beyond the answer's %d tokens", r.Offset, s.answerLength)
 	case e.cfg.Instant:
 		return ""
-	case s.pieces > e.cfg.Pieces:
-		return fmt.Sprintf("request needs %d pieces, the engine has %d", s.pieces, e.cfg.Pieces)
+	case s.reservedPieces > e.cfg.Pieces:
+		return fmt.Sprintf("request needs %d pieces, the engine has %d", s.reservedPieces, e.cfg.Pieces)
 	case len(e.queue) >= e.cfg.MaxQueued:
 		return "queue is full"
 	}
@@ -98,7 +100,7 @@
 // starts at once.
 func (e *Engine) accept(s *sequence) {
 	if e.cfg.Instant {
-		e.instant[s] = struct{}{}
+		e.instantRequests[s] = struct{}{}
 		e.kv.addExport(s)
 		e.recordSequence(RequestStarted, s, "")
 		return
@@ -108,7 +110,7 @@
 	s.prefillLeft = s.promptTokens + s.req.Offset
 	e.queue = insertOrdered(e.queue, s)
 	e.recordSequence(RequestQueued, s, "")
-	if !e.stepping {
+	if !e.stepLoopRuns {
 		// The first step is planned here instead of in the step loop, so that the set of requests in
 		// it does not depend on goroutine scheduling.
 		if d, ok := e.planStep(); ok {
@@ -145,35 +147,35 @@
 	}
 }
 
-// takeReady returns the tokens generated since the last call. ready is false if there are none and
-// the sequence has not ended.
+// takeReady returns the tokens not yet delivered; in Instant mode it generates the next one first. ready
+// is false if there are none and the sequence has not ended. After the last chunk it returns io.EOF.
 func (s *sequence) takeReady() (chunk external.TokenChunk, ready bool, err error) {
 	e := s.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.exhausted {
+	if s.finalChunkRead {
 		return chunk, false, io.EOF
 	}
 	if s.err != nil {
 		return chunk, false, s.err
 	}
 	if e.cfg.Instant && !s.ended {
-		s.produced = min(s.produced+1, s.length)
-		if s.produced == s.length {
+		s.generateOffset = min(s.generateOffset+1, s.answerLength)
+		if s.generateOffset == s.answerLength {
 			e.endSequence(s, RequestFinished, "", nil)
 		}
 	}
-	if s.produced == s.delivered && !s.ended {
+	if s.generateOffset == s.deliverOffset && !s.ended {
 		return chunk, false, nil
 	}
-	chunk = external.TokenChunk{Offset: s.delivered, Tokens: s.produced - s.delivered}
+	chunk = external.TokenChunk{Offset: s.deliverOffset, Tokens: s.generateOffset - s.deliverOffset}
 	if chunk.Tokens > 0 {
-		chunk.Text = joinTokens(s.key, s.delivered, s.produced)
+		chunk.Text = joinTokens(s.answerKey, s.deliverOffset, s.generateOffset)
 	}
-	s.delivered = s.produced
+	s.deliverOffset = s.generateOffset
 	if s.ended {
 		chunk.FinishReason = s.finishReason
-		s.exhausted = true
+		s.finalChunkRead = true
 	}
 	return chunk, true, nil
 }
@@ -209,7 +211,7 @@
 
 func (e *Engine) inFlight() []*sequence {
 	all := slices.Concat(e.running, e.queue)
-	for s := range e.instant {
+	for s := range e.instantRequests {
 		all = append(all, s)
 	}
 	return all
@@ -236,11 +238,11 @@
 	}
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.freePieces += s.pieces
+		e.freePieces += s.reservedPieces
 	} else if i := slices.Index(e.queue, s); i >= 0 {
 		e.queue = slices.Delete(e.queue, i, i+1)
 	}
-	delete(e.instant, s)
+	delete(e.instantRequests, s)
 	e.recordSequence(k, s, detail)
 	if !e.cfg.Instant {
 		e.recordLoad()
--- a/standin/engine/journal.go
+++ b/standin/engine/journal.go
@@ -6,7 +6,7 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// Kind is the kind of a journal record.
+// Kind says which event a journal record describes.
 type Kind string
 
 // Kinds of journal records.
@@ -32,17 +32,21 @@
 
 // Record is one journal entry.
 type Record struct {
-	At        time.Time             `json:"at"`
-	Kind      Kind                  `json:"kind"`
-	StartID   string                `json:"start_id"`
-	RequestID string                `json:"request_id,omitempty"`
-	Model     string                `json:"model,omitempty"`
-	Offset    int                   `json:"offset,omitempty"`
-	Tokens    int                   `json:"tokens,omitempty"`
-	Fence     uint64                `json:"fence,omitempty"`
-	Number    uint64                `json:"number,omitempty"`
-	Config    external.EngineConfig `json:"config,omitzero"`
-	Detail    string                `json:"detail,omitempty"`
+	At        time.Time `json:"at"`
+	Kind      Kind      `json:"kind"`
+	StartID   string    `json:"start_id"`
+	RequestID string    `json:"request_id,omitempty"`
+	Model     string    `json:"model,omitempty"`
+	// Offset is the request's Offset, Tokens the number of tokens that this engine generated for it.
+	Offset int `json:"offset,omitempty"`
+	Tokens int `json:"tokens,omitempty"`
+	// Fence and Number identify an order.
+	Fence  uint64 `json:"fence,omitempty"`
+	Number uint64 `json:"number,omitempty"`
+	// Config is the configuration of the order or after the restart.
+	Config external.EngineConfig `json:"config,omitzero"`
+	// Detail is the reason for a refusal, for the early end of a request or for the loss of an order.
+	Detail string `json:"detail,omitempty"`
 }
 
 // ViolationKind is the kind of a protocol violation.
@@ -65,9 +69,10 @@
 	At        time.Time     `json:"at"`
 	Kind      ViolationKind `json:"kind"`
 	RequestID string        `json:"request_id,omitempty"`
-	Fence     uint64        `json:"fence,omitempty"`
-	Number    uint64        `json:"number,omitempty"`
-	Detail    string        `json:"detail,omitempty"`
+	// Fence and Number identify the order.
+	Fence  uint64 `json:"fence,omitempty"`
+	Number uint64 `json:"number,omitempty"`
+	Detail string `json:"detail,omitempty"`
 }
 
 // Journal returns the journal, oldest record first. Crashes do not clear it.
@@ -95,7 +100,7 @@
 func (e *Engine) recordSequence(k Kind, s *sequence, detail string) {
 	e.record(Record{
 		Kind: k, RequestID: s.req.RequestID, Model: s.req.Model,
-		Offset: s.req.Offset, Tokens: s.produced - s.req.Offset, Detail: detail,
+		Offset: s.req.Offset, Tokens: s.generateOffset - s.req.Offset, Detail: detail,
 	})
 }
 
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -15,35 +15,35 @@
 	Tokens int    `json:"tokens"`
 }
 
-// kvCache holds the requests whose KV cache can be exported and the imported KV caches, at most
+// kvTransfers holds the requests whose KV cache can be exported and the imported KV caches, at most
 // maxKVCaches of each. It is guarded by Engine.mu.
-type kvCache struct {
+type kvTransfers struct {
 	exports     map[string]*sequence
 	exportOrder []string
 	imports     map[string]kvBlob
 	importOrder []string
 }
 
-func newKVCache() *kvCache {
-	return &kvCache{exports: map[string]*sequence{}, imports: map[string]kvBlob{}}
+func newKVTransfers() *kvTransfers {
+	return &kvTransfers{exports: map[string]*sequence{}, imports: map[string]kvBlob{}}
 }
 
 // addExport makes the KV cache of a prefilled request exportable.
-func (c *kvCache) addExport(s *sequence) {
+func (c *kvTransfers) addExport(s *sequence) {
 	c.exportOrder = putBounded(c.exports, c.exportOrder, s.req.RequestID, s)
 }
 
 // importedTokens returns the number of tokens in an imported KV cache, or 0 if the handle is unknown
 // or belongs to another answer.
-func (c *kvCache) importedTokens(handle string, key uint64) int {
+func (c *kvTransfers) importedTokens(handle string, key uint64) int {
 	if b, ok := c.imports[handle]; ok && b.Answer == key {
 		return b.Tokens
 	}
 	return 0
 }
 
-// putBounded stores a value in a map and removes the oldest one beyond maxKVCaches. It returns the
-// keys in insertion order.
+// putBounded stores v under key and, beyond maxKVCaches, removes the oldest entry. order holds m's keys,
+// oldest first; the updated order is returned.
 func putBounded[V any](m map[string]V, order []string, key string, v V) []string {
 	if _, ok := m[key]; !ok {
 		order = append(order, key)
@@ -68,7 +68,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%w: no KV cache of request %q", external.ErrEngineRefused, requestID)
 	}
-	return json.Marshal(kvBlob{Answer: s.key, Tokens: s.promptTokens + s.produced})
+	return json.Marshal(kvBlob{Answer: s.answerKey, Tokens: s.promptTokens + s.generateOffset})
 }
 
 // ImportKV implements external.Engine. Importing the same data again returns the same handle.
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -18,7 +18,8 @@
 	err   error
 }
 
-// LoseOrderAnswers makes the engine lose the responses of the next n orders that it executes.
+// LoseOrderAnswers makes the engine lose the responses of the next n orders that it executes. n
+// replaces the count of an earlier call.
 func (e *Engine) LoseOrderAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,7 +63,7 @@
 	}
 	run := &runningOrder{order: o, done: make(chan struct{})}
 	e.currentOrder = run
-	run.timer = time.AfterFunc(e.cfg.OrderTime, func() { e.finishOrder(run) })
+	run.timer = time.AfterFunc(e.cfg.OrderTime, func() { e.completeOrder(run) })
 	return run, nil
 }
 
@@ -91,13 +92,13 @@
 // checkOrderHistory records the violations of an order that is about to start: a fence lower than
 // that of an earlier order, or a reused order number with another configuration.
 func (e *Engine) checkOrderHistory(o external.EngineOrder) {
-	if o.Fence < e.highestFence {
+	if o.Fence < e.highestStartedFence {
 		e.recordViolation(Violation{
 			Kind: StaleOrderRan, Fence: o.Fence, Number: o.Number,
-			Detail: fmt.Sprintf("highest fence seen is %d", e.highestFence),
+			Detail: fmt.Sprintf("highest fence seen is %d", e.highestStartedFence),
 		})
 	}
-	e.highestFence = max(e.highestFence, o.Fence)
+	e.highestStartedFence = max(e.highestStartedFence, o.Fence)
 	id := orderID{o.Fence, o.Number}
 	if earlier, ok := e.orderConfigs[id]; ok && !reflect.DeepEqual(earlier, o.Config) {
 		e.recordViolation(Violation{
@@ -108,7 +109,8 @@
 	e.orderConfigs[id] = o.Config
 }
 
-func (e *Engine) finishOrder(run *runningOrder) {
+// completeOrder applies the order's configuration when OrderTime has passed.
+func (e *Engine) completeOrder(run *runningOrder) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.currentOrder != run {
@@ -116,12 +118,13 @@
 	}
 	e.state.Config, e.state.Number = cloneConfig(run.order.Config), run.order.Number
 	// An order reloads the models, which discards the prefix cache and the KV caches.
-	e.cache, e.kv = newPrefixCache(e.cfg.CacheBlocks), newKVCache()
+	e.cache, e.kv = newPrefixCache(e.cfg.CacheBlocks), newKVTransfers()
 	e.recordOrder(OrderFinished, run.order, "")
-	e.endOrder(nil)
+	e.releaseOrder(nil)
 }
 
-func (e *Engine) endOrder(err error) {
+// releaseOrder ends the running order with err and wakes Apply.
+func (e *Engine) releaseOrder(err error) {
 	run := e.currentOrder
 	run.timer.Stop()
 	run.err = err
--- a/standin/engine/order_test.go
+++ b/standin/engine/order_test.go
@@ -95,7 +95,7 @@
 		require.Equal(t, []engine.ViolationKind{engine.ConflictingOrder}, violationKinds(e))
 		require.NoError(t, <-done)
 		require.NoError(t, e.Apply(t.Context(), newOrder(1, 1, external.RolePrefill)))
-		require.Len(t, violationKinds(e), 2, "an order number reused with another configuration is not a violation")
+		require.Len(t, violationKinds(e), 2, "a reused order number with another configuration was not recorded as a violation")
 	})
 }
 
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -16,7 +16,7 @@
 	for {
 		select {
 		case <-timer.C:
-		case <-e.closed:
+		case <-e.closing:
 		}
 		var ok bool
 		if d, ok = e.step(); !ok {
@@ -26,7 +26,8 @@
 	}
 }
 
-// step completes the current step and plans the next one.
+// step completes the current step and plans the next one. It returns the next step's duration, or false
+// if there is no work.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,7 +39,7 @@
 // step. It returns false if there is no work.
 func (e *Engine) planStep() (time.Duration, bool) {
 	e.admitQueued()
-	if e.stepping = len(e.running) > 0; !e.stepping {
+	if e.stepLoopRuns = len(e.running) > 0; !e.stepLoopRuns {
 		return 0, false
 	}
 	budget := e.prefillBudget()
@@ -63,13 +64,13 @@
 	}
 }
 
-// admitQueued starts queued requests in order while pieces are free. A request that does not fit
-// blocks those behind it, so that large requests do not starve.
+// admitQueued starts queued requests in order while pieces are free and fewer than MaxRunning requests
+// run. A request that does not fit blocks those behind it, so that large requests do not starve.
 func (e *Engine) admitQueued() {
-	for len(e.queue) > 0 && len(e.running) < e.cfg.MaxRunning && e.queue[0].pieces <= e.freePieces {
+	for len(e.queue) > 0 && len(e.running) < e.cfg.MaxRunning && e.queue[0].reservedPieces <= e.freePieces {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
-		e.freePieces -= s.pieces
+		e.freePieces -= s.reservedPieces
 		e.running = insertOrdered(e.running, s)
 		s.prefillLeft = e.prefillNeeded(s)
 		e.recordSequence(RequestStarted, s, "")
@@ -81,9 +82,11 @@
 // token is prefilled, because the prefill produces the first answer token.
 func (e *Engine) prefillNeeded(s *sequence) int {
 	total := s.promptTokens + s.req.Offset
-	available := e.kv.importedTokens(s.req.KVHandle, s.key)
+	available := e.kv.importedTokens(s.req.KVHandle, s.answerKey)
 	if words := enginewire.CountWords(s.req.Prompt); words > 0 {
-		cached := e.cache.match(s.hashes) * enginewire.BlockTokens
+		// Cached blocks are counted in words; the count is scaled to the request's prompt tokens, which may
+		// be declared as another number.
+		cached := e.cache.match(s.prefixHashes) * enginewire.BlockTokens
 		available = max(available, cached*s.promptTokens/words)
 	}
 	return max(1, total-available)
@@ -100,11 +103,11 @@
 			if s.prefillLeft > 0 {
 				continue
 			}
-			e.cache.store(s.hashes)
+			e.cache.store(s.prefixHashes)
 			e.kv.addExport(s)
 		}
-		s.produced = min(s.produced+1, s.length)
-		finished = finished || s.produced == s.length
+		s.generateOffset = min(s.generateOffset+1, s.answerLength)
+		finished = finished || s.generateOffset == s.answerLength
 		s.signal()
 	}
 	for finished {
@@ -116,7 +119,7 @@
 // finishNext ends the first complete sequence and reports whether there was one.
 func (e *Engine) finishNext() bool {
 	for _, s := range e.running {
-		if s.prefillLeft == 0 && s.produced == s.length {
+		if s.prefillLeft == 0 && s.generateOffset == s.answerLength {
 			e.endSequence(s, RequestFinished, "", nil)
 			return true
 		}
--- a/standin/engine/tokens.go
+++ b/standin/engine/tokens.go
@@ -43,7 +43,7 @@
 	return d.Sum64()
 }
 
-// splitMix64 adds the SplitMix64 increment to x and applies the SplitMix64 finalizer.
+// splitMix64 returns the SplitMix64 hash of x.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -65,9 +65,8 @@
 	return nil
 }
 
-// waitForBytes waits until n bytes are granted or the context ends. Unlike rate.Limiter.WaitN, it waits
-// until the context ends even if its deadline is known to be too early, as a caller of a remote store
-// does.
+// waitForBytes waits until n bytes are granted or the context ends. Unlike rate.Limiter.WaitN, it does
+// not fail at once if the context's deadline is too early, because a remote store would not know it.
 func (s *Store) waitForBytes(ctx context.Context, n int) error {
 	r := s.limiter.ReserveN(time.Now(), n)
 	t := time.NewTimer(r.Delay())
