--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -20,7 +20,7 @@
 	Value []byte
 }
 
-// Action is the fault injected into one call. The zero value injects none.
+// Action holds the faults injected into one call. The zero value injects none.
 type Action struct {
 	// Before runs before the call takes effect, After between the effect and the response.
 	Before, After func()
@@ -33,7 +33,7 @@
 // Process is a simulated process. While it is paused, it blocks at its next call.
 type Process struct {
 	Name string
-	// Hook selects the action for each call; nil injects no faults.
+	// Hook selects the faults for each call; nil injects none.
 	Hook func(Call) Action
 
 	ctx    context.Context
@@ -108,8 +108,9 @@
 	}
 }
 
-// Do makes one call and injects its faults. It returns lostErr if the response is lost, so that the
-// caller cannot know whether the call took effect.
+// Do makes one call and injects its faults. It returns external.ErrUnavailable if the process was killed
+// before the effect. It returns lostErr if the process was killed after the effect or the response is
+// lost, so that the caller cannot know whether the call took effect.
 func (p *Process) Do(c Call, lostErr error, effect func() error) error {
 	if !p.Gate() {
 		return external.ErrUnavailable
@@ -146,7 +147,7 @@
 	delay     time.Duration
 }
 
-// Down makes all calls fail for a duration.
+// Down makes all calls fail for the duration d.
 func (n *Network) Down(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/instances/instances.go
+++ b/standin/instances/instances.go
@@ -140,8 +140,8 @@
 	return external.InstanceSnapshot{Version: l.version, Instances: l.sortedVisible()}, nil
 }
 
-// Changes returns the changes after a version of an epoch, or the whole list if the epoch is not the
-// current one or the changes after the version are not known.
+// Changes returns the changes after a version of an epoch. It returns the whole list if the epoch is not
+// the current one, if after is 0 or beyond the current version, or if the changes after it are not known.
 func (l *List) Changes(ctx context.Context, epoch string, after uint64) (instancewire.List, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/kv/faults.go
+++ b/standin/kv/faults.go
@@ -8,17 +8,17 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// FaultState is the set of faults to inject.
+// FaultState says which faults to inject.
 type FaultState struct {
 	// Down makes all calls fail without effect.
 	Down bool `json:"down"`
 	// SlowMS is the delay of each call in milliseconds.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers is the number of next writes that take effect but lose their response.
+	// LoseAnswers is n if the next n writes take effect but their responses are lost.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Faults holds the injected faults of a store. It is safe for concurrent use.
+// Faults injects faults into the calls to a store. It is safe for concurrent use.
 type Faults struct {
 	mu    sync.Mutex
 	state FaultState
@@ -40,7 +40,8 @@
 
 func (f *Faults) isDown() bool { return f.Get().Down }
 
-// beforeCall injects the faults that precede the effect of a call.
+// beforeCall waits for the injected delay. It returns external.ErrUnavailable if the service is down or
+// the context has ended.
 func (f *Faults) beforeCall(ctx context.Context) error {
 	s := f.Get()
 	if s.SlowMS > 0 {
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// afterWrite injects the loss of the response after a write has taken effect. The response is also
-// lost if the caller's context has ended.
+// afterWrite injects the loss of the response after a write has taken effect, as
+// external.ErrOutcomeUnknown. The response is also lost if the caller's context has ended.
 func (f *Faults) afterWrite(ctx context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/kv/store.go
+++ b/standin/kv/store.go
@@ -17,10 +17,10 @@
 const (
 	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes = 1 << 20
-	// DefaultWatchWait is the maximum duration of one watch call.
+	// DefaultWatchWait is the maximum duration of one watch call, and of its waits for a lease to expire.
 	DefaultWatchWait = 20 * time.Second
-	// eventLogLength is the maximum number of past events that are kept for watches.
-	eventLogLength = 4096
+	// maxLoggedEvents is the maximum number of past events that are kept for watches.
+	maxLoggedEvents = 4096
 )
 
 // Limits are the rate limits of the service in calls per second. Zero means no limit.
@@ -61,7 +61,7 @@
 	leases    map[external.LeaseID]*leaseState
 	lastLease external.LeaseID
 	eventLog  []external.Event
-	changed   chan struct{}
+	changed   chan struct{} // closed and replaced at each change
 	calls     Calls
 	writes    *rate.Limiter
 	reads     *rate.Limiter
@@ -90,7 +90,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Faults returns the injected faults of the store.
+// Faults returns the fault injector of the store.
 func (s *Store) Faults() *Faults { return s.faults }
 
 // Calls returns the call counters.
@@ -168,7 +168,7 @@
 	return entries
 }
 
-// CompareAndSwap implements external.KV.
+// CompareAndSwap implements external.KV. A value larger than MaxValueBytes is refused with ErrConflict.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, lease external.LeaseID) (uint64, error) {
 	if len(value) > MaxValueBytes {
 		return 0, external.ErrConflict
@@ -374,8 +374,8 @@
 
 func (s *Store) appendEvent(e external.Event) {
 	s.eventLog = append(s.eventLog, e)
-	if len(s.eventLog) > eventLogLength {
-		s.eventLog = slices.Clone(s.eventLog[len(s.eventLog)-eventLogLength/2:])
+	if len(s.eventLog) > maxLoggedEvents {
+		s.eventLog = slices.Clone(s.eventLog[len(s.eventLog)-maxLoggedEvents/2:])
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/standin/site/answers.go
+++ b/standin/site/answers.go
@@ -14,8 +14,9 @@
 func writeTimeout(rw http.ResponseWriter) { rw.WriteHeader(http.StatusGatewayTimeout) }
 
 // prefillPrompt simulates the prefill of the request's prompt. It waits for the worker's other prefills,
-// then takes PerToken for each token outside the longest cached prefix, and caches the prompt. It
-// returns false if the context ends first.
+// then takes PerToken (twice that in the decode stage) for each token outside the longest cached prefix,
+// and caches the prompt. The header Quetzallug-Prefix-Hash lists the prompt's parts as id:tokens,
+// separated by commas. It returns false if the context ends lastReceived.
 func (w *Worker) prefillPrompt(ctx context.Context, r *http.Request) bool {
 	select {
 	case w.prefillSlot <- struct{}{}:
@@ -65,10 +66,11 @@
 	return n
 }
 
-// serveStream writes a response stream, starting after the event run.After.
+// serveStream writes a response stream, starting after run.After, the last event that the caller has
+// received.
 func (w *Worker) serveStream(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
 	n := Events(r)
-	first, _ := strconv.Atoi(run.After)
+	lastReceived, _ := strconv.Atoi(run.After)
 	rw.Header().Set("Content-Type", "text/event-stream")
 	switch fault {
 	case FaultLost:
@@ -82,12 +84,12 @@
 		return
 	default:
 	}
-	for i := first + 1; i <= n; i++ {
+	for i := lastReceived + 1; i <= n; i++ {
 		if !sleep(ctx, w.cfg.Work) {
 			panic(http.ErrAbortHandler)
 		}
 		event := Event(run.ID, i)
-		if fault == FaultTruncate && i == (first+n+1)/2 {
+		if fault == FaultTruncate && i == (lastReceived+n+1)/2 {
 			_, _ = io.WriteString(rw, event[:len(event)/2])
 			_ = http.NewResponseController(rw).Flush()
 			panic(http.ErrAbortHandler)
--- a/standin/site/store.go
+++ b/standin/site/store.go
@@ -45,17 +45,17 @@
 // Store is a simulated metadata store. It is safe for concurrent use.
 type Store struct {
 	mu                sync.Mutex
-	changed           chan struct{}
+	changed           chan struct{} // closed and replaced at each change
 	items             map[string]*Item
 	history           []Item
 	compactedRevision uint64 // revisions up to this one are no longer in the history
 	revision          uint64
 	leases            map[uint64]*storeLease
 	mode              StoreMode
-	// lostWrites is the number of next writes whose response is lost. They are applied after
-	// lostWriteDelay, or at once if it is 0.
-	lostWrites     int
-	lostWriteDelay time.Duration
+	// lostResponses is the number of next transactions whose response is lost. They are applied after
+	// lateApplyDelay, or at once if it is 0.
+	lostResponses  int
+	lateApplyDelay time.Duration
 	calls          map[string]int
 	closed         chan struct{}
 }
@@ -87,12 +87,13 @@
 	s.notifyWatchers()
 }
 
-// LoseWrites makes the store lose the responses of the next n writes. With a delay, the writes are
-// applied that much later, if their preconditions still hold by then.
+// LoseWrites makes the store lose the responses of the next n transactions. With a delay, they are
+// applied that much later, if their preconditions still hold by then. Other calls that change the store,
+// such as those for leases, are not affected.
 func (s *Store) LoseWrites(n int, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lostWrites, s.lostWriteDelay = n, delay
+	s.lostResponses, s.lateApplyDelay = n, delay
 }
 
 // Compact discards the history. Watches that continue from an earlier revision end with status 410.
@@ -351,9 +352,9 @@
 		return
 	}
 	s.mu.Lock()
-	if s.lostWrites > 0 {
-		s.lostWrites--
-		delay := s.lostWriteDelay
+	if s.lostResponses > 0 {
+		s.lostResponses--
+		delay := s.lateApplyDelay
 		if delay > 0 {
 			time.AfterFunc(delay, func() {
 				s.mu.Lock()
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -16,7 +16,8 @@
 // Fault is the fault that a worker injects into one request.
 type Fault int
 
-// Faults of workers.
+// Faults of workers. FaultGarbage to FaultUnframed affect plain requests only. Prefills also ignore
+// FaultError, FaultLost, FaultHang and FaultTruncate.
 const (
 	FaultNone       Fault = iota
 	FaultShed             // refuses the request without running it
@@ -35,22 +36,22 @@
 
 // Run is one request that a worker has started to run.
 type Run struct {
-	ID       string
+	ID       string // attempt ID
 	Worker   string
 	Method   string
 	Target   string
 	Body     string
 	Model    string
-	Deadline int64
+	Deadline int64 // time to run in milliseconds
 	Prefill  bool
-	After    string
-	Source   string
+	After    string // number of the last event that the caller has received, or empty
+	Source   string // where the KV cache comes from; empty if the prompt is prefilled
 	Started  time.Time
 	Ended    time.Time
-	Finished bool
+	Finished bool // the whole response was sent, not lost or damaged by a fault
 }
 
-// Order is one role order that a worker accepted.
+// Order is one accepted order to change the stage.
 type Order struct {
 	Holder string
 	Fence  uint64
@@ -76,7 +77,7 @@
 	RoleSwitch time.Duration
 	// Fault selects the fault for each request; nil injects none.
 	Fault func(r *http.Request) Fault
-	// LateOrders, if above 0, is the time after which orders are applied; their responses are lost.
+	// LateOrders, if above 0, is the delay before orders are applied; their responses are lost.
 	LateOrders time.Duration
 }
 
@@ -96,7 +97,7 @@
 	orders         []Order
 	cachedPrefixes map[string]bool
 	handles        map[string]string
-	freedHandles   int
+	freeCalls      int
 	// prefillSlot holds one element during a prefill, so that prompts are prefilled one at a time. It is
 	// not a mutex, because a goroutine blocked on a mutex stops the virtual time of synctest.
 	prefillSlot chan struct{}
@@ -170,11 +171,11 @@
 	return slices.Clone(w.orders)
 }
 
-// Freed returns the number of calls that freed a handle.
+// Freed returns the number of calls to free a handle, including unknown handles.
 func (w *Worker) Freed() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.freedHandles
+	return w.freeCalls
 }
 
 // Stage returns the worker's stage.
@@ -189,8 +190,8 @@
 	return "answer to " + id + " at " + target + strings.Repeat(".", 200)
 }
 
-// Event returns the nth event of the response stream to a request, encoded as a server-sent event. The
-// stream ends after the event whose number Events returns.
+// Event returns the nth event of the response stream to a request, encoded as a server-sent event. n
+// starts at 1; Events returns the number of events in the stream.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
 // Signature returns the signature of a worker's response.
@@ -206,7 +207,7 @@
 	case strings.HasPrefix(r.URL.Path, "/api/kv-handle/"):
 		w.mu.Lock()
 		delete(w.handles, r.URL.Path[len("/api/kv-handle/"):])
-		w.freedHandles++
+		w.freeCalls++
 		w.mu.Unlock()
 		reply(rw, http.StatusOK, struct{}{})
 	default:
@@ -247,12 +248,13 @@
 	rw.WriteHeader(w.applyOrder(o.Stage, o.Holder, o.FencingToken, o.Precondition))
 }
 
-// applyOrder starts the change of the stage, if any, and returns the status of the response.
-func (w *Worker) applyOrder(stage, holder string, fence uint64, condition *int64) int {
+// applyOrder starts the change of the stage, if any, and returns the status of the response. It refuses
+// the order if expectedSequence is set and differs from the number of orders accepted so far.
+func (w *Worker) applyOrder(stage, holder string, fence uint64, expectedSequence *int64) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.busy, condition != nil && *condition != w.orderSequence:
+	case w.busy, expectedSequence != nil && *expectedSequence != w.orderSequence:
 		return http.StatusConflict
 	case stage == w.stage:
 		return http.StatusOK
