--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -1,4 +1,5 @@
-// Package e2e_test runs the whole path as separate processes.
+// Package e2e_test tests requests and operator commands end to end, with all programs as separate
+// processes.
 package e2e_test
 
 import (
@@ -28,7 +29,7 @@
 	callers = 200
 )
 
-func start(t *testing.T) *testcluster.Cluster {
+func startCluster(t *testing.T) *testcluster.Cluster {
 	t.Helper()
 	bin, dir := t.TempDir(), t.TempDir()
 	require.NoError(t, testcluster.Build(root, bin))
@@ -50,16 +51,17 @@
 			dumpLogs(t, dir)
 		}
 	})
-	for _, f := range []string{"halte-llm", "halte-api"} {
-		require.NoError(t, c.Apply(t.Context(), withoutDeadlines(t, f)))
+	for _, service := range []string{"halte-llm", "halte-api"} {
+		require.NoError(t, c.Apply(t.Context(), withoutDeadlines(t, service)))
 	}
 	require.NoError(t, c.WaitServing(t.Context(), http.MethodPost, "/v1/completions", completionBody("ready?", 1, false)))
 	require.NoError(t, c.WaitServing(t.Context(), http.MethodGet, "/svc/halte-api/schedules/7", ""))
 	return c
 }
 
-// withoutDeadlines returns a copy of an example whose deadlines a busy machine cannot miss. Admission
-// refuses what would be late, which depends on the machine; these tests are about whole answers.
+// withoutDeadlines writes a copy of an example document with deadlines that even a busy machine meets,
+// and returns its path. Admission refuses requests that would miss their deadlines, so the original
+// deadlines would make the tests depend on the speed of the machine.
 func withoutDeadlines(t *testing.T, service string) string {
 	t.Helper()
 	body, err := os.ReadFile(filepath.Join(root, "examples", "transport", service+".yaml"))
@@ -88,10 +90,10 @@
 	return string(b)
 }
 
-// Guards against an answer that is cut, mixed up with another caller's or changed on its way,
-// and against a request that is served by one process only in the test.
+// Guards against answers that are truncated, corrupted or delivered to another caller when many
+// callers send requests through several entry processes concurrently.
 func TestWholeAnswersForConcurrentCallers(t *testing.T) {
-	c := start(t)
+	c := startCluster(t)
 	var wg sync.WaitGroup
 	errs := make(chan error, 2*callers)
 	for i := range callers {
@@ -106,25 +108,25 @@
 	}
 }
 
-func checkCompletion(entry string, i int) error {
-	prompt := fmt.Sprintf("caller %d asks for the next arrival at stop %d", i, i*3)
+func checkCompletion(entry string, caller int) error {
+	prompt := fmt.Sprintf("caller %d asks for the next arrival at stop %d", caller, caller*3)
 	want, _, finish := engine.Answer(&external.GenerateRequest{Model: model, Prompt: prompt, MaxTokens: 20, Seed: 7})
-	resp, err := send(entry, i, http.MethodPost, "/v1/completions", completionBody(prompt, 20, true))
+	resp, err := send(entry, caller, http.MethodPost, "/v1/completions", completionBody(prompt, 20, true))
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	got, reason, err := readEvents(resp.Body)
 	if err != nil {
-		return fmt.Errorf("caller %d: %w", i, err)
+		return fmt.Errorf("caller %d: %w", caller, err)
 	}
 	if got != want || reason != finish {
-		return fmt.Errorf("caller %d: got %q (%s), want %q (%s)", i, got, reason, want, finish)
+		return fmt.Errorf("caller %d: got %q (%s), want %q (%s)", caller, got, reason, want, finish)
 	}
 	return nil
 }
 
-// send sends a request with the caller's own credentials and requires status 200.
+// send sends a request with the credentials of the given caller. Any status other than 200 is an error.
 func send(entry string, caller int, method, path, body string) (*http.Response, error) {
 	req, err := http.NewRequest(method, "http://"+entry+path, strings.NewReader(body))
 	if err != nil {
@@ -143,7 +145,7 @@
 	return resp, nil
 }
 
-// readEvents returns the text of a stream that has ended with [DONE].
+// readEvents returns the text and finish reason of a stream. The stream must end with [DONE].
 func readEvents(r io.Reader) (text, finish string, err error) {
 	s := bufio.NewScanner(r)
 	for s.Scan() {
@@ -164,7 +166,7 @@
 			return "", "", err
 		}
 		if len(event.Choices) != 1 {
-			return "", "", fmt.Errorf("event without choice: %s", data)
+			return "", "", fmt.Errorf("event without exactly one choice: %s", data)
 		}
 		text += event.Choices[0].Text
 		if f := event.Choices[0].FinishReason; f != nil {
@@ -174,8 +176,8 @@
 	return "", "", fmt.Errorf("stream ended without [DONE]: %w", s.Err())
 }
 
-func checkSchedule(entry string, i int) error {
-	resp, err := send(entry, i, http.MethodGet, fmt.Sprintf("/svc/halte-api/schedules/%d", i), "")
+func checkSchedule(entry string, caller int) error {
+	resp, err := send(entry, caller, http.MethodGet, fmt.Sprintf("/svc/halte-api/schedules/%d", caller), "")
 	if err != nil {
 		return err
 	}
@@ -184,15 +186,15 @@
 	if err != nil {
 		return err
 	}
-	if resp.StatusCode != http.StatusOK || !strings.Contains(string(b), fmt.Sprintf("/schedules/%d\"", i)) {
-		return fmt.Errorf("schedule %d: status %d: %s", i, resp.StatusCode, b)
+	if resp.StatusCode != http.StatusOK || !strings.Contains(string(b), fmt.Sprintf("/schedules/%d\"", caller)) {
+		return fmt.Errorf("schedule %d: status %d: %s", caller, resp.StatusCode, b)
 	}
 	return nil
 }
 
-// Guards against operator commands that do not reach the running processes.
+// Guards against operator commands that fail to reach the running processes.
 func TestOperatorsTool(t *testing.T) {
-	c := start(t)
+	c := startCluster(t)
 	status, err := c.Tool(t.Context(), "status")
 	require.NoError(t, err)
 	require.Contains(t, status, "entry-0")
@@ -203,7 +205,7 @@
 	resp, err := send(c.Entries[0].Address, 1, http.MethodGet, "/svc/halte-api/schedules/1", "")
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
-	explained, err := c.Tool(t.Context(), "explain", resp.Header.Get("X-Request-Id"))
+	explanation, err := c.Tool(t.Context(), "explain", resp.Header.Get("X-Request-Id"))
 	require.NoError(t, err)
-	require.Contains(t, explained, "halte-api-")
+	require.Contains(t, explanation, "halte-api-")
 }
