--- a/test/faults/cells_test.go
+++ b/test/faults/cells_test.go
@@ -13,322 +13,330 @@
 	"github.com/quetzallug/quetzallug/standin/kv"
 )
 
-// cell is one kind of disturbance. A planned cell brings about only planned changes and graceful
-// stops, which may interrupt no request.
+// cell is one scenario of the fault matrix. A planned cell consists only of planned changes and
+// graceful stops, which must not interrupt any request.
 type cell struct {
 	name    string
 	planned bool
-	run     func(ctx context.Context, w *harness) error
+	run     func(ctx context.Context, h *harness) error
 }
 
 const (
 	leaseTTL = 4 * time.Second
-	// outage is longer than the lease TTL.
-	outage = 5 * time.Second
-	// down is how long a killed process stays away.
-	down = time.Second
-	// listLag is the lag of the instance list in the cell that sets it.
+	// outageDuration exceeds leaseTTL, so that a lease holder cut off from the key-value service
+	// loses its lease.
+	outageDuration = 5 * time.Second
+	// downtime is how long a killed or crashed process stays down.
+	downtime = time.Second
+	// listLag is the delay of the instance list in the list-lag cell.
 	listLag = 4 * time.Second
 )
 
-// chief cells run in continuous integration.
-var chief = []string{"stop-sidecar", "order", "kill-holder", "kv-lost-responses-in-order", "backend-lost-responses"}
+// ciCells are the cells that run in continuous integration.
+var ciCells = []string{"stop-sidecar", "order", "kill-holder", "kv-lost-responses-in-order", "backend-lost-responses"}
 
 func cells() []cell {
 	return []cell{
 		{"kill-entry", false, killEntry},
-		{"kill-sidecar", false, func(ctx context.Context, w *harness) error { return w.killSidecar(ctx, w.modelWorker()) }},
-		{"kill-plain-sidecar", false, func(ctx context.Context, w *harness) error { return w.killSidecar(ctx, w.plainWorker()) }},
-		{"kill-sidecar-in-order", false, func(ctx context.Context, w *harness) error {
-			return w.inOrder(ctx, func(at *worker) error { return w.killSidecar(ctx, at) })
+		{"kill-sidecar", false, func(ctx context.Context, h *harness) error { return h.killSidecar(ctx, h.randomModelWorker()) }},
+		{"kill-plain-sidecar", false, func(ctx context.Context, h *harness) error { return h.killSidecar(ctx, h.randomPlainWorker()) }},
+		{"kill-sidecar-in-order", false, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(w *worker) error { return h.killSidecar(ctx, w) })
 		}},
-		{"crash-engine", false, func(ctx context.Context, w *harness) error { return w.crash(ctx, w.modelWorker()) }},
-		{"crash-engine-in-order", false, func(ctx context.Context, w *harness) error {
-			return w.inOrder(ctx, func(at *worker) error { return w.crash(ctx, at) })
+		{"crash-engine", false, func(ctx context.Context, h *harness) error { return h.crashEngine(ctx, h.randomModelWorker()) }},
+		{"crash-engine-in-order", false, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(w *worker) error { return h.crashEngine(ctx, w) })
 		}},
 		{"kill-holder", false, killHolder},
-		{"kill-holder-twice", false, func(ctx context.Context, w *harness) error {
-			if err := killHolder(ctx, w); err != nil {
+		{"kill-holder-twice", false, func(ctx context.Context, h *harness) error {
+			if err := killHolder(ctx, h); err != nil {
 				return err
 			}
-			return killHolder(ctx, w)
+			return killHolder(ctx, h)
 		}},
-		{"pause-holder", false, func(ctx context.Context, w *harness) error { return w.pauseEntry(ctx, w.holder(ctx), true) }},
-		{"pause-sidecar-in-order", false, func(ctx context.Context, w *harness) error {
-			return w.inOrder(ctx, func(at *worker) error { return w.pauseSidecar(ctx, at) })
+		{"pause-holder", false, func(ctx context.Context, h *harness) error { return h.pauseEntry(ctx, h.leaseHolder(ctx), true) }},
+		{"pause-sidecar-in-order", false, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(w *worker) error { return h.pauseSidecar(ctx, w) })
 		}},
-		{"cut-holder-to-kv", false, func(ctx context.Context, w *harness) error { return w.cutHolder(ctx, true, false) }},
-		{"cut-kv-to-holder", false, func(ctx context.Context, w *harness) error { return w.cutHolder(ctx, false, true) }},
-		{"cut-entry-to-sidecar", false, func(ctx context.Context, w *harness) error { return w.cutSidecar(ctx, true, false) }},
-		{"cut-sidecar-to-entry", false, func(ctx context.Context, w *harness) error { return w.cutSidecar(ctx, false, true) }},
-		{"kv-down", false, func(ctx context.Context, w *harness) error { return w.kvFault(ctx, kv.FaultState{Down: true}) }},
-		{"kv-slow", false, func(ctx context.Context, w *harness) error { return w.kvFault(ctx, kv.FaultState{SlowMS: 400}) }},
+		{"cut-holder-to-kv", false, func(ctx context.Context, h *harness) error { return h.cutHolder(ctx, true, false) }},
+		{"cut-kv-to-holder", false, func(ctx context.Context, h *harness) error { return h.cutHolder(ctx, false, true) }},
+		{"cut-entry-to-sidecar", false, func(ctx context.Context, h *harness) error { return h.cutSidecar(ctx, true, false) }},
+		{"cut-sidecar-to-entry", false, func(ctx context.Context, h *harness) error { return h.cutSidecar(ctx, false, true) }},
+		{"kv-down", false, func(ctx context.Context, h *harness) error { return h.kvFault(ctx, kv.FaultState{Down: true}) }},
+		{"kv-slow", false, func(ctx context.Context, h *harness) error { return h.kvFault(ctx, kv.FaultState{SlowMS: 400}) }},
 		{"kv-lost-responses", false, kvLostResponses},
 		{"kv-down-kill-entry", false, kvDownKillEntry},
-		{"kv-down-in-order", false, func(ctx context.Context, w *harness) error {
-			return w.inOrder(ctx, func(*worker) error { return w.kvFault(ctx, kv.FaultState{Down: true}) })
+		{"kv-down-in-order", false, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(*worker) error { return h.kvFault(ctx, kv.FaultState{Down: true}) })
 		}},
-		{"kv-lost-responses-in-order", false, func(ctx context.Context, w *harness) error {
-			return w.inOrder(ctx, func(*worker) error { return w.kvFault(ctx, kv.FaultState{LoseAnswers: 30}) })
+		{"kv-lost-responses-in-order", false, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(*worker) error { return h.kvFault(ctx, kv.FaultState{LoseAnswers: 30}) })
 		}},
 		{"backend-lost-responses", false, backendLostResponses},
-		{"pause-entry", false, func(ctx context.Context, w *harness) error { return w.pauseEntry(ctx, w.entry(), false) }},
-		{"list-lag", true, listLags},
-		{"leave-sidecar", true, func(ctx context.Context, w *harness) error { return w.leave(ctx, w.modelWorker(), 0) }},
-		{"leave-plain-sidecar", true, func(ctx context.Context, w *harness) error { return w.leave(ctx, w.plainWorker(), 0) }},
-		{"stop-entry", true, func(ctx context.Context, w *harness) error { return w.stopEntry(ctx, w.entry()) }},
-		{"stop-holder", true, func(ctx context.Context, w *harness) error { return w.stopEntry(ctx, w.holder(ctx)) }},
-		{"stop-sidecar", true, func(ctx context.Context, w *harness) error { return w.stopSidecar(ctx, w.modelWorker()) }},
-		{"stop-plain-sidecar", true, func(ctx context.Context, w *harness) error { return w.stopSidecar(ctx, w.plainWorker()) }},
-		{"stop-sidecar-in-order", true, func(ctx context.Context, w *harness) error {
-			return w.inOrder(ctx, func(at *worker) error { return w.stopSidecar(ctx, at) })
+		{"pause-entry", false, func(ctx context.Context, h *harness) error { return h.pauseEntry(ctx, h.randomEntry(), false) }},
+		{"list-lag", true, lagInstanceList},
+		{"leave-sidecar", true, func(ctx context.Context, h *harness) error { return h.leave(ctx, h.randomModelWorker(), 0) }},
+		{"leave-plain-sidecar", true, func(ctx context.Context, h *harness) error { return h.leave(ctx, h.randomPlainWorker(), 0) }},
+		{"stop-entry", true, func(ctx context.Context, h *harness) error { return h.stopEntry(ctx, h.randomEntry()) }},
+		{"stop-holder", true, func(ctx context.Context, h *harness) error { return h.stopEntry(ctx, h.leaseHolder(ctx)) }},
+		{"stop-sidecar", true, func(ctx context.Context, h *harness) error { return h.stopSidecar(ctx, h.randomModelWorker()) }},
+		{"stop-plain-sidecar", true, func(ctx context.Context, h *harness) error { return h.stopSidecar(ctx, h.randomPlainWorker()) }},
+		{"stop-sidecar-in-order", true, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(w *worker) error { return h.stopSidecar(ctx, w) })
+		}},
+		{"order", true, func(ctx context.Context, h *harness) error {
+			return h.duringOrder(ctx, func(*worker) error { return nil })
 		}},
-		{"order", true, func(ctx context.Context, w *harness) error { return w.inOrder(ctx, func(*worker) error { return nil }) }},
 		{"replace-all", true, replaceAll},
 		{"two-operators", true, twoOperators},
 	}
 }
 
-func killEntry(ctx context.Context, w *harness) error { return w.killEntry(ctx, w.entry()) }
+func killEntry(ctx context.Context, h *harness) error { return h.killEntry(ctx, h.randomEntry()) }
 
-func killHolder(ctx context.Context, w *harness) error { return w.killEntry(ctx, w.holder(ctx)) }
+func killHolder(ctx context.Context, h *harness) error { return h.killEntry(ctx, h.leaseHolder(ctx)) }
 
-func (w *harness) killEntry(ctx context.Context, e *entry) error {
-	w.note("SIGKILL %s", e.ID)
-	from := time.Now()
+func (h *harness) killEntry(ctx context.Context, e *entry) error {
+	h.logf("SIGKILL %s", e.ID)
+	start := time.Now()
 	e.Kill()
-	w.pause(down)
-	defer func() { w.revisions.disturb(e.ID, "kill", from, time.Now().Add(inForceBound)) }()
-	return w.cluster.RestartEntry(ctx, e)
+	h.sleep(downtime)
+	defer func() { h.revisions.addDisturbance(e.ID, "kill", start, time.Now().Add(inForceBound)) }()
+	return h.cluster.RestartEntry(ctx, e)
 }
 
-func (w *harness) killSidecar(ctx context.Context, at *worker) error {
-	w.note("SIGKILL sidecar %s", at.ID)
-	from := time.Now()
-	at.Sidecar.Kill()
-	w.pause(down)
-	defer func() { w.revisions.disturb(at.ID, "kill", from, time.Now().Add(inForceBound)) }()
-	return w.cluster.RestartSidecar(ctx, at)
+func (h *harness) killSidecar(ctx context.Context, w *worker) error {
+	h.logf("SIGKILL sidecar %s", w.ID)
+	start := time.Now()
+	w.Sidecar.Kill()
+	h.sleep(downtime)
+	defer func() { h.revisions.addDisturbance(w.ID, "kill", start, time.Now().Add(inForceBound)) }()
+	return h.cluster.RestartSidecar(ctx, w)
 }
 
-// crash crashes an engine. It comes back with no model loaded, or with a wrong version.
-func (w *harness) crash(ctx context.Context, at *worker) error {
-	w.note("crash engine %s", at.ID)
-	if err := at.EngineFaults(ctx, engine.FaultRequest{Crash: true}); err != nil {
+// crashEngine crashes an engine and restarts it with either no model or a wrong model version loaded.
+func (h *harness) crashEngine(ctx context.Context, w *worker) error {
+	h.logf("crash engine %s", w.ID)
+	if err := w.EngineFaults(ctx, engine.FaultRequest{Crash: true}); err != nil {
 		return err
 	}
-	w.pause(down)
-	back := external.EngineConfig{Role: external.RoleMixed}
-	if w.random.IntN(2) == 0 {
-		back.Models = []external.ModelVersion{{Name: model, Version: "wrong"}}
+	h.sleep(downtime)
+	restartConfig := external.EngineConfig{Role: external.RoleMixed}
+	if h.rng.IntN(2) == 0 {
+		restartConfig.Models = []external.ModelVersion{{Name: model, Version: "wrong"}}
 	}
-	return at.EngineFaults(ctx, engine.FaultRequest{Restart: true, Config: back})
+	return w.EngineFaults(ctx, engine.FaultRequest{Restart: true, Config: restartConfig})
 }
 
-// pauseEntry pauses an entry for longer than the lease TTL, with a changed document if change is set.
-func (w *harness) pauseEntry(ctx context.Context, e *entry, change bool) error {
-	w.note("SIGSTOP %s", e.ID)
-	from := time.Now()
+// pauseEntry suspends an entry for longer than the lease TTL. If applyDuring is set, it applies a
+// changed document meanwhile.
+func (h *harness) pauseEntry(ctx context.Context, e *entry, applyDuring bool) error {
+	h.logf("SIGSTOP %s", e.ID)
+	start := time.Now()
 	if err := e.Pause(); err != nil {
 		return err
 	}
 	var err error
-	if change {
-		err = w.change(ctx)
+	if applyDuring {
+		err = h.applyNewVersion(ctx)
 	}
-	w.pause(leaseTTL + 2*time.Second)
-	w.note("SIGCONT %s", e.ID)
-	defer func() { w.revisions.disturb(e.ID, "pause", from, time.Now().Add(inForceBound)) }()
+	h.sleep(leaseTTL + 2*time.Second)
+	h.logf("SIGCONT %s", e.ID)
+	defer func() { h.revisions.addDisturbance(e.ID, "pause", start, time.Now().Add(inForceBound)) }()
 	return errors.Join(err, e.Resume())
 }
 
-func (w *harness) pauseSidecar(_ context.Context, at *worker) error {
-	w.note("SIGSTOP sidecar %s", at.ID)
-	from := time.Now()
-	if err := at.Sidecar.Pause(); err != nil {
+func (h *harness) pauseSidecar(_ context.Context, w *worker) error {
+	h.logf("SIGSTOP sidecar %s", w.ID)
+	start := time.Now()
+	if err := w.Sidecar.Pause(); err != nil {
 		return err
 	}
-	w.pause(leaseTTL + 2*time.Second)
-	w.note("SIGCONT sidecar %s", at.ID)
-	w.revisions.disturb(at.ID, "pause", from, time.Now().Add(inForceBound))
-	return at.Sidecar.Resume()
+	h.sleep(leaseTTL + 2*time.Second)
+	h.logf("SIGCONT sidecar %s", w.ID)
+	h.revisions.addDisturbance(w.ID, "pause", start, time.Now().Add(inForceBound))
+	return w.Sidecar.Resume()
 }
 
-// cutHolder holds one direction between the lease holder and the key-value service.
-func (w *harness) cutHolder(ctx context.Context, to, from bool) error {
-	e := w.holder(ctx)
-	w.note("cut %s from the key-value service: to %t, from %t", e.ID, to, from)
-	began := time.Now()
-	e.KVLink.Hold(to, from)
-	err := w.change(ctx)
-	w.pause(outage)
+// cutHolder blocks the chosen directions of traffic between a lease holder and the key-value service
+// and applies a changed document meanwhile.
+func (h *harness) cutHolder(ctx context.Context, toKV, fromKV bool) error {
+	e := h.leaseHolder(ctx)
+	h.logf("cut %s from the key-value service: to %t, from %t", e.ID, toKV, fromKV)
+	start := time.Now()
+	e.KVLink.Hold(toKV, fromKV)
+	err := h.applyNewVersion(ctx)
+	h.sleep(outageDuration)
 	e.KVLink.Hold(false, false)
-	// The holder may relay documents to every other process.
-	w.revisions.disturb("", "cut", began, time.Now())
+	// The holder may relay documents to every other process, so the cut may delay all of them.
+	h.revisions.addDisturbance("", "cut", start, time.Now())
 	return err
 }
 
-func (w *harness) cutSidecar(_ context.Context, to, from bool) error {
-	at := w.linkedWorker()
-	w.note("cut sidecar %s from the entries: to %t, from %t", at.ID, to, from)
-	began := time.Now()
-	at.Link.Hold(to, from)
-	w.pause(outage)
-	at.Link.Hold(false, false)
-	w.revisions.disturb(at.ID, "cut", began, time.Now())
+func (h *harness) cutSidecar(_ context.Context, toSidecar, fromSidecar bool) error {
+	w := h.randomForwardedWorker()
+	h.logf("cut sidecar %s from the entries: to %t, from %t", w.ID, toSidecar, fromSidecar)
+	start := time.Now()
+	w.Link.Hold(toSidecar, fromSidecar)
+	h.sleep(outageDuration)
+	w.Link.Hold(false, false)
+	h.revisions.addDisturbance(w.ID, "cut", start, time.Now())
 	return nil
 }
 
-func (w *harness) kvFault(ctx context.Context, f kv.FaultState) error {
-	w.note("key-value service: down %t, slow %d ms, %d lost responses", f.Down, f.SlowMS, f.LoseAnswers)
-	began := time.Now()
-	if err := w.cluster.KVFaults(ctx, f); err != nil {
+func (h *harness) kvFault(ctx context.Context, f kv.FaultState) error {
+	h.logf("key-value service: down %t, slow %d ms, %d lost responses", f.Down, f.SlowMS, f.LoseAnswers)
+	start := time.Now()
+	if err := h.cluster.KVFaults(ctx, f); err != nil {
 		return err
 	}
-	w.pause(outage)
-	w.revisions.disturb("", "kv", began, time.Now())
-	return w.cluster.KVFaults(ctx, kv.FaultState{})
+	h.sleep(outageDuration)
+	h.revisions.addDisturbance("", "kv", start, time.Now())
+	return h.cluster.KVFaults(ctx, kv.FaultState{})
 }
 
-// kvLostResponses loses the responses of writes that took effect, while a document is applied
-// and keys are claimed.
-func kvLostResponses(ctx context.Context, w *harness) error {
-	w.note("key-value service loses responses")
-	began := time.Now()
+// kvLostResponses drops the responses to writes that took effect, while a document is applied
+// and idempotency keys are claimed.
+func kvLostResponses(ctx context.Context, h *harness) error {
+	h.logf("key-value service loses responses")
+	start := time.Now()
 	for range 5 {
-		if err := w.cluster.KVFaults(ctx, kv.FaultState{LoseAnswers: 1 + w.random.IntN(12)}); err != nil {
+		if err := h.cluster.KVFaults(ctx, kv.FaultState{LoseAnswers: 1 + h.rng.IntN(12)}); err != nil {
 			return err
 		}
-		w.pause(time.Second)
+		h.sleep(time.Second)
 	}
-	err := w.change(ctx)
-	w.revisions.disturb("", "kv", began, time.Now())
-	if e := w.cluster.KVFaults(ctx, kv.FaultState{}); e != nil {
-		return e
+	err := h.applyNewVersion(ctx)
+	h.revisions.addDisturbance("", "kv", start, time.Now())
+	if resetErr := h.cluster.KVFaults(ctx, kv.FaultState{}); resetErr != nil {
+		return resetErr
 	}
 	return err
 }
 
-// kvDownKillEntry starts an entry while the key-value service is down: it takes its documents
-// from its peers.
-func kvDownKillEntry(ctx context.Context, w *harness) error {
-	w.note("key-value service down")
-	began := time.Now()
-	if err := w.cluster.KVFaults(ctx, kv.FaultState{Down: true}); err != nil {
+// kvDownKillEntry kills and restarts an entry while the key-value service is down, so that the entry
+// has to fetch its documents from its peers.
+func kvDownKillEntry(ctx context.Context, h *harness) error {
+	h.logf("key-value service down")
+	start := time.Now()
+	if err := h.cluster.KVFaults(ctx, kv.FaultState{Down: true}); err != nil {
 		return err
 	}
-	err := w.killEntry(ctx, w.entry())
-	w.pause(outage)
-	w.revisions.disturb("", "kv", began, time.Now())
-	if e := w.cluster.KVFaults(ctx, kv.FaultState{}); e != nil {
-		return e
+	err := h.killEntry(ctx, h.randomEntry())
+	h.sleep(outageDuration)
+	h.revisions.addDisturbance("", "kv", start, time.Now())
+	if resetErr := h.cluster.KVFaults(ctx, kv.FaultState{}); resetErr != nil {
+		return resetErr
 	}
 	return err
 }
 
-// backendLostResponses makes plain requests run without a response, or fail before they run.
-func backendLostResponses(ctx context.Context, w *harness) error {
-	at := w.plainWorker()
-	w.note("plain backend server of %s loses responses", at.ID)
+// backendLostResponses makes a plain backend server drop the responses to requests that it ran, and
+// fail other requests before running them.
+func backendLostResponses(ctx context.Context, h *harness) error {
+	w := h.randomPlainWorker()
+	h.logf("plain backend server of %s loses responses", w.ID)
 	for range 5 {
-		f := backend.Faults{LoseResponse: 1 + w.random.IntN(4), FailBeforeRun: w.random.IntN(4), SlowMS: w.random.IntN(200)}
-		if err := at.BackendFaults(ctx, f); err != nil {
+		f := backend.Faults{LoseResponse: 1 + h.rng.IntN(4), FailBeforeRun: h.rng.IntN(4), SlowMS: h.rng.IntN(200)}
+		if err := w.BackendFaults(ctx, f); err != nil {
 			return err
 		}
-		w.pause(time.Second)
+		h.sleep(time.Second)
 	}
-	return at.BackendFaults(ctx, backend.Faults{})
+	return w.BackendFaults(ctx, backend.Faults{})
 }
 
-func listLags(ctx context.Context, w *harness) error {
-	w.note("the instance list lags by %s", listLag)
-	if err := w.cluster.ListFaults(ctx, instances.FaultRequest{LagMS: listLag.Milliseconds()}); err != nil {
+func lagInstanceList(ctx context.Context, h *harness) error {
+	h.logf("the instance list lags by %s", listLag)
+	if err := h.cluster.ListFaults(ctx, instances.FaultRequest{LagMS: listLag.Milliseconds()}); err != nil {
 		return err
 	}
-	err := w.leave(ctx, w.plainWorker(), listLag)
-	if e := w.cluster.ListFaults(ctx, instances.FaultRequest{}); e != nil {
-		return e
+	err := h.leave(ctx, h.randomPlainWorker(), listLag)
+	if resetErr := h.cluster.ListFaults(ctx, instances.FaultRequest{}); resetErr != nil {
+		return resetErr
 	}
 	return err
 }
 
-// leave lists a worker as leaving, and stops and replaces its sidecar after the bound of I7.
-func (w *harness) leave(ctx context.Context, at *worker, lag time.Duration) error {
-	w.note("%s is listed as leaving", at.ID)
-	if err := w.cluster.Leave(ctx, at.ID); err != nil {
+// leave lists a worker as leaving, waits until leaveBound (I7) has passed, and restarts its sidecar.
+// lag is the delay of the instance list.
+func (h *harness) leave(ctx context.Context, w *worker, lag time.Duration) error {
+	h.logf("%s is listed as leaving", w.ID)
+	if err := h.cluster.Leave(ctx, w.ID); err != nil {
 		return err
 	}
-	l := leaving{worker: at.ID, since: time.Now().Add(lag)}
-	w.pause(lag + leaveBound + time.Second)
-	l.back = time.Now()
-	w.left = append(w.left, l)
-	return w.stopSidecar(ctx, at)
+	period := leavingPeriod{worker: w.ID, since: time.Now().Add(lag)}
+	h.sleep(lag + leaveBound + time.Second)
+	period.restarted = time.Now()
+	h.leaving = append(h.leaving, period)
+	return h.stopSidecar(ctx, w)
 }
 
-func (w *harness) stopEntry(ctx context.Context, e *entry) error {
-	w.note("SIGTERM %s", e.ID)
-	from := time.Now()
-	if err := e.Stop(stopBound); err != nil {
+func (h *harness) stopEntry(ctx context.Context, e *entry) error {
+	h.logf("SIGTERM %s", e.ID)
+	start := time.Now()
+	if err := e.Stop(stopTimeout); err != nil {
 		return err
 	}
-	w.pause(down / 2)
-	defer func() { w.revisions.disturb(e.ID, "stop", from, time.Now().Add(inForceBound)) }()
-	return w.cluster.RestartEntry(ctx, e)
+	h.sleep(downtime / 2)
+	defer func() { h.revisions.addDisturbance(e.ID, "stop", start, time.Now().Add(inForceBound)) }()
+	return h.cluster.RestartEntry(ctx, e)
 }
 
-func (w *harness) stopSidecar(ctx context.Context, at *worker) error {
-	w.note("SIGTERM sidecar %s", at.ID)
-	from := time.Now()
-	if at.Link != nil {
-		if err := at.Link.Refuse(true); err != nil {
+func (h *harness) stopSidecar(ctx context.Context, w *worker) error {
+	h.logf("SIGTERM sidecar %s", w.ID)
+	start := time.Now()
+	if w.Link != nil {
+		if err := w.Link.Refuse(true); err != nil {
 			return err
 		}
 	}
-	if err := at.Sidecar.Stop(stopBound); err != nil {
+	if err := w.Sidecar.Stop(stopTimeout); err != nil {
 		return err
 	}
-	w.pause(down / 2)
-	defer func() { w.revisions.disturb(at.ID, "stop", from, time.Now().Add(inForceBound)) }()
-	if at.Link != nil {
-		if err := at.Link.Refuse(false); err != nil {
+	h.sleep(downtime / 2)
+	defer func() { h.revisions.addDisturbance(w.ID, "stop", start, time.Now().Add(inForceBound)) }()
+	if w.Link != nil {
+		if err := w.Link.Refuse(false); err != nil {
 			return err
 		}
 	}
-	return w.cluster.RestartSidecar(ctx, at)
+	return h.cluster.RestartSidecar(ctx, w)
 }
 
-// replaceAll replaces all entries and sidecars one after the other.
-func replaceAll(ctx context.Context, w *harness) error {
-	for _, e := range w.cluster.Entries {
-		if err := w.stopEntry(ctx, e); err != nil {
+// replaceAll performs a rolling restart of all entries and then all sidecars.
+func replaceAll(ctx context.Context, h *harness) error {
+	for _, e := range h.cluster.Entries {
+		if err := h.stopEntry(ctx, e); err != nil {
 			return err
 		}
-		if err := w.serving(ctx); err != nil {
+		if err := h.waitServing(ctx); err != nil {
 			return err
 		}
 	}
-	for _, at := range w.cluster.Workers {
-		if err := w.stopSidecar(ctx, at); err != nil {
+	for _, w := range h.cluster.Workers {
+		if err := h.stopSidecar(ctx, w); err != nil {
 			return err
 		}
-		if err := w.settled(ctx); err != nil {
+		if err := h.waitSettled(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// inOrder applies a changed document and calls do while an engine is being drained or changed.
-func (w *harness) inOrder(ctx context.Context, do func(at *worker) error) error {
-	if err := w.change(ctx); err != nil {
+// duringOrder applies a changed document and calls do with a worker whose engine is being drained or
+// reconfigured.
+func (h *harness) duringOrder(ctx context.Context, do func(w *worker) error) error {
+	if err := h.applyNewVersion(ctx); err != nil {
 		return err
 	}
-	at, phase, err := w.changing(ctx)
+	w, phase, err := h.waitForOrder(ctx)
 	if err != nil {
 		return err
 	}
-	w.note("order at %s is %s", at.ID, phase)
-	return do(at)
+	h.logf("order at %s is %s", w.ID, phase)
+	return do(w)
 }
 
-func unsettled(p order.Phase) bool { return p != "" && !p.Settled() }
+func orderInProgress(p order.Phase) bool { return p != "" && !p.Settled() }
--- a/test/faults/checker_self_test.go
+++ b/test/faults/checker_self_test.go
@@ -11,15 +11,16 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-// Guards against a checker that passes a breach. Each case adds one breach to a run that is fine.
+// Guards against a checker that misses a violation or reports a false one. Each case changes a valid
+// run in one way.
 func TestCheckerFindsEachBreach(t *testing.T) {
 	at := time.Date(2026, 11, 3, 10, 0, 0, 0, time.UTC)
 	request := func(kind, token, id, outcome string) record {
 		return record{kind: kind, token: token, requestID: id, outcome: outcome, started: at, ended: at.Add(time.Second)}
 	}
 	cases := map[string]struct {
-		want  string
-		spoil func(c *checker)
+		want   string
+		inject func(c *checker)
 	}{
 		"fine": {"", func(*checker) {}},
 		"conflicting order": {"I1", func(c *checker) {
@@ -32,35 +33,35 @@
 			c.journals.engines["e"] = withViolation(c, engine.StaleOrderRan)
 		}},
 		"verdict cancelled in a planned change": {"I2", func(c *checker) {
-			c.append("e", engine.Record{Kind: engine.RequestCancelled, RequestID: "v/1", At: at})
+			c.appendRecord("e", engine.Record{Kind: engine.RequestCancelled, RequestID: "v/1", At: at})
 		}},
-		"wrong answer":                   {"I4", func(c *checker) { c.records[0].wrong = "other bytes" }},
+		"wrong answer":                   {"I4", func(c *checker) { c.records[0].mismatch = "other bytes" }},
 		"answer that no engine finished": {"I4", func(c *checker) { c.records[0].requestID = "w" }},
 		"different answers to one key":   {"I4", func(c *checker) { c.records[2].body = "other" }},
-		"not run, but queued":            {"I5", func(c *checker) { c.records = append(c.records, request(kindChat, "t", "v", notRun)) }},
-		"not run, but executed":          {"I5", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "k", notRun)) }},
+		"not run, but queued":            {"I5", func(c *checker) { c.records = append(c.records, request(kindChat, "t", "v", outcomeNotRun)) }},
+		"not run, but executed":          {"I5", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "k", outcomeNotRun)) }},
 		"two executions":                 {"I6", func(c *checker) { c.journals.backends["c"] = c.journals.backends["b"] }},
-		"work at a leaving engine":       {"I7", func(c *checker) { c.leaving = []leaving{{worker: "e", since: at.Add(-leaveBound - time.Second)}} }},
-		"work at a leaving server":       {"I7", func(c *checker) { c.leaving = []leaving{{worker: "b", since: at.Add(-leaveBound - time.Second)}} }},
-		"broken in a planned stop":       {"I8", func(c *checker) { c.records = append(c.records, request(kindRead, "t", "x", broken)) }},
-		"unknown in a planned stop":      {"I8", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "x", unknown)) }},
-		"refused in a planned stop":      {"I8", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "", unsent)) }},
+		"work at a leaving engine":       {"I7", func(c *checker) { c.leaving = []leavingPeriod{{worker: "e", since: at.Add(-leaveBound - time.Second)}} }},
+		"work at a leaving server":       {"I7", func(c *checker) { c.leaving = []leavingPeriod{{worker: "b", since: at.Add(-leaveBound - time.Second)}} }},
+		"broken in a planned stop":       {"I8", func(c *checker) { c.records = append(c.records, request(kindRead, "t", "x", outcomeBroken)) }},
+		"unknown in a planned stop":      {"I8", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "x", outcomeUnknown)) }},
+		"refused in a planned stop":      {"I8", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "", outcomeUnsent)) }},
 		"broken before the planned stop": {"", func(c *checker) {
-			c.records = append(c.records, request(kindAck, "t", "x", broken))
-			c.planned[0].since = at.Add(time.Minute)
+			c.records = append(c.records, request(kindAck, "t", "x", outcomeBroken))
+			c.planned[0].lastFault = at.Add(time.Minute)
 		}},
-		"work before the bound of I7": {"", func(c *checker) { c.leaving = []leaving{{worker: "e", since: at.Add(-leaveBound + time.Second)}} }},
+		"work before the bound of I7": {"", func(c *checker) { c.leaving = []leavingPeriod{{worker: "e", since: at.Add(-leaveBound + time.Second)}} }},
 		"work after the slot was renewed": {"", func(c *checker) {
-			c.leaving = []leaving{{worker: "e", since: at.Add(-time.Minute), back: at.Add(-time.Second)}}
+			c.leaving = []leavingPeriod{{worker: "e", since: at.Add(-time.Minute), restarted: at.Add(-time.Second)}}
 		}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := &checker{
 				records: []record{
-					request(kindVerdict, "v", "v", complete),
-					{kind: kindKeyed, token: "k", requestID: "k", answerID: "k", body: "b", outcome: complete, started: at, ended: at},
-					{kind: kindKeyed, token: "k", requestID: "k2", answerID: "k", body: "b", outcome: complete, started: at, ended: at},
+					request(kindVerdict, "v", "v", outcomeComplete),
+					{kind: kindKeyed, token: "k", requestID: "k", answerID: "k", body: "b", outcome: outcomeComplete, started: at, ended: at},
+					{kind: kindKeyed, token: "k", requestID: "k2", answerID: "k", body: "b", outcome: outcomeComplete, started: at, ended: at},
 				},
 				journals: &journals{
 					engines: map[string]engine.Report{"e": {Journal: []engine.Record{
@@ -70,14 +71,14 @@
 				},
 				planned: []window{{cell: "order", from: at.Add(-time.Second), to: at.Add(time.Minute)}},
 			}
-			tc.spoil(c)
-			found := c.check()
+			tc.inject(c)
+			violations := c.check()
 			if tc.want == "" {
-				require.Empty(t, found)
+				require.Empty(t, violations)
 				return
 			}
-			require.Len(t, found, 1)
-			require.True(t, strings.HasPrefix(found[0], tc.want+":"), found[0])
+			require.Len(t, violations, 1)
+			require.True(t, strings.HasPrefix(violations[0], tc.want+":"), violations[0])
 		})
 	}
 }
@@ -88,33 +89,34 @@
 	return r
 }
 
-func (c *checker) append(worker string, rec engine.Record) {
+func (c *checker) appendRecord(worker string, rec engine.Record) {
 	r := c.journals.engines[worker]
 	r.Journal = append(r.Journal, rec)
 	c.journals.engines[worker] = r
 }
 
-// Guards against a revision that goes back or comes too late without being reported.
+// Guards against a tracker that does not report a revision that decreases or arrives too late, or
+// that reports one from a disturbed or restarted process.
 func TestRevisionsFindEachBreach(t *testing.T) {
 	at := time.Date(2026, 11, 3, 10, 0, 0, 0, time.UTC)
-	due := at.Add(inForceBound + forwardSlack)
-	start := func() *revisions {
-		r := &revisions{seen: map[string][]sighting{}, disturbed: map[string][]window{}}
-		r.saw("e", "s", sighting{at, "1", 3})
-		r.accepted = []accepted{{"s", 4, at}}
+	deadline := at.Add(inForceBound + observationSlack)
+	start := func() *revisionTracker {
+		r := &revisionTracker{observed: map[string][]observation{}, disturbances: map[string][]window{}}
+		r.observe("e", "s", observation{at, "1", 3})
+		r.accepted = []acceptedRevision{{"s", 4, at}}
 		return r
 	}
 	r := start()
-	require.Empty(t, r.check(due.Add(-time.Second)), "the bound is not over")
-	require.Len(t, r.check(due), 1)
-	r.disturb("e", "kill", at, due)
-	require.Empty(t, r.check(due), "a killed process may be late")
+	require.Empty(t, r.check(deadline.Add(-time.Second)), "the deadline has not passed")
+	require.Len(t, r.check(deadline), 1)
+	r.addDisturbance("e", "kill", at, deadline)
+	require.Empty(t, r.check(deadline), "a killed process may be late")
 
 	r = start()
-	r.saw("e", "s", sighting{at.Add(time.Second), "1", 4})
-	require.Empty(t, r.check(due))
-	r.saw("e", "s", sighting{at.Add(2 * time.Second), "2", 3})
-	require.Empty(t, r.check(due), "a new process starts anew")
-	r.saw("e", "s", sighting{at.Add(3 * time.Second), "2", 2})
-	require.Len(t, r.check(due), 1)
+	r.observe("e", "s", observation{at.Add(time.Second), "1", 4})
+	require.Empty(t, r.check(deadline))
+	r.observe("e", "s", observation{at.Add(2 * time.Second), "2", 3})
+	require.Empty(t, r.check(deadline), "a new incarnation may start at a lower revision")
+	r.observe("e", "s", observation{at.Add(3 * time.Second), "2", 2})
+	require.Len(t, r.check(deadline), 1)
 }
--- a/test/faults/checker_test.go
+++ b/test/faults/checker_test.go
@@ -11,10 +11,11 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-// leaveBound is the time after which a worker that is seen as leaving gets no new work (I7).
+// leaveBound is how soon after a worker is visible as leaving it must no longer receive new
+// work (I7).
 const leaveBound = 3 * time.Second
 
-// journals holds what the engines and plain backend servers did, by worker.
+// journals holds the records of the engines and plain backend servers, by worker ID.
 type journals struct {
 	engines  map[string]engine.Report
 	backends map[string][]backend.Record
@@ -36,86 +37,90 @@
 	return j, nil
 }
 
-// window is a period in which nothing but a planned change or graceful stop was brought about.
+// window is the period of a planned cell, in which only planned changes and graceful stops happen, or
+// of a disturbance.
 type window struct {
 	cell     string
 	from, to time.Time
-	// since is the end of the last unplanned disturbance. Earlier requests may have met it.
-	since time.Time
+	// lastFault is the end of the last unplanned cell before the window. Requests that started
+	// before it may have been affected by that cell.
+	lastFault time.Time
 }
 
-func (w window) overlaps(r *record) bool {
-	// A request that goes on after the window may meet the next disturbance, or counts there.
-	return !r.ended.After(w.to) && r.ended.After(w.from) && !r.started.Before(w.since)
+// covers reports whether the request ended within the window and started after the last fault.
+func (w window) covers(r *record) bool {
+	// A request that ends after the window may be affected by the next cell. If that cell is
+	// planned, the request is checked in its window.
+	return !r.ended.After(w.to) && r.ended.After(w.from) && !r.started.Before(w.lastFault)
 }
 
-// leaving says that a worker was listed as leaving from a time, with the list's lag added, until
-// its slot was started again.
-type leaving struct {
-	worker      string
-	since, back time.Time
+// leavingPeriod is the period in which a worker was visible as leaving: from its listing plus the
+// lag of the instance list until its sidecar was restarted. A zero restarted means no end.
+type leavingPeriod struct {
+	worker           string
+	since, restarted time.Time
 }
 
-// checker finds breaches of the invariants in the records of callers and backend servers. It
-// knows nothing of the product's own state.
+// checker finds violations of the invariants from the records of the callers, engines and backend
+// servers alone, without using the state of the entries and sidecars.
 type checker struct {
 	records  []record
 	journals *journals
 	planned  []window
-	leaving  []leaving
+	leaving  []leavingPeriod
 
-	found []string
+	violations []string
 }
 
-func (c *checker) violate(invariant, format string, args ...any) {
-	c.found = append(c.found, invariant+": "+fmt.Sprintf(format, args...))
+func (c *checker) addViolation(invariant, format string, args ...any) {
+	c.violations = append(c.violations, invariant+": "+fmt.Sprintf(format, args...))
 }
 
-// check returns all breaches.
+// check returns all violations.
 func (c *checker) check() []string {
-	c.engineViolations()
-	c.answers()
-	c.notRun()
-	c.atMostOnce()
-	c.interrupted()
-	c.leavingWorkers()
-	return c.found
+	c.checkEngineViolations()
+	c.checkAnswers()
+	c.checkNotRun()
+	c.checkAtMostOnce()
+	c.checkInterruptions()
+	c.checkLeavingWorkers()
+	return c.violations
 }
 
-// engineViolations reports what the engines observed: conflicting orders (I1), requests cut by an
-// order (I2) and orders of a lost authority (I3).
-func (c *checker) engineViolations() {
+// checkEngineViolations reports the violations that the engines detected: conflicting orders (I1),
+// requests cut off by an order (I2) and orders executed with a stale fence (I3).
+func (c *checker) checkEngineViolations() {
 	invariants := map[engine.ViolationKind]string{
 		engine.ConflictingOrder: "I1", engine.RequestCutByOrder: "I2", engine.StaleOrderRan: "I3",
 	}
 	for id, r := range c.journals.engines {
 		for _, v := range r.Violations {
-			c.violate(invariants[v.Kind], "engine %s: %s at %s: request %s, fence %d, order %d %s",
+			c.addViolation(invariants[v.Kind], "engine %s: %s at %s: request %s, fence %d, order %d %s",
 				id, v.Kind, v.At.Format(time.RFC3339Nano), v.RequestID, v.Fence, v.Number, v.Detail)
 		}
 	}
 }
 
-// answers checks that each complete answer is the whole and own one (I4), and that a backend
-// server really finished it.
-func (c *checker) answers() {
+// checkAnswers checks that each complete answer is whole and belongs to its request, that retries of a
+// keyed operation get the same answer, and that an engine or backend server finished the request (I4).
+func (c *checker) checkAnswers() {
 	finished := map[string]bool{}
 	for _, r := range c.journals.engines {
 		for _, rec := range r.Journal {
 			if rec.Kind == engine.RequestFinished {
-				finished[requestOf(rec.RequestID)] = true
+				finished[withoutAttempt(rec.RequestID)] = true
 			}
 		}
 	}
-	for _, list := range c.journals.backends {
-		for _, rec := range list {
+	for _, journal := range c.journals.backends {
+		for _, rec := range journal {
 			finished[rec.RequestID] = true
 		}
 	}
-	replies := map[string]string{}
+	keyedAnswers := map[string]string{}
 	for i := range c.records {
 		r := &c.records[i]
-		if r.outcome != complete {
+		if r.outcome != outcomeComplete {
 			continue
 		}
 		id := r.requestID
@@ -123,117 +128,119 @@
 			id = r.answerID
 		}
 		switch {
-		case r.wrong != "":
-			c.violate("I4", "%s %s (%s) got a wrong answer: %s", r.kind, r.token, r.requestID, r.wrong)
+		case r.mismatch != "":
+			c.addViolation("I4", "%s %s (%s) got a wrong answer: %s", r.kind, r.token, r.requestID, r.mismatch)
 		case !finished[id]:
-			c.violate("I4", "%s %s is complete, but no backend server finished request %s", r.kind, r.token, id)
-		case r.kind == kindKeyed && replies[r.token] != "" && replies[r.token] != r.body:
-			c.violate("I4", "%s %s got two different answers", r.kind, r.token)
+			c.addViolation("I4", "%s %s is complete, but no backend server finished request %s", r.kind, r.token, id)
+		case r.kind == kindKeyed && keyedAnswers[r.token] != "" && keyedAnswers[r.token] != r.body:
+			c.addViolation("I4", "%s %s got two different answers", r.kind, r.token)
 		}
 		if r.kind == kindKeyed {
-			replies[r.token] = r.body
+			keyedAnswers[r.token] = r.body
 		}
 	}
 }
 
-// requestOf removes the attempt number from the ID of a request at an engine.
-func requestOf(id string) string {
+// withoutAttempt removes the attempt number from a request ID in an engine's journal.
+func withoutAttempt(id string) string {
 	id, _, _ = strings.Cut(id, "/")
 	return id
 }
 
-// notRun checks that no request told not_run was run (I5).
-func (c *checker) notRun() {
-	ran := map[string]string{}
+// checkNotRun checks that no request answered with not_run was queued or executed (I5).
+func (c *checker) checkNotRun() {
+	executedAt := map[string]string{}
 	for id, r := range c.journals.engines {
 		for _, rec := range r.Journal {
 			if rec.Kind == engine.RequestQueued || rec.Kind == engine.RequestStarted {
-				ran[requestOf(rec.RequestID)] = id
+				executedAt[withoutAttempt(rec.RequestID)] = id
 			}
 		}
 	}
-	for id, list := range c.journals.backends {
-		for _, rec := range list {
-			ran[rec.RequestID] = id
+	for id, journal := range c.journals.backends {
+		for _, rec := range journal {
+			executedAt[rec.RequestID] = id
 		}
 	}
 	for i := range c.records {
 		r := &c.records[i]
-		if r.outcome != notRun {
+		if r.outcome != outcomeNotRun {
 			continue
 		}
-		if worker := ran[r.requestID]; r.requestID != "" && worker != "" {
-			c.violate("I5", "%s %s (%s) was told not_run (%s: %s), but ran at %s", r.kind, r.token, r.requestID, r.reason, r.detail, worker)
+		if worker := executedAt[r.requestID]; r.requestID != "" && worker != "" {
+			c.addViolation("I5", "%s %s (%s) was told not_run (%s: %s), but ran at %s", r.kind, r.token, r.requestID, r.reason, r.detail, worker)
 		}
 	}
 }
 
-// atMostOnce counts the executions of each operation over all backend servers (I6).
-func (c *checker) atMostOnce() {
-	runs := map[string][]string{}
-	for id, list := range c.journals.backends {
-		for _, rec := range list {
+// checkAtMostOnce checks that each operation was executed at most once over all backend
+// servers (I6).
+func (c *checker) checkAtMostOnce() {
+	executions := map[string][]string{}
+	for id, journal := range c.journals.backends {
+		for _, rec := range journal {
 			if token, ok := strings.CutPrefix(rec.Path, "/alerts/"); ok {
-				runs[token] = append(runs[token], id+" as "+rec.RequestID)
+				executions[token] = append(executions[token], id+" as "+rec.RequestID)
 			}
 		}
 	}
-	for token, at := range runs {
+	for token, at := range executions {
 		if len(at) > 1 {
-			c.violate("I6", "operation %s ran %d times: %s", token, len(at), strings.Join(at, ", "))
+			c.addViolation("I6", "operation %s ran %d times: %s", token, len(at), strings.Join(at, ", "))
 		}
 	}
 }
 
-// interrupted checks that planned changes and graceful stops interrupted nothing (I2, I8).
-func (c *checker) interrupted() {
+// checkInterruptions checks that planned changes and graceful stops did not interrupt any
+// request (I2, I8).
+func (c *checker) checkInterruptions() {
 	verdicts := map[string]bool{}
-	first := map[string]time.Time{} // of each operation
+	firstSent := map[string]time.Time{} // start of the first request of each operation, by token
 	for i := range c.records {
 		r := &c.records[i]
-		if first[r.token].IsZero() {
-			first[r.token] = r.started
+		if firstSent[r.token].IsZero() {
+			firstSent[r.token] = r.started
 		}
 		if r.kind == kindVerdict {
 			verdicts[r.requestID] = true
 		}
-		if r.outcome == complete || r.outcome == notRun {
+		if r.outcome == outcomeComplete || r.outcome == outcomeNotRun {
 			continue
 		}
 		for _, w := range c.planned {
-			if w.overlaps(r) && !first[r.token].Before(w.since) {
-				c.violate("I8", "%s: %s %s (%s) through %s ended as %s: %s %s", w.cell, r.kind, r.token, r.requestID, r.entry, r.outcome, r.reason, r.detail)
+			if w.covers(r) && !firstSent[r.token].Before(w.lastFault) {
+				c.addViolation("I8", "%s: %s %s (%s) through %s ended as %s: %s %s", w.cell, r.kind, r.token, r.requestID, r.entry, r.outcome, r.reason, r.detail)
 			}
 		}
 	}
-	for id, rep := range c.journals.engines {
-		for _, rec := range rep.Journal {
-			if rec.Kind != engine.RequestCut && rec.Kind != engine.RequestCancelled || !verdicts[requestOf(rec.RequestID)] {
+	for id, report := range c.journals.engines {
+		for _, rec := range report.Journal {
+			if rec.Kind != engine.RequestCut && rec.Kind != engine.RequestCancelled || !verdicts[withoutAttempt(rec.RequestID)] {
 				continue
 			}
 			for _, w := range c.planned {
 				if rec.At.After(w.from) && rec.At.Before(w.to) {
-					c.violate("I2", "%s: verdict %s was cut at engine %s: %s %s", w.cell, rec.RequestID, id, rec.Kind, rec.Detail)
+					c.addViolation("I2", "%s: verdict %s was cut at engine %s: %s %s", w.cell, rec.RequestID, id, rec.Kind, rec.Detail)
 				}
 			}
 		}
 	}
 }
 
-// leavingWorkers checks that leaving workers got no new work after the bound (I7).
-func (c *checker) leavingWorkers() {
+// checkLeavingWorkers checks that leaving workers received no new work after leaveBound (I7).
+func (c *checker) checkLeavingWorkers() {
 	for _, l := range c.leaving {
-		late := func(at time.Time) bool {
-			return at.After(l.since.Add(leaveBound)) && (l.back.IsZero() || at.Before(l.back))
+		tooLate := func(at time.Time) bool {
+			return at.After(l.since.Add(leaveBound)) && (l.restarted.IsZero() || at.Before(l.restarted))
 		}
 		for _, rec := range c.journals.engines[l.worker].Journal {
-			if (rec.Kind == engine.RequestQueued || rec.Kind == engine.RequestStarted) && late(rec.At) {
-				c.violate("I7", "%s got %s %s after it was listed as leaving", l.worker, rec.RequestID, rec.At.Sub(l.since))
+			if (rec.Kind == engine.RequestQueued || rec.Kind == engine.RequestStarted) && tooLate(rec.At) {
+				c.addViolation("I7", "%s got %s %s after it was listed as leaving", l.worker, rec.RequestID, rec.At.Sub(l.since))
 			}
 		}
 		for _, rec := range c.journals.backends[l.worker] {
-			if late(rec.At) {
-				c.violate("I7", "%s got %s %s after it was listed as leaving", l.worker, rec.RequestID, rec.At.Sub(l.since))
+			if tooLate(rec.At) {
+				c.addViolation("I7", "%s got %s %s after it was listed as leaving", l.worker, rec.RequestID, rec.At.Sub(l.since))
 			}
 		}
 	}
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -12,132 +12,136 @@
 )
 
 const (
-	// inForceBound is the time after which an accepted configuration is in force everywhere (I9).
-	inForceBound = 8 * time.Second
-	revisionPoll = 250 * time.Millisecond
-	revisionCall = time.Second
-	// forwardSlack covers the poll that sees the revision and a busy machine's scheduling of it.
-	forwardSlack = revisionPoll + revisionCall
+	// inForceBound is the time within which every process must use an accepted configuration (I9).
+	inForceBound         = 8 * time.Second
+	revisionPollInterval = 250 * time.Millisecond
+	revisionCallTimeout  = time.Second
+	// observationSlack allows for the delay of the poll that observes the revision on a busy machine.
+	observationSlack = revisionPollInterval + revisionCallTimeout
 )
 
-// sighting is a revision that a process reported.
-type sighting struct {
+// observation is a revision reported by a process.
+type observation struct {
 	at          time.Time
 	incarnation string
 	revision    uint64
 }
 
-// accepted is a revision that an operator's tool reported as accepted.
-type accepted struct {
+// acceptedRevision is a revision that was accepted into the configuration store.
+type acceptedRevision struct {
 	service  string
 	revision uint64
 	at       time.Time
 }
 
-// revisions watches the revisions that all processes report (I9).
-type revisions struct {
+// revisionTracker checks that the revisions reported by all processes advance in time (I9).
+type revisionTracker struct {
 	clients *rpc.Clients
 
 	mu       sync.Mutex
-	seen     map[string][]sighting // by process and service
-	accepted []accepted
-	// disturbed holds the periods in which a process or its platform was not up.
-	disturbed map[string][]window
-	missed    []string
+	observed map[string][]observation // by process ID and service, separated by a space
+	accepted []acceptedRevision
+	// disturbances holds, by process ID, the periods in which a process or the key-value service
+	// was disturbed. The empty ID stands for all processes.
+	disturbances map[string][]window
+	regressions  []string
 }
 
-func newRevisions(c *testcluster.Cluster) *revisions {
-	return &revisions{clients: c.Clients(), seen: map[string][]sighting{}, disturbed: map[string][]window{}}
+func newRevisionTracker(c *testcluster.Cluster) *revisionTracker {
+	return &revisionTracker{clients: c.Clients(), observed: map[string][]observation{}, disturbances: map[string][]window{}}
 }
 
-func (r *revisions) run(ctx context.Context, c *testcluster.Cluster) {
+func (r *revisionTracker) run(ctx context.Context, c *testcluster.Cluster) {
 	var wg sync.WaitGroup
-	follow := func(look func(context.Context)) {
+	startPoller := func(poll func(context.Context)) {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				call, cancel := context.WithTimeout(ctx, revisionCall)
-				look(call)
+				call, cancel := context.WithTimeout(ctx, revisionCallTimeout)
+				poll(call)
 				cancel()
-				time.Sleep(revisionPoll)
+				time.Sleep(revisionPollInterval)
 			}
 		})
 	}
 	for _, e := range c.Entries {
-		follow(func(ctx context.Context) {
+		startPoller(func(ctx context.Context) {
 			s, err := e.Status(ctx, r.clients)
 			if err != nil {
 				return
 			}
 			for _, d := range s.GetDocuments() {
-				r.saw(e.ID, d.GetService(), sighting{time.Now(), s.GetIncarnation(), d.GetRevision()})
+				r.observe(e.ID, d.GetService(), observation{time.Now(), s.GetIncarnation(), d.GetRevision()})
 			}
 		})
 	}
 	for _, w := range c.Workers {
-		follow(func(ctx context.Context) {
+		startPoller(func(ctx context.Context) {
 			if p, err := w.Probe(ctx, r.clients); err == nil {
-				r.saw(w.ID, w.Pool.Service, sighting{time.Now(), p.GetLoad().GetIncarnation(), p.GetConfigRevision()})
+				r.observe(w.ID, w.Pool.Service, observation{time.Now(), p.GetLoad().GetIncarnation(), p.GetConfigRevision()})
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// saw keeps a sighting that differs from the last one.
-func (r *revisions) saw(process, service string, s sighting) {
+// observe records an observation if its revision or incarnation differs from the previous one. A
+// revision that decreases within one incarnation is a violation.
+func (r *revisionTracker) observe(process, service string, s observation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := process + " " + service
-	list := r.seen[key]
-	if n := len(list); n > 0 && list[n-1].incarnation == s.incarnation {
-		if s.revision < list[n-1].revision {
-			r.missed = append(r.missed, fmt.Sprintf("I9: %s went from revision %d back to %d", key, list[n-1].revision, s.revision))
+	observations := r.observed[key]
+	if n := len(observations); n > 0 && observations[n-1].incarnation == s.incarnation {
+		if s.revision < observations[n-1].revision {
+			r.regressions = append(r.regressions, fmt.Sprintf("I9: %s went from revision %d back to %d", key, observations[n-1].revision, s.revision))
 		}
-		if s.revision == list[n-1].revision {
+		if s.revision == observations[n-1].revision {
 			return
 		}
 	}
-	r.seen[key] = append(list, s)
+	r.observed[key] = append(observations, s)
 }
 
-func (r *revisions) accept(service string, revision uint64) {
+func (r *revisionTracker) addAccepted(service string, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.accepted = append(r.accepted, accepted{service, revision, time.Now()})
+	r.accepted = append(r.accepted, acceptedRevision{service, revision, time.Now()})
 }
 
-// disturb notes that a process, or all with an empty name, was not up or had no platform.
-func (r *revisions) disturb(process, cell string, from, to time.Time) {
+// addDisturbance records that a process was down, paused or cut off. An empty process stands for all
+// processes.
+func (r *revisionTracker) addDisturbance(process, cell string, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.disturbed[process] = append(r.disturbed[process], window{cell: cell, from: from, to: to})
+	r.disturbances[process] = append(r.disturbances[process], window{cell: cell, from: from, to: to})
 }
 
-// check reports each revision that was not in force in time at a process that was up.
-func (r *revisions) check(now time.Time) []string {
+// check returns the violations so far: decreasing revisions, and accepted revisions that an
+// undisturbed process did not report in time.
+func (r *revisionTracker) check(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	found := append([]string(nil), r.missed...)
+	violations := append([]string(nil), r.regressions...)
 	for _, a := range r.accepted {
-		due := a.at.Add(inForceBound + forwardSlack)
-		if now.Before(due) {
+		deadline := a.at.Add(inForceBound + observationSlack)
+		if now.Before(deadline) {
 			continue
 		}
-		for key, list := range r.seen {
+		for key, observations := range r.observed {
 			process, service, _ := strings.Cut(key, " ")
-			if service != a.service || r.wasDisturbed(process, a.at, due) || reached(list, a.revision, due) {
+			if service != a.service || r.wasDisturbed(process, a.at, deadline) || reached(observations, a.revision, deadline) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("I9: %s did not have revision %d of %s within %s of %s",
+			violations = append(violations, fmt.Sprintf("I9: %s did not have revision %d of %s within %s of %s",
 				process, a.revision, service, inForceBound, a.at.Format(time.RFC3339Nano)))
 		}
 	}
-	return found
+	return violations
 }
 
-func (r *revisions) wasDisturbed(process string, from, to time.Time) bool {
+func (r *revisionTracker) wasDisturbed(process string, from, to time.Time) bool {
 	for _, name := range []string{"", process} {
-		for _, w := range r.disturbed[name] {
+		for _, w := range r.disturbances[name] {
 			if w.from.Before(to) && w.to.After(from) {
 				return true
 			}
@@ -146,8 +150,8 @@
 	return false
 }
 
-func reached(list []sighting, revision uint64, by time.Time) bool {
-	for _, s := range list {
+func reached(observations []observation, revision uint64, by time.Time) bool {
+	for _, s := range observations {
 		if s.revision >= revision && s.at.Before(by) {
 			return true
 		}
--- a/test/faults/faults_test.go
+++ b/test/faults/faults_test.go
@@ -1,6 +1,6 @@
-// Package faults_test proves the invariants of docs/design.md against real processes: under a
-// steady load it kills, pauses, cuts off, stops and changes them, and an independent checker
-// compares what callers received with the journals of the engines and plain backend servers.
+// Package faults_test tests the invariants of docs/design.md with real processes. Under continuous
+// load it kills, pauses, cuts off, stops and reconfigures them. An independent checker compares what
+// the callers received with the journals of the engines and plain backend servers.
 package faults_test
 
 import (
@@ -28,25 +28,25 @@
 	logsFlag   = flag.String("logs", "", "folder that keeps the processes' logs; empty for a temporary one")
 )
 
-// chiefSeed fixes the schedule of the part that runs in continuous integration.
-const chiefSeed = 7
+// ciSeed makes the run in continuous integration repeatable.
+const ciSeed = 7
 
-// roundTail keeps the load up after a cell has settled, so that late effects show.
-const roundTail = time.Second
+// postSettleDelay keeps the load running after the cluster has settled, to catch delayed effects.
+const postSettleDelay = time.Second
 
-// result is one round.
-type result struct {
+// roundResult is the outcome of one round.
+type roundResult struct {
 	cell       string
 	violations []string
 	elapsed    time.Duration
 }
 
-// Guards the invariants in the cells that have found most faults.
+// Guards against violations of the invariants in the cells that have found most faults.
 func TestChiefCells(t *testing.T) {
-	runRounds(t, chiefSeed, pick(chief))
+	runRounds(t, ciSeed, cellsByName(ciCells))
 }
 
-// Guards the invariants in all cells, in an order that the seed sets.
+// Guards against violations of the invariants in all cells, in an order given by the seed.
 func TestMatrix(t *testing.T) {
 	if *roundsFlag == 0 {
 		t.Skip("the full matrix runs with -rounds (make e2e-faults)")
@@ -58,69 +58,69 @@
 	fmt.Printf("seed %d\n", seed)
 	all := cells()
 	if *cellsFlag != "" {
-		all = pick(strings.Split(*cellsFlag, ","))
+		all = cellsByName(strings.Split(*cellsFlag, ","))
 	}
 	runRounds(t, seed, schedule(seed, all, *roundsFlag))
 }
 
-// schedule draws rounds: each cell comes once before any comes again.
+// schedule returns a random sequence of cells in which every cell runs once before any repeats.
 func schedule(seed uint64, all []cell, rounds int) []cell {
 	r := rand.New(rand.NewPCG(seed, 0))
-	var list []cell
-	for len(list) < rounds {
+	var drawn []cell
+	for len(drawn) < rounds {
 		r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		list = append(list, all...)
+		drawn = append(drawn, all...)
 	}
-	return list[:rounds]
+	return drawn[:rounds]
 }
 
-func pick(names []string) []cell {
-	var list []cell
+func cellsByName(names []string) []cell {
+	var selected []cell
 	for _, name := range names {
 		i := slices.IndexFunc(cells(), func(c cell) bool { return c.name == name })
 		if i < 0 {
 			panic("unknown cell " + name)
 		}
-		list = append(list, cells()[i])
+		selected = append(selected, cells()[i])
 	}
-	return list
+	return selected
 }
 
-func runRounds(t *testing.T, seed uint64, list []cell) {
+func runRounds(t *testing.T, seed uint64, rounds []cell) {
 	t.Helper()
-	logs := *logsFlag
-	if logs == "" {
-		logs = t.TempDir()
+	logDir := *logsFlag
+	if logDir == "" {
+		logDir = t.TempDir()
 	}
-	w, err := startHarness(t.Context(), t.TempDir(), logs, seed, os.Stdout)
-	if w != nil {
+	h, err := startHarness(t.Context(), t.TempDir(), logDir, seed, os.Stdout)
+	if h != nil {
 		t.Cleanup(func() {
-			if err := w.cluster.Stop(); err != nil {
+			if err := h.cluster.Stop(); err != nil {
 				t.Errorf("stop: %v", err)
 			}
 			if t.Failed() {
-				dumpLogs(t, logs)
+				dumpLogs(t, logDir)
 			}
 		})
 	}
 	require.NoError(t, err)
-	// The load outlives a round, and ends before the cluster stops.
+	// The load runs across all rounds and ends before the cluster stops.
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{}, 2)
-	go func() { w.load.run(ctx, seed); done <- struct{}{} }()
-	go func() { w.revisions.run(ctx, w.cluster); done <- struct{}{} }()
-	var results []result
-	known := map[string]bool{}
-	for i, c := range list {
-		fmt.Printf("%s round %d of %d: %s\n", time.Now().Format("15:04:05.000"), i+1, len(list), c.name)
-		results = append(results, w.round(t.Context(), c, known))
+	go func() { h.load.run(ctx, seed); done <- struct{}{} }()
+	go func() { h.revisions.run(ctx, h.cluster); done <- struct{}{} }()
+	var results []roundResult
+	reported := map[string]bool{}
+	for i, c := range rounds {
+		fmt.Printf("%s round %d of %d: %s\n", time.Now().Format("15:04:05.000"), i+1, len(rounds), c.name)
+		results = append(results, h.runRound(t.Context(), c, reported))
 	}
 	stop()
 	<-done
 	<-done
-	last := w.check(t.Context(), known)
-	results = append(results, result{cell: "after the last round", violations: last})
-	printTable(os.Stdout, seed, results, w.load.snapshot())
+	final := h.check(t.Context(), reported)
+	results = append(results, roundResult{cell: "after the last round", violations: final})
+	printTable(os.Stdout, seed, results, h.load.snapshot())
 	for _, r := range results {
 		for _, v := range r.violations {
 			t.Errorf("%s: %s", r.cell, v)
@@ -128,20 +128,20 @@
 	}
 }
 
-// round brings one cell about, waits until the cluster has settled, and checks everything so far.
-func (w *harness) round(ctx context.Context, c cell, known map[string]bool) result {
-	began := time.Now()
-	err := c.run(ctx, w)
+// runRound runs one cell, waits until the cluster has settled, and checks all records so far.
+func (h *harness) runRound(ctx context.Context, c cell, reported map[string]bool) roundResult {
+	start := time.Now()
+	err := c.run(ctx, h)
 	if err == nil {
-		err = w.settled(ctx)
+		err = h.waitSettled(ctx)
 	}
-	time.Sleep(roundTail)
+	time.Sleep(postSettleDelay)
 	if c.planned {
-		w.planned = append(w.planned, window{c.name, began, time.Now(), w.faulted})
+		h.planned = append(h.planned, window{c.name, start, time.Now(), h.lastFault})
 	} else {
-		w.faulted = time.Now()
+		h.lastFault = time.Now()
 	}
-	res := result{cell: c.name, violations: w.check(ctx, known), elapsed: time.Since(began)}
+	res := roundResult{cell: c.name, violations: h.check(ctx, reported), elapsed: time.Since(start)}
 	if err != nil {
 		var v *violationError
 		if !errors.As(err, &v) {
@@ -150,31 +150,32 @@
 		res.violations = append(res.violations, err.Error())
 	}
 	for _, v := range res.violations {
-		w.note("VIOLATION %s", v)
+		h.logf("VIOLATION %s", v)
 	}
 	return res
 }
 
-// check returns the breaches that were not known before.
-func (w *harness) check(ctx context.Context, known map[string]bool) []string {
-	// Records are read before journals, so that whatever a caller was told is in the journal.
-	records := w.load.snapshot()
-	j, err := readJournals(ctx, w.cluster)
+// check returns the violations that are not in reported, and adds them to it.
+func (h *harness) check(ctx context.Context, reported map[string]bool) []string {
+	// The callers' records are read before the journals, so that the journals include everything
+	// that a caller was told.
+	records := h.load.snapshot()
+	j, err := readJournals(ctx, h.cluster)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	ch := &checker{records: records, journals: j, planned: w.planned, leaving: w.left}
-	var fresh []string
-	for _, v := range append(ch.check(), w.revisions.check(time.Now())...) {
-		if !known[v] {
-			known[v] = true
-			fresh = append(fresh, v)
+	ch := &checker{records: records, journals: j, planned: h.planned, leaving: h.leaving}
+	var newViolations []string
+	for _, v := range append(ch.check(), h.revisions.check(time.Now())...) {
+		if !reported[v] {
+			reported[v] = true
+			newViolations = append(newViolations, v)
 		}
 	}
-	return fresh
+	return newViolations
 }
 
-func printTable(out io.Writer, seed uint64, results []result, records []record) {
+func printTable(out io.Writer, seed uint64, results []roundResult, records []record) {
 	type row struct {
 		rounds, violations int
 		elapsed            time.Duration
--- a/test/faults/harness_test.go
+++ b/test/faults/harness_test.go
@@ -27,10 +27,10 @@
 	plainService = "halte-api"
 	// baseVersion is the model version of the example document.
 	baseVersion = "2026.11"
-	stopBound   = 45 * time.Second
-	// settleBound is far above the time in which the cluster recovers on a busy machine.
-	settleBound = 45 * time.Second
-	settleTick  = 100 * time.Millisecond
+	stopTimeout = 45 * time.Second
+	// settleTimeout is far longer than the cluster takes to recover on a busy machine.
+	settleTimeout      = 45 * time.Second
+	settlePollInterval = 100 * time.Millisecond
 )
 
 type (
@@ -38,24 +38,25 @@
 	worker = testcluster.Worker
 )
 
-// harness is the running cluster with its load.
+// harness holds the running cluster, its load and the state of the test run.
 type harness struct {
 	cluster   *testcluster.Cluster
 	kv        external.KV
-	random    *rand.Rand
-	load      *callers
-	revisions *revisions
+	rng       *rand.Rand
+	load      *loadGenerator
+	revisions *revisionTracker
 	out       io.Writer
 
-	document string
-	version  int
-	planned  []window
-	left     []leaving
-	// faulted is the end of the last cell that was not planned.
-	faulted time.Time
+	baseDocument string
+	version      int
+	planned      []window
+	leaving      []leavingPeriod
+	// lastFault is the end of the last unplanned cell.
+	lastFault time.Time
 }
 
-// startHarness starts the cluster and applies the documents.
+// startHarness builds the programs, starts the cluster and applies the documents. The harness is not
+// nil once the cluster has started, even if there is an error.
 func startHarness(ctx context.Context, bin, dir string, seed uint64, out io.Writer) (*harness, error) {
 	if err := testcluster.Build(root, bin); err != nil {
 		return nil, err
@@ -77,60 +78,61 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &harness{
-		cluster: c, random: rand.New(rand.NewPCG(seed, 1)), load: newCallers(ctx, c), revisions: newRevisions(c), out: out,
+	h := &harness{
+		cluster: c, rng: rand.New(rand.NewPCG(seed, 1)), load: newLoadGenerator(ctx, c), revisions: newRevisionTracker(c), out: out,
 	}
-	return w, w.prepare(ctx)
+	return h, h.applyDocuments(ctx)
 }
 
-func (w *harness) prepare(ctx context.Context) error {
+func (h *harness) applyDocuments(ctx context.Context) error {
 	body, err := os.ReadFile(filepath.Join(root, "examples", "transport", modelService+".yaml"))
 	if err != nil {
 		return err
 	}
-	w.document = string(body)
-	if w.kv, err = w.cluster.KV(ctx); err != nil {
+	h.baseDocument = string(body)
+	if h.kv, err = h.cluster.KV(ctx); err != nil {
 		return err
 	}
 	for _, s := range []string{modelService, plainService} {
-		if err := w.cluster.Apply(ctx, filepath.Join(root, "examples", "transport", s+".yaml")); err != nil {
+		if err := h.cluster.Apply(ctx, filepath.Join(root, "examples", "transport", s+".yaml")); err != nil {
 			return err
 		}
-		w.revisions.accept(s, 1)
+		h.revisions.addAccepted(s, 1)
 	}
-	return w.settled(ctx)
+	return h.waitSettled(ctx)
 }
 
-func (w *harness) note(format string, args ...any) {
-	fmt.Fprintf(w.out, "%s   %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...))
+func (h *harness) logf(format string, args ...any) {
+	fmt.Fprintf(h.out, "%s   %s\n", time.Now().Format("15:04:05.000"), fmt.Sprintf(format, args...))
 }
 
-func (*harness) pause(d time.Duration) { time.Sleep(d) }
+func (*harness) sleep(d time.Duration) { time.Sleep(d) }
 
-// body renders the document with another version of the model.
-func (w *harness) body(version int) []byte {
-	return []byte(strings.Replace(w.document, `"`+baseVersion+`"`, fmt.Sprintf(`"%s.%d"`, baseVersion, version), 1))
+// renderDocument returns the example document with the given model version.
+func (h *harness) renderDocument(version int) []byte {
+	return []byte(strings.Replace(h.baseDocument, `"`+baseVersion+`"`, fmt.Sprintf(`"%s.%d"`, baseVersion, version), 1))
 }
 
-// change applies a document with the next version of the model, which every engine has to load.
-func (w *harness) change(ctx context.Context) error {
-	w.version++
-	r, err := registry.Get(ctx, w.kv, modelService)
+// applyNewVersion applies a document with the next model version, which every engine has to load.
+func (h *harness) applyNewVersion(ctx context.Context) error {
+	h.version++
+	r, err := registry.Get(ctx, h.kv, modelService)
 	if err != nil {
 		return err
 	}
-	r, err = registry.Apply(ctx, w.kv, modelService, r.Revision, w.body(w.version), "faults")
+	r, err = registry.Apply(ctx, h.kv, modelService, r.Revision, h.renderDocument(h.version), "faults")
 	if err != nil {
 		return err
 	}
-	w.note("revision %d of %s accepted, model version %s.%d", r.Revision, modelService, baseVersion, w.version)
-	w.revisions.accept(modelService, r.Revision)
+	h.logf("revision %d of %s accepted, model version %s.%d", r.Revision, modelService, baseVersion, h.version)
+	h.revisions.addAccepted(modelService, r.Revision)
 	return nil
 }
 
-// twoOperators lets two operators apply different documents over the same base revision.
-func twoOperators(ctx context.Context, w *harness) error {
-	base, err := registry.Get(ctx, w.kv, modelService)
+// twoOperators applies two different documents concurrently on the same base revision. One must
+// succeed and the other must get a conflict.
+func twoOperators(ctx context.Context, h *harness) error {
+	base, err := registry.Get(ctx, h.kv, modelService)
 	if err != nil {
 		return err
 	}
@@ -141,7 +143,7 @@
 	)
 	for i := range errs {
 		wg.Go(func() {
-			records[i], errs[i] = registry.Apply(ctx, w.kv, modelService, base.Revision, w.body(w.version+1+i), fmt.Sprintf("operator-%d", i))
+			records[i], errs[i] = registry.Apply(ctx, h.kv, modelService, base.Revision, h.renderDocument(h.version+1+i), fmt.Sprintf("operator-%d", i))
 		})
 	}
 	wg.Wait()
@@ -151,128 +153,130 @@
 	}
 	var conflict *registry.ConflictError
 	if errs[winner] != nil || !errors.As(errs[loser], &conflict) {
-		return violation("I9: two operators: outcomes %v and %v, want one success and one conflict", errs[0], errs[1])
+		return newViolation("I9: two operators: outcomes %v and %v, want one success and one conflict", errs[0], errs[1])
 	}
-	now, err := registry.Get(ctx, w.kv, modelService)
+	current, err := registry.Get(ctx, h.kv, modelService)
 	if err != nil {
 		return err
 	}
-	if now.Revision != base.Revision+1 || now.WriteID != records[winner].WriteID || conflict.Winner.WriteID != now.WriteID {
-		return violation("I9: two operators: revision %d by %s, want %d by %s", now.Revision, now.Author, base.Revision+1, records[winner].Author)
+	if current.Revision != base.Revision+1 || current.WriteID != records[winner].WriteID || conflict.Winner.WriteID != current.WriteID {
+		return newViolation("I9: two operators: revision %d by %s, want %d by %s", current.Revision, current.Author, base.Revision+1, records[winner].Author)
 	}
-	w.version += 1 + winner
-	w.note("operator-%d won revision %d", winner, now.Revision)
-	w.revisions.accept(modelService, now.Revision)
-	return w.settled(ctx)
+	h.version += 1 + winner
+	h.logf("operator-%d won revision %d", winner, current.Revision)
+	h.revisions.addAccepted(modelService, current.Revision)
+	return h.waitSettled(ctx)
 }
 
-// violationError is a breach that a cell itself has seen.
+// violationError is a violation found by the harness itself rather than by the checker.
 type violationError struct{ text string }
 
 func (e *violationError) Error() string { return e.text }
 
-func violation(format string, args ...any) error {
+func newViolation(format string, args ...any) error {
 	return &violationError{fmt.Sprintf(format, args...)}
 }
 
-func (w *harness) entry() *entry { return w.cluster.Entries[w.random.IntN(len(w.cluster.Entries))] }
+func (h *harness) randomEntry() *entry { return h.cluster.Entries[h.rng.IntN(len(h.cluster.Entries))] }
 
-func (w *harness) pick(ok func(*worker) bool) *worker {
-	var all []*worker
-	for _, at := range w.cluster.Workers {
-		if ok(at) {
-			all = append(all, at)
+func (h *harness) pickWorker(accept func(*worker) bool) *worker {
+	var matching []*worker
+	for _, w := range h.cluster.Workers {
+		if accept(w) {
+			matching = append(matching, w)
 		}
 	}
-	return all[w.random.IntN(len(all))]
+	return matching[h.rng.IntN(len(matching))]
 }
 
-// modelWorker and plainWorker choose workers that the entries reach without a forwarder, since a
-// sidecar knows itself in the list by its own address.
-func (w *harness) modelWorker() *worker {
-	return w.pick(func(at *worker) bool { return !at.Pool.Plain && at.Link == nil })
+// randomModelWorker and randomPlainWorker return workers that the entries reach without a forwarder: a
+// sidecar recognises itself in the instance list by its own address, which the forwarder's replaces.
+func (h *harness) randomModelWorker() *worker {
+	return h.pickWorker(func(w *worker) bool { return !w.Pool.Plain && w.Link == nil })
 }
 
-func (w *harness) plainWorker() *worker {
-	return w.pick(func(at *worker) bool { return at.Pool.Plain && at.Link == nil })
+func (h *harness) randomPlainWorker() *worker {
+	return h.pickWorker(func(w *worker) bool { return w.Pool.Plain && w.Link == nil })
 }
 
-func (w *harness) linkedWorker() *worker {
-	return w.pick(func(at *worker) bool { return at.Link != nil })
+func (h *harness) randomForwardedWorker() *worker {
+	return h.pickWorker(func(w *worker) bool { return w.Link != nil })
 }
 
-// holder returns the entry that holds one of the pools, chosen by the seed, or any entry if the
-// pool has no holder at present.
-func (w *harness) holder(ctx context.Context) *entry {
-	pool := w.modelWorker().PoolName()
+// leaseHolder returns the entry that holds the lease of a random pool, or a random entry if the pool
+// has no holder after 50 polls.
+func (h *harness) leaseHolder(ctx context.Context) *entry {
+	pool := h.randomModelWorker().PoolName()
 	for range 50 {
-		if e, err := w.cluster.Holder(ctx, w.kv, pool); err == nil {
-			w.note("%s holds %s", e.ID, pool)
+		if e, err := h.cluster.Holder(ctx, h.kv, pool); err == nil {
+			h.logf("%s holds %s", e.ID, pool)
 			return e
 		}
-		time.Sleep(settleTick)
+		time.Sleep(settlePollInterval)
 	}
-	return w.entry()
+	return h.randomEntry()
 }
 
-// changing waits for an order that is being prepared or executed.
-func (w *harness) changing(ctx context.Context) (*worker, order.Phase, error) {
-	end := time.Now().Add(settleBound)
-	for time.Now().Before(end) {
-		for _, at := range w.cluster.Workers {
-			if at.Pool.Plain || at.Link != nil {
+// waitForOrder waits until a worker has an order that is not settled, and returns the worker and the
+// order's phase.
+func (h *harness) waitForOrder(ctx context.Context) (*worker, order.Phase, error) {
+	deadline := time.Now().Add(settleTimeout)
+	for time.Now().Before(deadline) {
+		for _, w := range h.cluster.Workers {
+			if w.Pool.Plain || w.Link != nil {
 				continue
 			}
-			if r, err := at.OrderRecord(ctx, w.kv); err == nil && unsettled(r.Phase) {
-				return at, r.Phase, nil
+			if r, err := w.OrderRecord(ctx, h.kv); err == nil && orderInProgress(r.Phase) {
+				return w, r.Phase, nil
 			}
 		}
-		time.Sleep(settleTick / 10)
+		time.Sleep(settlePollInterval / 10)
 	}
-	return nil, "", violation("liveness: no order began within %s of a changed document", settleBound)
+	return nil, "", newViolation("liveness: no order began within %s of a changed document", settleTimeout)
 }
 
-// serving waits until each entry is ready and answers.
-func (w *harness) serving(ctx context.Context) error {
-	if err := w.cluster.WaitServing(ctx, http.MethodGet, "/readyz", ""); err != nil {
-		return violation("liveness: %v", err)
+// waitServing waits until each entry is ready and answers completions.
+func (h *harness) waitServing(ctx context.Context) error {
+	if err := h.cluster.WaitServing(ctx, http.MethodGet, "/readyz", ""); err != nil {
+		return newViolation("liveness: %v", err)
 	}
-	if err := w.cluster.WaitServing(ctx, http.MethodPost, "/v1/completions", `{"model":"`+model+`","prompt":"ready?","max_tokens":1}`); err != nil {
-		return violation("liveness: %v", err)
+	if err := h.cluster.WaitServing(ctx, http.MethodPost, "/v1/completions", `{"model":"`+model+`","prompt":"ready?","max_tokens":1}`); err != nil {
+		return newViolation("liveness: %v", err)
 	}
 	return nil
 }
 
-// settled waits until each entry serves and each engine has the document's model.
-func (w *harness) settled(ctx context.Context) error {
-	if err := w.serving(ctx); err != nil {
+// waitSettled waits until each entry serves requests, each engine has the document's model, and no
+// order is in progress.
+func (h *harness) waitSettled(ctx context.Context) error {
+	if err := h.waitServing(ctx); err != nil {
 		return err
 	}
-	want, err := w.wanted(ctx)
+	want, err := h.acceptedModel(ctx)
 	if err != nil {
 		return err
 	}
-	end := time.Now().Add(settleBound)
+	deadline := time.Now().Add(settleTimeout)
 	for {
-		var behind []string
-		for _, at := range w.cluster.Workers {
-			if why := w.behind(ctx, at, want); why != "" {
-				behind = append(behind, at.ID+": "+why)
+		var notReady []string
+		for _, w := range h.cluster.Workers {
+			if reason := h.notReadyReason(ctx, w, want); reason != "" {
+				notReady = append(notReady, w.ID+": "+reason)
 			}
 		}
-		if len(behind) == 0 {
+		if len(notReady) == 0 {
 			return nil
 		}
-		if time.Now().After(end) {
-			return violation("liveness: not settled after %s: %s", settleBound, strings.Join(behind, "; "))
+		if time.Now().After(deadline) {
+			return newViolation("liveness: not settled after %s: %s", settleTimeout, strings.Join(notReady, "; "))
 		}
-		time.Sleep(settleTick)
+		time.Sleep(settlePollInterval)
 	}
 }
 
-// wanted returns the model of the accepted document.
-func (w *harness) wanted(ctx context.Context) (external.ModelVersion, error) {
-	r, err := registry.Get(ctx, w.kv, modelService)
+// acceptedModel returns the model version of the accepted document.
+func (h *harness) acceptedModel(ctx context.Context) (external.ModelVersion, error) {
+	r, err := registry.Get(ctx, h.kv, modelService)
 	if err != nil {
 		return external.ModelVersion{}, err
 	}
@@ -283,32 +287,32 @@
 	return external.ModelVersion{Name: s.Models[0].Name, Version: s.Models[0].Version}, nil
 }
 
-// behind says what a worker lacks to take work.
-func (w *harness) behind(ctx context.Context, at *worker, want external.ModelVersion) string {
+// notReadyReason returns why a worker is not ready for work, or an empty string if it is.
+func (h *harness) notReadyReason(ctx context.Context, w *worker, want external.ModelVersion) string {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	p, err := at.Probe(ctx, w.revisions.clients)
+	p, err := w.Probe(ctx, h.revisions.clients)
 	if err != nil {
 		return err.Error()
 	}
 	if p.GetLoad().GetDraining() {
 		return "draining"
 	}
-	if at.Pool.Plain {
+	if w.Pool.Plain {
 		return ""
 	}
-	s, err := at.EngineState(ctx)
+	s, err := w.EngineState(ctx)
 	if err != nil {
 		return err.Error()
 	}
 	if s.Changing || len(s.Config.Models) != 1 || s.Config.Models[0] != want {
 		return fmt.Sprintf("changing %t, models %v, want %v", s.Changing, s.Config.Models, want)
 	}
-	r, err := at.OrderRecord(ctx, w.kv)
+	r, err := w.OrderRecord(ctx, h.kv)
 	if err != nil {
 		return err.Error()
 	}
-	if unsettled(r.Phase) {
+	if orderInProgress(r.Phase) {
 		return "order is " + string(r.Phase)
 	}
 	return ""
--- a/test/faults/load_test.go
+++ b/test/faults/load_test.go
@@ -21,106 +21,108 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-// Kinds of requests of the load.
+// Request kinds of the load.
 const (
 	kindVerdict = "arrival-verdict"
 	kindChat    = "chat"
 	kindRead    = "schedule-read"
-	kindAck     = "ack"       // may not be repeated, sent once
-	kindKeyed   = "keyed-ack" // may not be repeated, retried with its Idempotency-Key
+	kindAck     = "ack"       // not idempotent, sent once
+	kindKeyed   = "keyed-ack" // not idempotent, retried with its Idempotency-Key
 )
 
-// What a caller learned about a request.
+// Outcomes of a request as its caller sees them.
 const (
-	complete = "complete"
-	notRun   = "not_run"
-	unknown  = "unknown"
-	// broken means that the connection ended without a final event or a typed error.
-	broken = "broken"
-	// unsent means that no connection was made.
-	unsent = "unsent"
+	outcomeComplete = "complete"
+	outcomeNotRun   = "not_run"
+	outcomeUnknown  = "unknown"
+	// outcomeBroken means that the response ended without a final event or a typed error.
+	outcomeBroken = "broken"
+	// outcomeUnsent means that the connection was refused.
+	outcomeUnsent = "unsent"
 )
 
 const (
-	callerTimeout = 20 * time.Second
-	thinkTime     = 60 * time.Millisecond
-	readyEvery    = 50 * time.Millisecond
-	// keyedTries bounds the retries of one keyed operation.
-	keyedTries = 8
-	// repeatShare of the completed keyed operations are sent again to see the replay.
-	repeatShare = 0.3
+	callerTimeout     = 20 * time.Second
+	thinkTime         = 60 * time.Millisecond
+	readyPollInterval = 50 * time.Millisecond
+	// maxKeyedAttempts limits the requests for one keyed operation.
+	maxKeyedAttempts = 8
+	// replayProbability is the probability that a completed keyed operation is sent again, to check
+	// that the stored answer is replayed.
+	replayProbability = 0.3
 )
 
-// record is one request as its caller saw it.
+// record describes one request as its caller saw it.
 type record struct {
 	kind, token, requestID, entry string
 	outcome, reason, detail       string
 	started, ended                time.Time
-	// wrong describes a complete answer that is not the expected one.
-	wrong string
-	// answerID is the request ID in a plain answer, body the whole answer.
+	// mismatch describes how a complete answer differs from the expected one.
+	mismatch string
+	// answerID is the request ID in a plain answer, and body is the whole answer.
 	answerID, body string
 }
 
-// callers is the load: closed-loop callers behind a balancer that follows readiness checks.
-type callers struct {
+// loadGenerator runs closed-loop callers behind a simulated load balancer that follows the entries'
+// readiness checks.
+type loadGenerator struct {
 	cluster *testcluster.Cluster
 	client  *http.Client
 	tokens  atomic.Uint64
-	// departures computes the expected answer of a plain read.
-	departures func(path string) string
+	// expectedDepartures computes the expected answer to a plain read.
+	expectedDepartures func(path string) string
 
 	mu      sync.Mutex
 	ready   []*testcluster.Entry
 	records []record
 }
 
-func newCallers(ctx context.Context, c *testcluster.Cluster) *callers {
-	return &callers{cluster: c, client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, departures: newDepartures(context.WithoutCancel(ctx))}
+func newLoadGenerator(ctx context.Context, c *testcluster.Cluster) *loadGenerator {
+	return &loadGenerator{cluster: c, client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, expectedDepartures: newExpectedDepartures(context.WithoutCancel(ctx))}
 }
 
-// run keeps the load up until ctx ends and waits for the requests in flight.
-func (l *callers) run(ctx context.Context, seed uint64) {
+// run generates load until ctx ends, and waits for the requests in flight.
+func (l *loadGenerator) run(ctx context.Context, seed uint64) {
 	var wg sync.WaitGroup
 	for _, e := range l.cluster.Entries {
-		wg.Go(func() { l.follow(ctx, e) })
+		wg.Go(func() { l.pollReadiness(ctx, e) })
 	}
-	counts := []struct {
+	groups := []struct {
 		n    int
 		call func(*rand.Rand, int)
 	}{
-		// With shorter verdicts, all of them end while the weights are loaded, and a change that does
-		// not wait for them is not seen.
-		{6, func(r *rand.Rand, i int) { l.model(r, i, kindVerdict, 150) }},
-		{5, func(r *rand.Rand, i int) { l.model(r, i, kindChat, 240) }},
-		{3, l.read},
-		{3, func(r *rand.Rand, i int) { l.plain(r, i, kindAck, http.MethodPost, l.token("ack", i), "") }},
-		{4, l.keyed},
+		// Shorter verdicts would all end while the weights are being loaded, and a model change that
+		// does not wait for running verdicts would go undetected.
+		{6, func(r *rand.Rand, i int) { l.sendCompletion(r, i, kindVerdict, 150) }},
+		{5, func(r *rand.Rand, i int) { l.sendCompletion(r, i, kindChat, 240) }},
+		{3, l.sendRead},
+		{3, func(r *rand.Rand, i int) { l.sendPlain(r, i, kindAck, http.MethodPost, l.newToken("ack", i), "") }},
+		{4, l.sendKeyed},
 	}
 	caller := 0
-	for _, c := range counts {
+	for _, c := range groups {
 		for range c.n {
 			caller++
 			id := caller
 			r := rand.New(rand.NewPCG(seed, uint64(id)))
-			wg.Go(func() { loop(ctx, r, id, c.call) })
+			wg.Go(func() { callLoop(ctx, r, id, c.call) })
 		}
 	}
 	wg.Wait()
 }
 
-func loop(ctx context.Context, r *rand.Rand, caller int, call func(*rand.Rand, int)) {
+func callLoop(ctx context.Context, r *rand.Rand, caller int, call func(*rand.Rand, int)) {
 	for ctx.Err() == nil {
 		call(r, caller)
 		time.Sleep(thinkTime/2 + time.Duration(r.Int64N(int64(thinkTime))))
 	}
 }
 
-// follow keeps the list of ready entries as the platform's balancer does.
-func (l *callers) follow(ctx context.Context, e *testcluster.Entry) {
-	check := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// pollReadiness updates the list of ready entries as the platform's load balancer does.
+func (l *loadGenerator) pollReadiness(ctx context.Context, e *testcluster.Entry) {
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
-		ok := e.Ready(ctx, check)
+		isReady := e.Ready(ctx, client)
 		l.mu.Lock()
 		var ready []*testcluster.Entry
 		for _, other := range l.ready {
@@ -128,45 +130,45 @@
 				ready = append(ready, other)
 			}
 		}
-		if ok {
+		if isReady {
 			ready = append(ready, e)
 		}
 		l.ready = ready
 		l.mu.Unlock()
-		time.Sleep(readyEvery)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// balance chooses a ready entry other than the given one, if there is another.
-func (l *callers) balance(r *rand.Rand, not *testcluster.Entry) *testcluster.Entry {
+// pickEntry waits for a ready entry, and avoids exclude if another one is ready.
+func (l *loadGenerator) pickEntry(r *rand.Rand, exclude *testcluster.Entry) *testcluster.Entry {
 	for {
 		l.mu.Lock()
 		ready := l.ready
 		l.mu.Unlock()
 		if len(ready) > 0 {
 			e := ready[r.IntN(len(ready))]
-			if e != not || len(ready) == 1 {
+			if e != exclude || len(ready) == 1 {
 				return e
 			}
 			continue
 		}
-		time.Sleep(readyEvery)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-func (l *callers) token(kind string, caller int) string {
+func (l *loadGenerator) newToken(kind string, caller int) string {
 	return fmt.Sprintf("%s-%d-%d", kind, caller, l.tokens.Add(1))
 }
 
-func (l *callers) add(rec record) {
+func (l *loadGenerator) addRecord(rec record) {
 	rec.ended = time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, rec)
 }
 
-// snapshot returns the ended requests.
-func (l *callers) snapshot() []record {
+// snapshot returns the records of the requests that have ended.
+func (l *loadGenerator) snapshot() []record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]record(nil), l.records...)
@@ -178,20 +180,20 @@
 		panic(err) // the paths are constants and tokens
 	}
 	req.Header.Set("Authorization", fmt.Sprintf("Bearer caller-%d", caller))
-	// A caller that may not repeat a request must not let its client resend it.
+	// Without GetBody, the HTTP client does not resend a request that must not be repeated.
 	req.GetBody = nil
 	return req
 }
 
-// model sends one streamed completion.
-func (l *callers) model(r *rand.Rand, caller int, kind string, maxTokens int) {
-	token := l.token(kind, caller)
+// sendCompletion sends one streamed completion request and checks its answer.
+func (l *loadGenerator) sendCompletion(r *rand.Rand, caller int, kind string, maxTokens int) {
+	token := l.newToken(kind, caller)
 	prompt := "request " + token + strings.Repeat(" stop and line", 1+r.IntN(100))
-	q := &external.GenerateRequest{Model: model, Prompt: prompt, MaxTokens: maxTokens, Seed: r.Uint64N(1 << 40)}
-	body, _ := json.Marshal(map[string]any{"model": model, "prompt": prompt, "max_tokens": maxTokens, "stream": true, "seed": q.Seed})
-	e := l.balance(r, nil)
+	genRequest := &external.GenerateRequest{Model: model, Prompt: prompt, MaxTokens: maxTokens, Seed: r.Uint64N(1 << 40)}
+	body, _ := json.Marshal(map[string]any{"model": model, "prompt": prompt, "max_tokens": maxTokens, "stream": true, "seed": genRequest.Seed})
+	e := l.pickEntry(r, nil)
 	rec := record{kind: kind, token: token, entry: e.ID, started: time.Now()}
-	defer func() { l.add(rec) }()
+	defer func() { l.addRecord(rec) }()
 	req := newRequest(e, caller, http.MethodPost, "/v1/completions", string(body))
 	req.Header.Set("X-Quetzallug-Kind", kind)
 	resp := l.send(req, &rec)
@@ -201,25 +203,25 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		b, _ := io.ReadAll(resp.Body)
-		rec.typed(b)
+		rec.readTypedError(b)
 		return
 	}
 	text, finish := rec.readEvents(resp.Body)
-	if rec.outcome != complete {
+	if rec.outcome != outcomeComplete {
 		return
 	}
-	if want, _, reason := engine.Answer(q); text != want || finish != reason {
-		rec.wrong = fmt.Sprintf("got %d bytes (%s), want %d bytes (%s)", len(text), finish, len(want), reason)
+	if want, _, reason := engine.Answer(genRequest); text != want || finish != reason {
+		rec.mismatch = fmt.Sprintf("got %d bytes (%s), want %d bytes (%s)", len(text), finish, len(want), reason)
 	}
 }
 
-// send returns nil if no response arrived.
-func (l *callers) send(req *http.Request, rec *record) *http.Response {
+// send returns the response, or nil if none arrived.
+func (l *loadGenerator) send(req *http.Request, rec *record) *http.Response {
 	resp, err := l.client.Do(req)
 	if err != nil {
-		rec.outcome, rec.detail = broken, err.Error()
+		rec.outcome, rec.detail = outcomeBroken, err.Error()
 		if strings.Contains(err.Error(), "connect: connection refused") {
-			rec.outcome = unsent
+			rec.outcome = outcomeUnsent
 		}
 		return nil
 	}
@@ -227,16 +229,16 @@
 	return resp
 }
 
-// typed reads the typed error of a response.
-func (rec *record) typed(body []byte) {
+// readTypedError sets the outcome from the typed error in a response body or error event.
+func (rec *record) readTypedError(body []byte) {
 	var b struct {
 		Error struct {
 			Type, Code, Message string
 			RequestID           string `json:"request_id"`
 		}
 	}
-	if err := json.Unmarshal(body, &b); err != nil || b.Error.Type != notRun && b.Error.Type != unknown {
-		rec.outcome, rec.detail = broken, "no typed error: "+string(body)
+	if err := json.Unmarshal(body, &b); err != nil || b.Error.Type != outcomeNotRun && b.Error.Type != outcomeUnknown {
+		rec.outcome, rec.detail = outcomeBroken, "no typed error: "+string(body)
 		return
 	}
 	rec.outcome, rec.reason, rec.detail = b.Error.Type, b.Error.Code, b.Error.Message
@@ -245,26 +247,26 @@
 	}
 }
 
-// readEvents reads a stream. Only [DONE] after a finish reason makes it complete.
+// readEvents reads a stream of events. The stream is complete only if [DONE] follows a finish reason.
 func (rec *record) readEvents(r io.Reader) (text, finish string) {
-	rec.outcome = broken
+	rec.outcome = outcomeBroken
 	s := bufio.NewScanner(r)
-	failed := false
+	errorEvent := false
 	for s.Scan() {
 		if s.Text() == "event: error" {
-			failed = true
+			errorEvent = true
 			continue
 		}
 		data, ok := bytes.CutPrefix(s.Bytes(), []byte("data: "))
 		switch {
 		case !ok:
 			continue
-		case failed:
-			rec.typed(data)
+		case errorEvent:
+			rec.readTypedError(data)
 			return "", ""
 		case string(data) == "[DONE]":
 			if finish != "" {
-				rec.outcome = complete
+				rec.outcome = outcomeComplete
 			}
 			return text, finish
 		}
@@ -287,42 +289,44 @@
 	return "", ""
 }
 
-func (l *callers) read(r *rand.Rand, caller int) {
-	token := l.token("read", caller)
-	rec := l.plainOnce(r, caller, kindRead, http.MethodGet, "/schedules/"+token, token, "", nil)
-	l.add(rec)
+func (l *loadGenerator) sendRead(r *rand.Rand, caller int) {
+	token := l.newToken("read", caller)
+	rec := l.doPlain(r, caller, kindRead, http.MethodGet, "/schedules/"+token, token, "", nil)
+	l.addRecord(rec)
 }
 
-func (l *callers) plain(r *rand.Rand, caller int, kind, method, token, key string) {
-	l.add(l.plainOnce(r, caller, kind, method, "/alerts/"+token, token, key, nil))
+func (l *loadGenerator) sendPlain(r *rand.Rand, caller int, kind, method, token, key string) {
+	l.addRecord(l.doPlain(r, caller, kind, method, "/alerts/"+token, token, key, nil))
 }
 
-// keyed acknowledges one alert and retries through another entry after anything but an answer.
-func (l *callers) keyed(r *rand.Rand, caller int) {
-	token := l.token("keyed", caller)
+// sendKeyed acknowledges one alert. It retries through another entry until it gets a complete answer,
+// and sends some completed operations again.
+func (l *loadGenerator) sendKeyed(r *rand.Rand, caller int) {
+	token := l.newToken("keyed", caller)
 	var last *testcluster.Entry
-	for range keyedTries {
-		e := l.balance(r, last)
-		rec := l.plainOnce(r, caller, kindKeyed, http.MethodPost, "/alerts/"+token, token, token, e)
-		l.add(rec)
+	for range maxKeyedAttempts {
+		e := l.pickEntry(r, last)
+		rec := l.doPlain(r, caller, kindKeyed, http.MethodPost, "/alerts/"+token, token, token, e)
+		l.addRecord(rec)
 		last = e
-		if rec.outcome == complete && r.Float64() >= repeatShare {
+		if rec.outcome == outcomeComplete && r.Float64() >= replayProbability {
 			return
 		}
 		time.Sleep(thinkTime)
 	}
 }
 
-// plainOnce sends one plain request to e, or to an entry that the balancer chooses.
-func (l *callers) plainOnce(r *rand.Rand, caller int, kind, method, path, token, key string, e *testcluster.Entry) record {
+// doPlain sends one plain request to e, or to a random ready entry if e is nil.
+func (l *loadGenerator) doPlain(r *rand.Rand, caller int, kind, method, path, token, key string, e *testcluster.Entry) record {
 	if e == nil {
-		e = l.balance(r, nil)
+		e = l.pickEntry(r, nil)
 	}
 	rec := record{kind: kind, token: token, entry: e.ID, started: time.Now()}
 	req := newRequest(e, caller, method, "/svc/"+plainService+path, "")
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
-		// Go's client may resend a keyed request without a body.
+		// Go's HTTP client may resend a request that has an Idempotency-Key unless its body cannot be
+		// read again.
 		req.Body = io.NopCloser(strings.NewReader("{}"))
 		req.ContentLength = 2
 	}
@@ -334,18 +338,19 @@
 	body, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
-		rec.outcome, rec.detail = broken, err.Error()
+		rec.outcome, rec.detail = outcomeBroken, err.Error()
 	case resp.StatusCode != http.StatusOK:
-		rec.typed(body)
+		rec.readTypedError(body)
 	default:
-		rec.outcome, rec.body = complete, string(body)
-		rec.answerID, rec.wrong = l.checkPlain(&rec, path, key, body)
+		rec.outcome, rec.body = outcomeComplete, string(body)
+		rec.answerID, rec.mismatch = l.checkPlain(&rec, path, key, body)
 	}
 	return rec
 }
 
-// checkPlain compares a plain answer with what the backend server computes for the path.
-func (l *callers) checkPlain(rec *record, path, key string, body []byte) (answerID, wrong string) {
+// checkPlain returns the request ID of a plain answer and how the answer differs from the expected
+// one.
+func (l *loadGenerator) checkPlain(rec *record, path, key string, body []byte) (answerID, mismatch string) {
 	var a backend.Answer
 	if err := json.Unmarshal(body, &a); err != nil {
 		return "", err.Error()
@@ -358,7 +363,7 @@
 		errs = append(errs, fmt.Errorf("answer of request %s", a.RequestID))
 	}
 	if rec.kind == kindRead {
-		if want := l.departures(path); want != strings.Join(a.Departures, " ") {
+		if want := l.expectedDepartures(path); want != strings.Join(a.Departures, " ") {
 			errs = append(errs, fmt.Errorf("departures %v, want %s", a.Departures, want))
 		}
 	} else if a.Executions != 1 {
@@ -370,9 +375,9 @@
 	return a.RequestID, ""
 }
 
-// newDepartures returns a function that computes, without a process, the departures with which
-// every plain backend server answers a path.
-func newDepartures(ctx context.Context) func(path string) string {
+// newExpectedDepartures returns a function that computes the departures that every plain backend
+// server returns for a path. It uses a backend in the same process.
+func newExpectedDepartures(ctx context.Context) func(path string) string {
 	reference := backend.New(backend.Config{ServiceTime: -1, JournalLimit: 1})
 	return func(path string) string {
 		resp, err := reference.Do(ctx, &external.PlainRequest{Method: http.MethodGet, Path: path})
