--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -36,13 +36,14 @@
 	Grace          time.Duration `mapstructure:"grace"`
 }
 
-// defaultInstances is the maximum number of instances that one deployment is designed for.
+// defaultInstances is the default of --instances: the largest number of instances that one deployment is
+// designed for.
 const defaultInstances = 340
 
-// RetrySlackPerInstance returns the part of the retry slack that this instance may use. Instances do
-// not know how many others run, so the slack is divided by the maximum number of instances: if each
-// of 300 instances sent one retry out of the slack, together they would exceed the slack of 102 of
-// one of the known deployments.
+// RetrySlackPerInstance returns the number of retries per window that this instance may send in addition
+// to its share; it may be below 1. Instances do not know how many others run, so the slack is divided by
+// their maximum number. One retry per instance would be too many: in one of the known deployments, 300
+// instances share a slack of 102.
 func (s *Gateway) RetrySlackPerInstance() float64 { return s.RetrySlack / float64(s.Instances) }
 
 // AddGateway adds the flags of a gateway.
@@ -52,8 +53,8 @@
 	f.String("listen", "127.0.0.1:8080", "IP address and port for callers")
 	f.String("ready-listen", "127.0.0.1:8081", "IP address and port of the readiness check")
 	f.String("metrics-listen", "", "IP address and port of the metrics; empty for none")
-	f.String("adapter", "adapter.platform", "module that converts between the protocols of the installation and quetzallug")
-	f.String("adapter-address", "127.0.0.1:7000", "IP address and port of the installation's store")
+	f.String("adapter", "adapter.platform", "module that converts between the protocols of the platform and quetzallug")
+	f.String("adapter-address", "127.0.0.1:7000", "IP address and port of the platform's store")
 	f.Float64("retry-share", 0.1, "maximum number of retries as a fraction of the requests for the same service")
 	f.Float64("retry-slack", 0, "number of retries in a window that all instances together may send in addition to retry-share")
 	f.Int("instances", defaultInstances, "maximum number of instances that share retry-slack")
@@ -62,7 +63,7 @@
 	f.Duration("drain-bound", 2*time.Second, "maximum time until a leaving backend server stops getting requests")
 	f.Duration("lease-ttl", 3500*time.Millisecond, "time to live of the lease for orders to engines; with 0s this instance sends no orders")
 	f.Duration("order-guard", 3*time.Second, "minimum time between the last order of one lease holder and the first order of the next")
-	f.Int("max-files", 1024, "maximum number of open file descriptors; connections of callers use at most 60 % of them")
+	f.Int("max-files", 1024, "number of file descriptors that the process may open (its ulimit -n); connections of callers use at most 60 % of them")
 	f.Int("memory", 96, "soft limit of the Go runtime's memory in MiB")
 	f.String("log-level", "info", "minimum level to log: debug, info, warning or error")
 	f.String("log-format", logging.FormatJSON, "format of log lines: text or json")
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -18,8 +18,8 @@
 	require.Equal(t, "8s", s.Values()["grace"])
 	require.Zero(t, s.RetrySlackPerInstance())
 
-	// Many instances must not exceed the common slack together, as 300 instances with one retry each
-	// exceeded a slack of 102.
+	// All instances together must not exceed the slack. With one retry each, 300 instances would exceed a
+	// slack of 102.
 	require.NoError(t, cmd.Flags().Parse([]string{"--retry-slack", "102"}))
 	s, err = ReadGateway(cmd)
 	require.NoError(t, err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,9 +28,9 @@
 	BackendPlain  = "plain"
 )
 
-// minLeaseTTL is the exclusive lower limit of the lease TTL: the safety margin must be less than a
+// leaseTTLLowerBound is the exclusive lower limit of the lease TTL: the safety margin must be less than a
 // third of the TTL.
-const minLeaseTTL = 3 * lease.DefaultSafetyMargin
+const leaseTTLLowerBound = 3 * lease.DefaultSafetyMargin
 
 // Common holds the settings that entries and sidecars share.
 type Common struct {
@@ -195,8 +195,8 @@
 		checkMinimum("once-shards", s.OnceShards, 1), checkPositive("once-retention", s.OnceRetention),
 		checkMinimum("max-pools", s.MaxPools, 0),
 	)
-	if s.LeaseTTL <= minLeaseTTL {
-		errs = append(errs, fmt.Errorf("setting lease-ttl: found %s, must be above %s", s.LeaseTTL, minLeaseTTL))
+	if s.LeaseTTL <= leaseTTLLowerBound {
+		errs = append(errs, fmt.Errorf("setting lease-ttl: found %s, must be above %s", s.LeaseTTL, leaseTTLLowerBound))
 	}
 	if s.RetryShare < 0 || s.RetryShare > 1 {
 		errs = append(errs, fmt.Errorf("setting retry-share: found %g, must be between 0 and 1", s.RetryShare))
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -13,17 +13,17 @@
 
 // Gateway holds the instruments of a gateway.
 type Gateway struct {
-	requests   metric.Int64Counter
-	duration   metric.Float64Histogram
-	firstEvent metric.Float64Histogram
-	eventGap   metric.Float64Histogram
-	attempts   metric.Int64Counter
-	refusals   metric.Int64Counter
-	prompt     metric.Float64Counter
-	orders     metric.Int64Counter
-	storeCalls metric.Int64Counter
-	unread     metric.Int64Counter
-	dropped    metric.Int64Counter
+	requests     metric.Int64Counter
+	duration     metric.Float64Histogram
+	firstEvent   metric.Float64Histogram
+	eventGap     metric.Float64Histogram
+	attempts     metric.Int64Counter
+	refusals     metric.Int64Counter
+	promptTokens metric.Float64Counter
+	orders       metric.Int64Counter
+	storeCalls   metric.Int64Counter
+	unreadConns  metric.Int64Counter
+	droppedConns metric.Int64Counter
 
 	// optionCache holds the options of each combination of labels, by labelKey. There are few
 	// combinations, because no label has a value per request or caller.
@@ -36,17 +36,17 @@
 func NewGateway(m *Metrics) (*Gateway, error) {
 	b := builder{meter: m.meter}
 	g := &Gateway{
-		requests:   b.counter("quetzallug_gateway_requests", "Requests of callers, by service, kind and outcome."),
-		duration:   b.histogram("quetzallug_gateway_request_duration", "Time from a request to the end of its answer."),
-		firstEvent: b.histogram("quetzallug_gateway_first_event", "Time from a request to the first part of its answer."),
-		eventGap:   b.histogram("quetzallug_gateway_pause", "Time between two events of a stream."),
-		attempts:   b.counter("quetzallug_gateway_attempts", "Requests sent to backend servers, by service and outcome."),
-		refusals:   b.counter("quetzallug_gateway_refusals", "Requests refused before they ran, by service and reason."),
-		prompt:     b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and where they came from: kept, read or moved, as the choice of the backend server expected it."),
-		orders:     b.counter("quetzallug_gateway_role_orders", "Orders to change an engine's role, by service and by role and outcome."),
-		storeCalls: b.counter("quetzallug_gateway_store_calls", "Calls to the store, by operation and result."),
-		dropped:    b.counter("quetzallug_gateway_dropped_connections", "Connections of callers closed because there were too many: idle ones, or new ones if none was idle."),
-		unread:     b.counter("quetzallug_gateway_unread_requests", "Connections of callers that ended before their request's header could be read."),
+		requests:     b.counter("quetzallug_gateway_requests", "Requests of callers, by service, kind and outcome."),
+		duration:     b.durationHistogram("quetzallug_gateway_request_duration", "Time from a request to the end of its answer."),
+		firstEvent:   b.durationHistogram("quetzallug_gateway_first_event", "Time from a request to the first part of its answer."),
+		eventGap:     b.durationHistogram("quetzallug_gateway_pause", "Time between two events of a stream."),
+		attempts:     b.counter("quetzallug_gateway_attempts", "Requests sent to backend servers, by service and outcome."),
+		refusals:     b.counter("quetzallug_gateway_refusals", "Requests refused before they ran, by service and reason."),
+		promptTokens: b.floatCounter("quetzallug_gateway_prompt_tokens", "Prompt tokens by service and where they came from: kept, read or moved, as the choice of the backend server expected it."),
+		orders:       b.counter("quetzallug_gateway_role_orders", "Orders to change an engine's role, by service and by role and outcome."),
+		storeCalls:   b.counter("quetzallug_gateway_store_calls", "Calls to the store, by operation and result."),
+		droppedConns: b.counter("quetzallug_gateway_dropped_connections", "Connections of callers closed because there were too many: idle ones, or new ones if none was idle."),
+		unreadConns:  b.counter("quetzallug_gateway_unread_requests", "Connections of callers that ended before their request's header could be read."),
 	}
 	return g, b.err
 }
@@ -147,14 +147,15 @@
 	g.eventGap.Record(context.Background(), d.Seconds(), g.optionsOf("service", service).record...)
 }
 
-// Prompt implements gateway.Metrics.
+// Prompt implements gateway.Metrics. The values kept, read and moved of the label source stand for the
+// cached, prefilled and transferred tokens of gateway.PromptTokens.
 func (g *Gateway) Prompt(service string, p gateway.PromptTokens) {
 	for _, part := range [...]struct {
 		source string
 		tokens float64
 	}{{"kept", p.Cached}, {"read", p.Prefilled}, {"moved", p.Transferred}} {
 		if part.tokens > 0 {
-			g.prompt.Add(context.Background(), part.tokens, g.optionsOf("service", service, "source", part.source).add...)
+			g.promptTokens.Add(context.Background(), part.tokens, g.optionsOf("service", service, "source", part.source).add...)
 		}
 	}
 }
@@ -175,11 +176,11 @@
 	if idle {
 		state = "idle"
 	}
-	g.dropped.Add(context.Background(), 1, g.optionsOf("state", state).add...)
+	g.droppedConns.Add(context.Background(), 1, g.optionsOf("state", state).add...)
 }
 
 // UnreadRequest counts a connection that ended before a valid request header was read.
-func (g *Gateway) UnreadRequest() { g.unread.Add(context.Background(), 1) }
+func (g *Gateway) UnreadRequest() { g.unreadConns.Add(context.Background(), 1) }
 
 // FirstEvent implements gateway.Metrics.
 func (g *Gateway) FirstEvent(service, kind string, d time.Duration) {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -42,7 +42,7 @@
 	// requestOptions caches the options of each service and kind of request, by requestKey: building
 	// them takes four allocations, and they are needed for each token.
 	requestOptions sync.Map
-	// attemptOptions caches the options of each outcome of an attempt, by attemptKey.
+	// attemptOptions caches the options of each outcome and reason of an attempt, by attemptKey.
 	attemptOptions sync.Map
 }
 
@@ -61,8 +61,8 @@
 
 var _ entry.Metrics = (*Metrics)(nil)
 
-// New creates the metrics of a process, which include those of the Go runtime and of the operating
-// system's process.
+// New creates the metrics of a process, which include the Go runtime's metrics and the operating system's
+// metrics of the process.
 func New() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -79,9 +79,9 @@
 	b := builder{meter: m.meter}
 	m.requests = b.counter("quetzallug_requests", "Requests by service, kind, outcome and reason.")
 	m.onTime = b.counter("quetzallug_goodput", "Requests answered whole within their deadline.")
-	m.duration = b.histogram("quetzallug_request_duration", "Time from a request to the end of its answer.")
-	m.firstToken = b.histogram("quetzallug_first_token", "Time from a request to the first part of its answer.")
-	m.betweenTokens = b.histogram("quetzallug_between_tokens", "Time between tokens of an answer.")
+	m.duration = b.durationHistogram("quetzallug_request_duration", "Time from a request to the end of its answer.")
+	m.firstToken = b.durationHistogram("quetzallug_first_token", "Time from a request to the first part of its answer.")
+	m.betweenTokens = b.durationHistogram("quetzallug_between_tokens", "Time between tokens of an answer.")
 	m.retries = b.counter("quetzallug_retries", "Attempts after the first, by cause.")
 	m.attempts = b.counter("quetzallug_attempts", "Attempts at a sidecar by outcome and reason.")
 	m.inFlight = b.gauge("quetzallug_in_flight", "Attempts in flight at a sidecar.")
@@ -126,7 +126,8 @@
 	return g
 }
 
-func (b *builder) histogram(name, help string) metric.Float64Histogram {
+// durationHistogram creates a histogram of durations in seconds.
+func (b *builder) durationHistogram(name, help string) metric.Float64Histogram {
 	h, err := b.meter.Float64Histogram(name, metric.WithDescription(help), metric.WithUnit("s"),
 		metric.WithExplicitBucketBoundaries(latencyBounds...))
 	b.setError(err)
