--- a/internal/app/callers.go
+++ b/internal/app/callers.go
@@ -13,15 +13,17 @@
 // connTracker limits the number of caller connections and reports connections that end before a request
 // was read.
 //
-// Callers that open a new connection for each request leave their old ones idle. When a process runs out
-// of file descriptors, it accepts no connections for up to a second, and requests stay unread until their
-// callers have disconnected. connTracker therefore closes the connection that has been idle longest when
-// a new one exceeds the limit. A request that arrives on it during the close was not read and may be sent
-// again. If no connection is idle, the new one is closed.
+// When a new connection exceeds the limit, connTracker closes the connection that has been idle longest,
+// or the new one if none is idle. Without a limit, callers that open a new connection for each request and
+// leave the old ones idle would use up the process's file descriptors. The process would then accept no
+// connections for up to a second, and read requests only after their callers have disconnected.
+//
+// A caller may safely resend a request that it sent while its idle connection was being closed, because
+// the request was not read.
 type connTracker struct {
 	limit int
-	// onUnread is called for a connection that ended before the header of its request was read.
-	onUnread func(from net.Addr)
+	// onHeaderIncomplete is called for a connection that ended before the header of its request was read.
+	onHeaderIncomplete func(from net.Addr)
 	// onDropped is called for a connection that is closed because of the limit. idle is false if it is
 	// the new one.
 	onDropped func(idle bool)
@@ -41,13 +43,15 @@
 }
 
 func newConnTracker(limit int) *connTracker {
-	return &connTracker{limit: limit, onUnread: func(net.Addr) {}, onDropped: func(bool) {}, conns: make(map[net.Conn]*trackedConn)}
+	return &connTracker{limit: limit, onHeaderIncomplete: func(net.Addr) {}, onDropped: func(bool) {}, conns: make(map[net.Conn]*trackedConn)}
 }
 
 // trackedConnKey is the key of the *trackedConn in the context of a request.
 type trackedConnKey struct{}
 
-// attach applies the limit to the connections of srv, whose handler must already be set.
+// attach installs the hooks of t in srv, whose handler must already be set. The hooks apply the limit,
+// report connections that end before a request was read, and add the caller's connection to the context
+// of each request.
 func (t *connTracker) attach(srv *http.Server) {
 	next := srv.Handler
 	srv.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
@@ -97,7 +101,7 @@
 		t.idle.Remove(c.idleElement)
 		c.idleElement = nil
 	}
-	unread := false
+	headerIncomplete := false
 	switch state {
 	case http.StateActive:
 		c.readingHeader = true
@@ -105,11 +109,11 @@
 		c.idleElement = t.idle.PushBack(c)
 	case http.StateClosed, http.StateHijacked:
 		delete(t.conns, conn)
-		unread = c.readingHeader
+		headerIncomplete = c.readingHeader
 	case http.StateNew:
 	}
 	t.mu.Unlock()
-	if unread {
-		t.onUnread(conn.RemoteAddr())
+	if headerIncomplete {
+		t.onHeaderIncomplete(conn.RemoteAddr())
 	}
 }
--- a/internal/app/common.go
+++ b/internal/app/common.go
@@ -46,8 +46,8 @@
 	incarnation string
 }
 
-// newIncarnation returns an identifier that orders by time, so that the latest start of an instance
-// replaces earlier ones.
+// newIncarnation returns an ID that sorts by creation time, so that the latest run of an instance has the
+// highest one and replaces earlier runs.
 func newIncarnation() (string, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -91,22 +91,22 @@
 }
 
 // observeTraffic adds the metrics quetzallug_NAME_bytes_in and quetzallug_NAME_bytes_out, which read a
-// traffic counter.
-func observeTraffic(m *telemetry.Metrics, name, what string, t *traffic.Counter) error {
+// traffic counter. The help texts of the metrics begin with helpSubject.
+func observeTraffic(m *telemetry.Metrics, name, helpSubject string, t *traffic.Counter) error {
 	return errors.Join(
-		m.ObserveCounter("quetzallug_"+name+"_bytes_in", what+" bytes received.", t.In.Load),
-		m.ObserveCounter("quetzallug_"+name+"_bytes_out", what+" bytes sent.", t.Out.Load))
+		m.ObserveCounter("quetzallug_"+name+"_bytes_in", helpSubject+" bytes received.", t.In.Load),
+		m.ObserveCounter("quetzallug_"+name+"_bytes_out", helpSubject+" bytes sent.", t.Out.Load))
 }
 
 // countTraffic adds metrics for the traffic of an adapter, if the adapter can count it.
-func countTraffic(m *telemetry.Metrics, adapter any, name, what string) error {
+func countTraffic(m *telemetry.Metrics, adapter any, name, helpSubject string) error {
 	c, ok := adapter.(interface{ CountTraffic(*traffic.Counter) })
 	if !ok {
 		return nil
 	}
 	t := &traffic.Counter{}
 	c.CountTraffic(t)
-	return observeTraffic(m, name, what, t)
+	return observeTraffic(m, name, helpSubject, t)
 }
 
 func newKV(lc fx.Lifecycle, c *settings.Common, m *telemetry.Metrics, callsPerSecond float64) (external.KV, error) {
@@ -120,8 +120,9 @@
 	return kvbudget.New(kv, callsPerSecond, m.KVCall), nil
 }
 
-// controlClients holds the clients for the traffic between the cluster's processes other than responses to
-// callers, and the counter of that traffic.
+// controlClients holds the clients for control traffic, and its counter. Control traffic is the traffic
+// between the cluster's processes except for forwarded requests, transfers of KV caches between sidecars,
+// and the responses to both.
 type controlClients struct {
 	clients *rpc.Clients
 	traffic *traffic.Counter
@@ -136,7 +137,7 @@
 }
 
 // newClients returns clients for the cluster's other processes, which are closed when the application
-// stops.
+// stops. Their traffic is counted in t; nil means that it isn't counted.
 func newClients(lc fx.Lifecycle, c *settings.Common, t *traffic.Counter, log logrus.FieldLogger) (*rpc.Clients, error) {
 	tlsConfig, err := c.TLS().Load()
 	if err != nil {
@@ -165,7 +166,7 @@
 		Dial: func(in external.Instance) dissemination.Fetcher {
 			return &entry.DocumentFetcher{Clients: ctl.clients, Cluster: c.Cluster, Address: in.Address}
 		},
-		Log: func(err error) { log.WithError(err).Debug("cannot fetch documents from a source") },
+		Log: func(err error) { log.WithError(err).Debug("document source failed or returned an invalid record") },
 	})
 	runInBackground(lc, agent.Run)
 	return agent
@@ -177,10 +178,10 @@
 		logged := map[string]uint64{}
 		for {
 			changed := store.Changed()
-			for name, f := range store.Snapshot() {
-				if f.Revision > logged[name] {
-					logged[name] = f.Revision
-					log.WithFields(logrus.Fields{"service": name, "revision": f.Revision, "deleted": f.Deleted}).
+			for name, doc := range store.Snapshot() {
+				if doc.Revision > logged[name] {
+					logged[name] = doc.Revision
+					log.WithFields(logrus.Fields{"service": name, "revision": doc.Revision, "deleted": doc.Deleted}).
 						Info("document in force")
 				}
 			}
@@ -194,9 +195,9 @@
 }
 
 func newMembershipView(c *settings.Common) (*membership.View, error) {
-	set := membership.DefaultSettings()
-	set.PollInterval = c.InstancesPoll
-	return membership.NewView(set, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	cfg := membership.DefaultSettings()
+	cfg.PollInterval = c.InstancesPoll
+	return membership.NewView(cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
 // forwardInstances passes each new version of the membership view to the agent.
@@ -222,7 +223,8 @@
 // instancesCheckInterval is the time between checks for a new version of the membership view.
 const instancesCheckInterval = 200 * time.Millisecond
 
-// usableInstances returns the members of a membership view that are not ejected.
+// usableInstances returns the members of a membership view that are not ejected. Members that the view
+// regards as leaving get the state leaving.
 func usableInstances(s *membership.Snapshot) []external.Instance {
 	var instances []external.Instance
 	for _, m := range s.Members {
@@ -238,10 +240,10 @@
 	return instances
 }
 
-// serve serves srv on address while the application runs. When the application stops, beforeStop is
-// called while requests are still accepted; then requests in progress may finish until the stop timeout
-// ends.
-func serve(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, address string, tlsConfig *tls.Config, wrap func(net.Listener) net.Listener, beforeStop func(context.Context)) {
+// serveUntilStopTimeout serves srv on address while the application runs. When the application stops,
+// beforeStop is called while requests are still accepted; then requests in progress may finish until the
+// stop timeout ends. wrap wraps the listener, for example to count its traffic.
+func serveUntilStopTimeout(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, address string, tlsConfig *tls.Config, wrap func(net.Listener) net.Listener, beforeStop func(context.Context)) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
 			var lcfg net.ListenConfig
@@ -252,7 +254,7 @@
 			log.WithField("address", l.Addr().String()).Info("listening")
 			go func() {
 				if err := rpc.Serve(srv, wrap(l), tlsConfig); !errors.Is(err, http.ErrServerClosed) {
-					log.WithError(err).Error("server stopped")
+					log.WithError(err).Error("cannot serve connections; stopping")
 					_ = sd.Shutdown(fx.ExitCode(1))
 				}
 			}()
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -41,10 +41,11 @@
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
 			telemetry.New, newControlClients, newDocumentStore, newAgent, newMembershipView,
-			entry.NewAdmission, entryIdentity, entryConfig, entryKV, newInstanceList, newFleet, newCommitter, newClaimer,
+			entry.NewAdmission, entryIdentity, entryConfig, entryKV, newInstanceList, newFleet, newCommitter, newClaimRouter,
 			newLeaseManager, newPlanning, newEntry, newPeer, newDecisionLog,
 		),
-		// Stop hooks run in reverse order: at a stop, the entry releases its pools first.
+		// Stop hooks run in reverse order, so planning stops and the pool leases are released before
+		// requests are drained.
 		fx.Invoke(logDocumentChanges, forwardInstances, runMembership, serveEntry, runPlanning),
 	)
 }
@@ -79,16 +80,16 @@
 }
 
 func newCommitter(lc fx.Lifecycle, s *settings.Entry, kv external.KV, log logrus.FieldLogger) (*once.Committer, error) {
-	set := once.DefaultSettings()
-	set.Shards, set.Retention = s.OnceShards, s.OnceRetention
-	c, err := once.NewCommitter(kv, set, log)
+	cfg := once.DefaultSettings()
+	cfg.Shards, cfg.Retention = s.OnceShards, s.OnceRetention
+	c, err := once.NewCommitter(kv, cfg, log)
 	if err == nil {
 		lc.Append(fx.StopHook(c.Close))
 	}
 	return c, err
 }
 
-func newClaimer(cfg entry.Config, view *membership.View, c *once.Committer, ctl *controlClients) *once.Router {
+func newClaimRouter(cfg entry.Config, view *membership.View, c *once.Committer, ctl *controlClients) *once.Router {
 	entries := func() []external.Instance { return view.Snapshot().Entries() }
 	return once.NewRouter(cfg.Instance, entries, &entry.ClaimForwarder{Clients: ctl.clients, Cluster: cfg.Cluster}, c)
 }
@@ -106,13 +107,13 @@
 	})
 }
 
-// poolShare returns the number of pools that one entry may hold. It is twice the mean, so that every
-// pool has a holder while up to half of the listed entries are down. Without this limit, the first entries
-// to poll after a restart of all entries would acquire max-pools each, and the probes of eight pools of
-// 32 engines need more than the 4 KB/s that an entry may use for control traffic.
+// poolShare returns the number of pools that one entry may hold: twice the mean number per entry, rounded
+// up, so that every pool has a holder while up to half of the listed entries are down. The limit matters
+// when all entries restart together. Without it, the first ones to poll would acquire max-pools each, and
+// the probes of eight pools of 32 engines exceed the 4 KB/s of control traffic that an entry may use.
 //
-// An entry whose instance list is still empty acquires no pools: it knows neither its share nor the
-// sidecars.
+// poolShare is 0 while the instance list is empty, because the entry can't compute its share and knows
+// no workers to send orders to.
 func poolShare(pools, entries int) int {
 	if entries == 0 {
 		return 0
@@ -143,7 +144,8 @@
 }
 
 func newEntry(lc fx.Lifecycle, s *settings.Entry, cfg entry.Config, store *dissemination.Store, agent *dissemination.Agent, f *entry.Fleet, admit *entry.Admission, claims *once.Router, m *telemetry.Metrics, d *entry.DecisionLog, log logrus.FieldLogger) (*entry.Entry, error) {
-	// Responses use separate connections, so that control traffic can be counted.
+	// Forwarded requests use their own clients, so that the counter of control traffic doesn't include
+	// them.
 	clients, err := newClients(lc, &s.Common, nil, log)
 	if err != nil {
 		return nil, err
@@ -186,13 +188,13 @@
 	peerServer := rpc.NewServer(peerMux)
 	countControl := func(l net.Listener) net.Listener { return traffic.Listener(l, ctl.traffic) }
 	// Stop hooks run in reverse order: callers are drained before the peer listener closes.
-	serve(lc, sd, log, peerServer, s.PeerListen, tlsConfig, countControl, func(context.Context) {})
+	serveUntilStopTimeout(lc, sd, log, peerServer, s.PeerListen, tlsConfig, countControl, func(context.Context) {})
 
 	callerMux := http.NewServeMux()
 	h.register(callerMux, m)
 	callerMux.Handle("/", e.Handler())
 	srv := rpc.NewServer(h.closeWhenStopping(callerMux))
-	serve(lc, sd, log, srv, s.Listen, nil, plainListener, func(ctx context.Context) {
+	serveUntilStopTimeout(lc, sd, log, srv, s.Listen, nil, plainListener, func(ctx context.Context) {
 		h.stopping.Store(true)
 		log.WithField("for", s.LameDuck.String()).Info("stopping: the readiness check fails, requests are still served")
 		pause.For(ctx, s.LameDuck)
@@ -200,12 +202,12 @@
 	return nil
 }
 
-// maxReportWait limits how long an entry waits for reports before it is ready. A service whose workers
-// are all down must not prevent new entries from serving the other services.
+// maxReportWait limits how long an entry waits for a report of a worker of each service before it is
+// ready. A service whose workers are all down must not prevent new entries from serving the other services.
 const maxReportWait = 5 * time.Second
 
-// entryReadiness returns the readiness check of an entry. An entry is ready once it has documents and
-// reports of workers.
+// entryReadiness returns the readiness check of an entry. An entry is ready once it has a document and
+// either a report of a worker of each service, or maxReportWait has passed since started.
 func entryReadiness(store *dissemination.Store, f *entry.Fleet, started time.Time) func() (bool, string) {
 	var reported atomic.Bool
 	return func() (bool, string) {
@@ -223,8 +225,8 @@
 }
 
 func hasDocuments(store *dissemination.Store) bool {
-	for _, f := range store.Snapshot() {
-		if f.Parsed != nil {
+	for _, doc := range store.Snapshot() {
+		if doc.Parsed != nil {
 			return true
 		}
 	}
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -24,23 +24,23 @@
 )
 
 const (
-	// gcPercent is the garbage collection target. The heap of a gateway is small and its garbage
-	// short-lived, so that frequent collections cost little processor time and save memory.
+	// gcPercent is the Go default. It is set so that GOGC in the environment has no effect. The heap of a
+	// gateway is small and its garbage short-lived, so collections at this rate cost little processor
+	// time and save memory.
 	gcPercent = 100
 	// sweepInterval is the interval at which upstream connections that were idle too long are closed.
 	sweepInterval = time.Second
 )
 
-// Adapter is the interface of the modules that connect a gateway to an installation.
+// Adapter is the interface of the modules that connect a gateway to the platform.
 type Adapter interface {
 	gateway.Source
 	gateway.Codec
 	gateway.Orders
 }
 
-// Gateway returns the application that runs a gateway.
-//
-// droppedLogLines returns the number of log lines dropped so far.
+// Gateway returns the application that runs a gateway. The metrics read the number of dropped log lines
+// from droppedLogLines.
 func Gateway(s *settings.Gateway, log *logrus.Logger, droppedLogLines func() int64) *fx.App {
 	debug.SetMemoryLimit(int64(s.MemoryMiB) << 20)
 	debug.SetGCPercent(gcPercent)
@@ -63,8 +63,9 @@
 	)
 }
 
-// watchWaitFraction is the part of the maximum time until a change takes effect for which a watch waits.
-// The rest is for the next watch, which returns the changes that the first one missed.
+// watchWaitFraction is the duration of a watch as a fraction of the maximum delay of a change, which is
+// the shorter of config-bound and drain-bound. The rest of the delay is for the next watch, which returns
+// the changes that the first one missed.
 const watchWaitFraction = 0.85
 
 func newAdapter(lc fx.Lifecycle, s *settings.Gateway, m *telemetry.Gateway) (Adapter, error) {
@@ -129,7 +130,8 @@
 		return
 	}
 	runInBackground(lc, leases.Run)
-	// A previous holder that did not notice the loss of its lease may send orders until the TTL expires.
+	// The guard includes the TTL of the lease, because a previous holder that has not noticed the loss of
+	// its lease may send orders until then.
 	planner := gateway.NewRolePlanner(s.Instance, s.LeaseTTL+s.OrderGuard, a, leases, t, r, p, m, log)
 	runInBackground(lc, planner.Run)
 }
@@ -152,8 +154,8 @@
 	}
 }
 
-// leasePollInterval is the mean time between two attempts of an instance to acquire a free lease. Each
-// attempt costs a call to the store, and role changes are rare.
+// leasePollInterval is the mean time between two polls of an instance that doesn't hold the lease. A poll
+// costs a call to the store, and role changes are rare enough for a slow takeover.
 const leasePollInterval = 8 * time.Second
 
 // ignoreHangup logs and ignores SIGHUP. The settings are flags and environment variables, which a
--- a/internal/app/gatewayhttp.go
+++ b/internal/app/gatewayhttp.go
@@ -22,8 +22,8 @@
 const (
 	// headerTimeout limits the time in which a caller must send the header of a request.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than callers in installations keep idle connections, so that a caller does
-	// not send a request on a connection that the gateway is closing.
+	// idleTimeout is longer than the time for which callers keep idle connections, so that the caller
+	// closes first and doesn't send a request on a connection that the gateway is closing.
 	idleTimeout = 90 * time.Second
 	// maxHeaderBytes limits the size of the header of a request.
 	maxHeaderBytes = 64 << 10
@@ -32,7 +32,7 @@
 	callerConnFraction = 0.6
 )
 
-// newGatewayHealth returns the readiness check of a gateway.
+// newGatewayHealth returns the health endpoints of a gateway.
 func newGatewayHealth(g *gateway.Gateway) *health { return &health{ready: g.Ready} }
 
 // failReadiness makes the readiness check fail when the process stops. Its hook runs first, because the
@@ -51,7 +51,7 @@
 
 func serveGateway(lc fx.Lifecycle, sd fx.Shutdowner, s *settings.Gateway, h *health, g *gateway.Gateway, m *telemetry.Metrics, gm *telemetry.Gateway, status statusFunc, log logrus.FieldLogger) {
 	gin.SetMode(gin.ReleaseMode)
-	healthHandler := gin.New()
+	internalHandler := gin.New()
 	mux := http.NewServeMux()
 	h.register(mux, m)
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
@@ -60,7 +60,7 @@
 			log.WithError(err).Info("cannot write the status response")
 		}
 	})
-	healthHandler.NoRoute(func(c *gin.Context) {
+	internalHandler.NoRoute(func(c *gin.Context) {
 		c.Status(http.StatusOK)
 		mux.ServeHTTP(c.Writer, c.Request)
 	})
@@ -74,18 +74,18 @@
 	drainDeadline := func() time.Time { return h.stoppingSince.Add(time.Duration(drainFraction * float64(s.Grace))) }
 	for _, addr := range []string{s.MetricsListen, s.ReadyListen} {
 		if addr != "" {
-			serveHTTP(lc, sd, log, newServer(healthHandler, log), addr, drainDeadline, func(context.Context) {})
+			serveUntilDrainDeadline(lc, sd, log, newServer(internalHandler, log), addr, drainDeadline, func(context.Context) {})
 		}
 	}
 	srv := newServer(callerHandler, log)
 	conns := newConnTracker(int(callerConnFraction * float64(s.MaxFiles)))
-	conns.onUnread = func(from net.Addr) {
+	conns.onHeaderIncomplete = func(from net.Addr) {
 		gm.UnreadRequest()
 		log.WithField("caller", from.String()).Info("connection ended before its request could be read")
 	}
 	conns.onDropped = func(idle bool) { gm.DroppedConnection(idle) }
 	conns.attach(srv)
-	serveHTTP(lc, sd, log, srv, s.Listen, drainDeadline, func(ctx context.Context) {
+	serveUntilDrainDeadline(lc, sd, log, srv, s.Listen, drainDeadline, func(ctx context.Context) {
 		pause.For(ctx, time.Until(h.stoppingSince.Add(min(s.LameDuck, s.Grace/2))))
 	})
 }
@@ -94,23 +94,23 @@
 func newServer(h http.Handler, log logrus.FieldLogger) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: stdlog.New(&errorLog{log}, "", 0),
+		ErrorLog: stdlog.New(&serverErrorWriter{log}, "", 0),
 	}
 }
 
-// errorLog logs the errors that net/http reports, such as failures to accept a connection.
-type errorLog struct{ log logrus.FieldLogger }
+// serverErrorWriter logs the errors that net/http reports, such as failures to accept a connection.
+type serverErrorWriter struct{ log logrus.FieldLogger }
 
 // Write implements io.Writer.
-func (e *errorLog) Write(line []byte) (int, error) {
+func (e *serverErrorWriter) Write(line []byte) (int, error) {
 	e.log.WithField("error", strings.TrimSpace(string(line))).Warn("http server")
 	return len(line), nil
 }
 
-// serveHTTP serves srv on addr while the application runs. When the application stops, beforeStop is
+// serveUntilDrainDeadline serves srv on addr while the application runs. When the application stops, beforeStop is
 // called while requests are still accepted; then requests in progress may finish until drainDeadline,
 // after which they are aborted.
-func serveHTTP(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, addr string, drainDeadline func() time.Time, beforeStop func(context.Context)) {
+func serveUntilDrainDeadline(lc fx.Lifecycle, sd fx.Shutdowner, log logrus.FieldLogger, srv *http.Server, addr string, drainDeadline func() time.Time, beforeStop func(context.Context)) {
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
 			l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
@@ -120,7 +120,7 @@
 			log.WithField("address", l.Addr().String()).Info("listening")
 			go func() {
 				if err := srv.Serve(l); err != nil && err != http.ErrServerClosed {
-					log.WithError(err).Error("listener failed")
+					log.WithError(err).Error("cannot serve connections; stopping")
 					_ = sd.Shutdown(fx.ExitCode(1))
 				}
 			}()
@@ -131,7 +131,7 @@
 			drain, cancel := context.WithDeadline(ctx, drainDeadline())
 			defer cancel()
 			if err := srv.Shutdown(drain); err != nil {
-				log.WithError(err).Warn("requests aborted at the end of the grace time")
+				log.WithError(err).Warn("requests aborted at the drain deadline")
 				return srv.Close()
 			}
 			return nil
--- a/internal/app/gatewayhttp_test.go
+++ b/internal/app/gatewayhttp_test.go
@@ -68,7 +68,7 @@
 				srv := newServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }), logrus.New())
 				unread := 0
 				conns := newConnTracker(100)
-				conns.onUnread = func(net.Addr) { unread++ }
+				conns.onHeaderIncomplete = func(net.Addr) { unread++ }
 				conns.attach(srv)
 				dial, stop := serveInMemory(t, srv)
 				defer stop()
@@ -112,8 +112,9 @@
 	}
 }
 
-// Guards against a process that runs out of file descriptors because callers leave idle connections open.
-// It then accepted no connections for a second and forwarded requests whose callers had disconnected.
+// Guards against a process that runs out of file descriptors because callers leave idle connections open:
+// such a process accepts no connections for up to a second and forwards requests whose callers have
+// disconnected. When a new connection exceeds the limit, the one that has been idle longest is closed.
 // Connections with a request in progress are never closed.
 func TestIdleConnectionsYieldToNewOnes(t *testing.T) {
 	const limit = 5
--- a/internal/app/health.go
+++ b/internal/app/health.go
@@ -42,8 +42,8 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// closeWhenStopping closes a connection after the next response on it once the process is stopping, so
-// that callers reconnect through the load balancer. Idle connections stay open, because closing one would
+// Once the process is stopping, closeWhenStopping closes each connection after its next response, so that
+// callers reconnect through the load balancer. Idle connections stay open, because closing one would
 // fail a request that the caller has just sent on it.
 func (h *health) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/app/sidecar.go
+++ b/internal/app/sidecar.go
@@ -75,12 +75,12 @@
 }
 
 func newBackendClient(lc fx.Lifecycle, s *settings.Sidecar) (*backendClient, error) {
-	set := kernel.Settings{"address": s.BackendAddress}
+	cfg := kernel.Settings{"address": s.BackendAddress}
 	if s.Backend == settings.BackendPlain {
-		b, err := loadModule[external.Backend](lc, s.BackendModule, set)
+		b, err := loadModule[external.Backend](lc, s.BackendModule, cfg)
 		return &backendClient{plain: b}, err
 	}
-	e, err := loadModule[external.Engine](lc, s.BackendModule, set)
+	e, err := loadModule[external.Engine](lc, s.BackendModule, cfg)
 	return &backendClient{engine: e}, err
 }
 
@@ -124,11 +124,11 @@
 // current document, or 0 if the document doesn't contain the model.
 func modelSize(store *dissemination.Store, service string) func(external.ModelVersion) int64 {
 	return func(v external.ModelVersion) int64 {
-		f := store.Snapshot().Service(service)
-		if f == nil {
+		doc := store.Snapshot().Service(service)
+		if doc == nil {
 			return 0
 		}
-		for _, m := range f.Parsed.Models {
+		for _, m := range doc.Parsed.Models {
 			if m.Name == v.Name {
 				return int64(m.WeightsMiB) << 20
 			}
@@ -224,6 +224,6 @@
 	if err != nil {
 		return err
 	}
-	serve(lc, sd, log, rpc.NewServer(mux), s.Listen, tlsConfig, plainListener, drain)
+	serveUntilStopTimeout(lc, sd, log, rpc.NewServer(mux), s.Listen, tlsConfig, plainListener, drain)
 	return nil
 }
