--- a/internal/bench/calls.go
+++ b/internal/bench/calls.go
@@ -22,7 +22,7 @@
 	"github.com/quetzallug/quetzallug/modules/kvhttp"
 )
 
-// CallCost is the mean cost of one control call whose answer reports no change.
+// CallCost is the mean cost of one control call.
 type CallCost struct {
 	Call string
 	// Sent and Received are bytes at the caller, without TCP and IP headers.
@@ -32,9 +32,9 @@
 	Machine              string
 }
 
-// callConfig describes one call to measure. server is the address whose metrics give the CPU time
-// of the serving process; it is empty if that process is a stand-in.
-type callConfig struct {
+// measuredCall is one call to measure. server is the address whose metrics give the CPU time of the
+// serving process; it is empty if that process is a stand-in. counter counts the bytes at the caller.
+type measuredCall struct {
 	name    string
 	server  string
 	counter *traffic.Counter
@@ -53,37 +53,37 @@
 		return nil, err
 	}
 	defer func() { _ = c.Stop() }()
-	configs, err := controlCalls(ctx, c)
+	calls, err := controlCalls(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	var costs []CallCost
-	for _, config := range configs {
-		cost, err := measureCall(ctx, config, n)
+	for _, call := range calls {
+		cost, err := measureCall(ctx, call, n)
 		if err != nil {
-			return costs, fmt.Errorf("%s: %w", config.name, err)
+			return costs, fmt.Errorf("%s: %w", call.name, err)
 		}
 		costs = append(costs, cost)
 	}
 	return costs, nil
 }
 
-func measureCall(ctx context.Context, cfg callConfig, n int) (CallCost, error) {
-	cost := CallCost{Call: cfg.name, Machine: Machine()}
-	if err := cfg.call(ctx); err != nil { // opens the connection outside the measurement
+func measureCall(ctx context.Context, measured measuredCall, n int) (CallCost, error) {
+	cost := CallCost{Call: measured.name, Machine: Machine()}
+	if err := measured.call(ctx); err != nil { // opens the connection outside the measurement
 		return cost, err
 	}
-	receivedBefore, sentBefore := cfg.counter.In.Load(), cfg.counter.Out.Load()
+	receivedBefore, sentBefore := measured.counter.In.Load(), measured.counter.Out.Load()
 	clientBefore, err := ownCPU()
 	if err != nil {
 		return cost, err
 	}
-	serverBefore, err := serverCPU(ctx, cfg.server)
+	serverBefore, err := serverCPU(ctx, measured.server)
 	if err != nil {
 		return cost, err
 	}
 	for range n {
-		if err := cfg.call(ctx); err != nil {
+		if err := measured.call(ctx); err != nil {
 			return cost, err
 		}
 	}
@@ -91,16 +91,18 @@
 	if err != nil {
 		return cost, err
 	}
-	serverAfter, err := serverCPU(ctx, cfg.server)
+	serverAfter, err := serverCPU(ctx, measured.server)
 	if err != nil {
 		return cost, err
 	}
 	perCall := func(v float64) float64 { return v / float64(n) }
-	cost.Received, cost.Sent = perCall(float64(cfg.counter.In.Load()-receivedBefore)), perCall(float64(cfg.counter.Out.Load()-sentBefore))
+	cost.Received, cost.Sent = perCall(float64(measured.counter.In.Load()-receivedBefore)), perCall(float64(measured.counter.Out.Load()-sentBefore))
 	cost.ClientCPU, cost.ServerCPU = perCall((clientAfter-clientBefore)*1e6), perCall((serverAfter-serverBefore)*1e6)
 	return cost, nil
 }
 
+// serverCPU returns the CPU time in seconds that the process at address has used so far, or 0 if
+// address is empty.
 func serverCPU(ctx context.Context, address string) (float64, error) {
 	if address == "" {
 		return 0, nil
@@ -109,8 +111,10 @@
 	return v[metricCPU], err
 }
 
-// controlCalls returns the calls that entries and sidecars make periodically while idle.
-func controlCalls(ctx context.Context, c *testcluster.Cluster) ([]callConfig, error) {
+// controlCalls returns the calls to measure: those that entries and sidecars make periodically while
+// idle, and a compare-and-swap. The polls of documents and of the instance list are answered without a
+// change.
+func controlCalls(ctx context.Context, c *testcluster.Cluster) ([]measuredCall, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	counter := &traffic.Counter{}
@@ -132,7 +136,7 @@
 	}
 	var version uint64
 	have := map[string]uint64{service: 1}
-	return []callConfig{
+	return []measuredCall{
 		{"probe of a sidecar", c.Workers[0].Address, counter, func(ctx context.Context) error {
 			_, err := worker.Probe(ctx, connect.NewRequest(&v1.ProbeRequest{Cluster: testcluster.Name}))
 			return err
--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -28,7 +28,8 @@
 	burstChanges = 20
 	// settleTime lets the traffic of the start-up end before the idle fleet is measured.
 	settleTime = 10 * time.Second
-	// maxLoad bounds the load in requests/s, so that the machine's cores do not limit it.
+	// maxLoad is the highest load in requests/s, low enough that the cores of the machine are not the
+	// bottleneck.
 	maxLoad = 300
 	// loadPerSidecar is in requests/s.
 	loadPerSidecar = 10
@@ -40,17 +41,18 @@
 type CapacityConfig struct {
 	Bin, Dir string
 	Sizes    []Size
-	// Phase is the length of the idle phase, of the phase under load and of the phase after a
-	// restart, and the least length of the phase with the burst.
+	// Phase is the length of PhaseRest and PhaseLoad, and the least length of PhaseBurst.
+	// PhaseRestart lasts this long after the document is in force again; PhaseSingle ignores it.
 	Phase time.Duration
-	// Phases lists the phases to run; empty means all.
+	// Phases lists the names of the phases to run; empty means all.
 	Phases []string
 	// Singles is the number of changes in PhaseSingle.
 	Singles int
 	Log     func(format string, args ...any)
 }
 
-// Sample is one metric of a phase: its mean and maximum over the processes of a role.
+// Sample is the mean and maximum of one metric of a phase over the processes of a role and, in
+// PhaseSingle, over the changes. Some metrics have a single value per role.
 type Sample struct {
 	Size
 	Phase, Role, Metric string
@@ -116,7 +118,7 @@
 	for _, p := range []struct {
 		name string
 		run  func(context.Context) error
-	}{{PhaseRest, r.runRest}, {PhaseLoad, r.runLoad}, {PhaseSingle, r.runSingle}, {PhaseBurst, r.runBurst}, {PhaseRestart, r.runRestart}} {
+	}{{PhaseRest, r.runIdle}, {PhaseLoad, r.runLoad}, {PhaseSingle, r.runSingle}, {PhaseBurst, r.runBurst}, {PhaseRestart, r.runRestart}} {
 		if len(cfg.Phases) > 0 && !slices.Contains(cfg.Phases, p.name) {
 			continue
 		}
@@ -132,7 +134,7 @@
 	r.logs = append(r.logs, &logReader{path: log, inForceAt: map[uint64]time.Time{}})
 }
 
-func (r *capacityRun) runRest(ctx context.Context) error {
+func (r *capacityRun) runIdle(ctx context.Context) error {
 	if err := pause(ctx, settleTime); err != nil {
 		return err
 	}
@@ -158,9 +160,9 @@
 	}); err != nil {
 		return err
 	}
-	r.sample(PhaseLoad, RoleEntry, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(len(entries))})
-	r.sample(PhaseLoad, RoleSidecar, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(r.size.Sidecars)})
-	r.sample(PhaseLoad, RoleEntry, "failed requests", []float64{float64(res.Failed)})
+	r.recordSample(PhaseLoad, RoleEntry, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(len(entries))})
+	r.recordSample(PhaseLoad, RoleSidecar, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(r.size.Sidecars)})
+	r.recordSample(PhaseLoad, RoleEntry, "failed requests", []float64{float64(res.Failed)})
 	if res.Failed > 0 {
 		r.cfg.Log("%d of %d requests failed: %v", res.Failed, res.Sent, res.FirstError)
 	}
@@ -187,25 +189,25 @@
 		if err != nil {
 			return err
 		}
-		accepted := time.Now()
+		submitted := time.Now()
 		revision, err := r.applyChange(ctx, base)
 		if err != nil {
 			return err
 		}
-		delays, err := waitInForce(ctx, r.logs, accepted, revision)
+		delays, err := waitInForce(ctx, r.logs, submitted, revision)
 		if err != nil {
 			return err
 		}
 		e, s := r.splitByRole(seconds(delays))
 		entries, sidecars = append(entries, e...), append(sidecars, s...)
 	}
-	r.sample(PhaseSingle, RoleEntry, "seconds until in force", entries)
-	r.sample(PhaseSingle, RoleSidecar, "seconds until in force", sidecars)
+	r.recordSample(PhaseSingle, RoleEntry, "seconds until in force", entries)
+	r.recordSample(PhaseSingle, RoleSidecar, "seconds until in force", sidecars)
 	return nil
 }
 
-// runBurst applies burstChanges changes back to back. The reported delay is that of the last one; the
-// rates are those of a phase that starts with the burst.
+// runBurst applies burstChanges changes back to back. The delays are those of the last change. The
+// rates are means over the whole phase, which starts with the burst and lasts at least cfg.Phase.
 func (r *capacityRun) runBurst(ctx context.Context) error {
 	var delays []time.Duration
 	err := r.measure(ctx, PhaseBurst, func() error {
@@ -214,22 +216,22 @@
 			return err
 		}
 		start := time.Now()
-		var accepted time.Time
+		var submitted time.Time
 		for range burstChanges {
-			accepted = time.Now()
+			submitted = time.Now()
 			if revision, err = r.applyChange(ctx, revision); err != nil {
 				return err
 			}
 		}
-		delays, err = waitInForce(ctx, r.logs, accepted, revision)
+		delays, err = waitInForce(ctx, r.logs, submitted, revision)
 		return errors.Join(err, pause(ctx, time.Until(start.Add(r.cfg.Phase))))
 	})
 	if err != nil {
 		return err
 	}
 	e, s := r.splitByRole(seconds(delays))
-	r.sample(PhaseBurst, RoleEntry, "seconds until in force", e)
-	r.sample(PhaseBurst, RoleSidecar, "seconds until in force", s)
+	r.recordSample(PhaseBurst, RoleEntry, "seconds until in force", e)
+	r.recordSample(PhaseBurst, RoleSidecar, "seconds until in force", s)
 	return nil
 }
 
@@ -257,7 +259,7 @@
 			return err
 		}
 	}
-	r.sample(PhaseRestart, RoleKV, "seconds to start the processes", []float64{time.Since(before).Seconds()})
+	r.recordSample(PhaseRestart, RoleKV, "seconds to start the processes", []float64{time.Since(before).Seconds()})
 	delays, err := waitInForce(ctx, r.logs, before, revision)
 	if err != nil {
 		return err
@@ -266,16 +268,17 @@
 		return err
 	}
 	for name, v := range stopSampling() {
-		r.sample(PhaseRestart, RoleKV, name, []float64{v})
+		r.recordSample(PhaseRestart, RoleKV, name, []float64{v})
 	}
 	e, s := r.splitByRole(seconds(delays))
-	r.sample(PhaseRestart, RoleEntry, "seconds until in force", e)
-	r.sample(PhaseRestart, RoleSidecar, "seconds until in force", s)
+	r.recordSample(PhaseRestart, RoleEntry, "seconds until in force", e)
+	r.recordSample(PhaseRestart, RoleSidecar, "seconds until in force", s)
 	return nil
 }
 
 // sampleKVCalls reads the call counts of the key-value service until the returned function is
-// called, which returns the totals and the highest rates over a second.
+// called. That function returns, by metric name, the totals, the highest rates over a second and the
+// highest number of waiting watches.
 func sampleKVCalls(ctx context.Context, c *testcluster.Cluster) func() map[string]float64 {
 	stop, done := make(chan struct{}), make(chan struct{})
 	var calls []kv.Calls
@@ -322,14 +325,16 @@
 	return all[:r.size.Entries], all[r.size.Entries:]
 }
 
-func (r *capacityRun) sample(phase, role, metric string, all []float64) {
+// recordSample records the mean and the maximum of the values. It leaves out a metric whose maximum
+// is 0.
+func (r *capacityRun) recordSample(phase, role, metric string, values []float64) {
 	s := Sample{Size: r.size, Phase: phase, Role: role, Metric: metric, Machine: Machine()}
-	for _, v := range all {
-		s.Mean += v / float64(len(all))
+	for _, v := range values {
+		s.Mean += v / float64(len(values))
 	}
-	s.Max = slices.Max(all)
+	s.Max = slices.Max(values)
 	if s.Max == 0 {
-		return // the role does not have this metric
+		return // the role does not have this metric, or nothing was counted
 	}
 	r.samples = append(r.samples, s)
 }
--- a/internal/bench/client.go
+++ b/internal/bench/client.go
@@ -41,7 +41,8 @@
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// complete asks an entry for a streamed answer.
+// complete asks an entry for a streamed answer. n is the number of the request; it sets the seed and
+// the caller.
 func (c *client) complete(ctx context.Context, address, model string, n int) error {
 	body, err := json.Marshal(map[string]any{
 		"model": model, "prompt": prompt, "max_tokens": answerTokens, "stream": true, "seed": n,
@@ -52,7 +53,8 @@
 	return c.post(ctx, "http://"+address+"/v1/completions", n, body, []byte("data: [DONE]\n"))
 }
 
-// generate asks an engine directly for an answer to the same prompt.
+// generate asks an engine directly for an answer to the same prompt. n is used as in complete, and for
+// the request ID.
 func (c *client) generate(ctx context.Context, engine string, n int) error {
 	body, err := json.Marshal(external.GenerateRequest{
 		RequestID: "bench-" + strconv.Itoa(n), Model: model, Prompt: prompt,
@@ -64,7 +66,8 @@
 	return c.post(ctx, engine+enginewire.PathGenerate, n, body, []byte(`"finish_reason":"`))
 }
 
-// post sends a request and reads the whole answer, which must contain endMark.
+// post sends request n, on behalf of a caller chosen by n, and reads the whole answer, which must
+// contain endMark.
 func (c *client) post(ctx context.Context, url string, n int, body, endMark []byte) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -81,11 +84,11 @@
 		b, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
 		return fmt.Errorf("status %d: %s", resp.StatusCode, b)
 	}
-	return readToMark(resp.Body, endMark)
+	return readAllAndCheckMark(resp.Body, endMark)
 }
 
-// readToMark reads the whole stream and returns errTruncated if mark does not occur in it.
-func readToMark(r io.Reader, mark []byte) error {
+// readAllAndCheckMark reads the whole stream and returns errTruncated if mark does not occur in it.
+func readAllAndCheckMark(r io.Reader, mark []byte) error {
 	var window []byte
 	buf := make([]byte, 4<<10)
 	found := false
--- a/internal/bench/fit.go
+++ b/internal/bench/fit.go
@@ -16,7 +16,8 @@
 	Constant, PerEntry, PerSidecar float64
 	// Residual is the largest absolute difference between a measured mean and its fitted value.
 	Residual float64
-	Points   int
+	// Points is the number of samples fitted.
+	Points int
 }
 
 // At returns the fitted value for a size.
@@ -54,13 +55,13 @@
 	if len(group) < fitParameters {
 		return Fit{}, fmt.Errorf("%d samples for %d parameters", len(group), fitParameters)
 	}
-	coefficients, means := mat.NewDense(len(group), fitParameters, nil), mat.NewVecDense(len(group), nil)
+	design, means := mat.NewDense(len(group), fitParameters, nil), mat.NewVecDense(len(group), nil)
 	for i, s := range group {
-		coefficients.SetRow(i, []float64{1, float64(s.Entries), float64(s.Sidecars)})
+		design.SetRow(i, []float64{1, float64(s.Entries), float64(s.Sidecars)})
 		means.SetVec(i, s.Mean)
 	}
 	var solution mat.VecDense
-	if err := solution.SolveVec(coefficients, means); err != nil {
+	if err := solution.SolveVec(design, means); err != nil {
 		return Fit{}, fmt.Errorf("solve least squares: %w", err)
 	}
 	f := Fit{Constant: solution.AtVec(0), PerEntry: solution.AtVec(1), PerSidecar: solution.AtVec(2), Points: len(group)}
--- a/internal/bench/fit_test.go
+++ b/internal/bench/fit_test.go
@@ -37,6 +37,6 @@
 
 // Guards against counting an answer without its end marker as complete.
 func TestReadToMark(t *testing.T) {
-	require.NoError(t, readToMark(strings.NewReader(strings.Repeat("x", 10_000)+"[DONE]\n"), []byte("[DONE]")))
-	require.ErrorIs(t, readToMark(strings.NewReader("data: x\n"), []byte("[DONE]")), errTruncated)
+	require.NoError(t, readAllAndCheckMark(strings.NewReader(strings.Repeat("x", 10_000)+"[DONE]\n"), []byte("[DONE]")))
+	require.ErrorIs(t, readAllAndCheckMark(strings.NewReader("data: x\n"), []byte("[DONE]")), errTruncated)
 }
--- a/internal/bench/fullsize.go
+++ b/internal/bench/fullsize.go
@@ -24,7 +24,7 @@
 	"github.com/quetzallug/quetzallug/order"
 )
 
-// Target size of the design document.
+// Size of the target fleet given in the design document.
 const (
 	targetEntries     = 340
 	targetSidecars    = 640
@@ -32,14 +32,15 @@
 	targetServices    = 8
 	// realSidecars is the number of sidecars that run as processes.
 	realSidecars = 2
-	// probeSettleTime is longer than the 107 s in which an entry probes each sidecar once. Until
-	// then, each probe opens a new connection.
+	// probeSettleTime lets entries open their connections to all sidecars before the measurement.
+	// An entry takes 107 s to probe each sidecar of the target fleet once, and the first probe of
+	// each opens a connection.
 	probeSettleTime = 130 * time.Second
 	registrationTTL = time.Hour
 )
 
-// fakeFleet simulates the processes of a target-size fleet that do not run. It listens on one
-// address for each of them.
+// fakeFleet answers for those entries and sidecars of the target-size fleet that are not started as
+// processes. It listens on one address for each of them.
 type fakeFleet struct {
 	documents []*v1.Document
 	servers   []*http.Server
@@ -109,6 +110,7 @@
 	return connect.NewResponse(&v1.StatusResponse{Instance: p.id, Confirmed: true}), nil
 }
 
+// serve starts a server for h under path, on a free port, and returns its address.
 func (f *fakeFleet) serve(h http.Handler, path string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,11 +130,14 @@
 	}
 }
 
-func serviceName(i int) string    { return fmt.Sprintf("model-%d", i%targetServices) }
+// serviceName and dataCentreName return the service and the data centre of sidecar i. Consecutive
+// sidecars belong to different services; each group of targetServices sidecars is in one data centre.
+func serviceName(i int) string { return fmt.Sprintf("model-%d", i%targetServices) }
+
 func dataCentreName(i int) string { return fmt.Sprintf("dc-%d", i/targetServices%targetDataCentres) }
 
-// fakeInstances starts the simulated processes and returns their registrations.
-func (f *fakeFleet) fakeInstances(realEntries int) ([]external.Instance, error) {
+// startServers starts a server for each simulated instance and returns the instances to register.
+func (f *fakeFleet) startServers(realEntries int) ([]external.Instance, error) {
 	var registrations []external.Instance
 	for i := range targetSidecars - realSidecars {
 		id := fmt.Sprintf("worker-%d", i)
@@ -185,9 +190,9 @@
 `, service, strings.Join(dcs, ", "), service, pools.String())
 }
 
-// populate stores the documents and order records and registers the simulated processes.
+// populate stores the documents and order records, and starts and registers the simulated instances.
 func (f *fakeFleet) populate(ctx context.Context, kv external.KV, instances *instanceshttp.Client, realEntries int) error {
-	registrations, err := f.fakeInstances(realEntries)
+	registrations, err := f.startServers(realEntries)
 	if err != nil {
 		return err
 	}
@@ -219,8 +224,9 @@
 }
 
 // FullSize measures real entries and sidecars, idle and under load, with an instance list of the
-// target size. The other members of the list are listeners in this process, which answer requests
-// but make none.
+// target size. realEntries is the number of entries that run as processes. The instances that do not
+// are listeners in this process, which answer requests but make none. The returned samples carry
+// TargetSize.
 func FullSize(ctx context.Context, cfg CapacityConfig, realEntries int) (samples []Sample, err error) {
 	tc := testcluster.Config{
 		Bin: cfg.Bin, Dir: cfg.Dir, Entries: realEntries, DataCentres: []string{"dc-0", "dc-1"},
@@ -248,7 +254,8 @@
 	if err := fleet.populate(ctx, kv, instances, realEntries); err != nil {
 		return nil, err
 	}
-	// Entries take over their share of the pools when they start with the complete list.
+	// Restart the entries, because an entry keeps the pools that it holds when its share falls: started
+	// with the complete instance list, each acquires only its share of the pools.
 	for _, e := range c.Entries {
 		e.Kill()
 		if err := e.Restart(); err != nil {
@@ -295,7 +302,7 @@
 		res = l.Run(ctx)
 		return nil
 	})
-	r.sample(PhaseLoad, RoleEntry, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(len(entries))})
-	r.sample(PhaseLoad, RoleEntry, "failed requests", []float64{float64(res.Failed)})
+	r.recordSample(PhaseLoad, RoleEntry, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(len(entries))})
+	r.recordSample(PhaseLoad, RoleEntry, "failed requests", []float64{float64(res.Failed)})
 	return err
 }
--- a/internal/bench/inforce.go
+++ b/internal/bench/inforce.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	errNotInForce = errors.New("document is not in force in every process within the time limit")
+	errNotInForce = errors.New("not in force within the time limit")
 	inForceLine   = regexp.MustCompile(`^time="([^"]+)".*msg="document in force".* revision=(\d+)`)
 )
 
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -1,6 +1,6 @@
 // Package bench measures Quetzallug, run as separate processes on loopback: the latency that entry
-// and sidecar add, and the resources that each role uses at several cluster sizes. It only reports
-// measurements and fails on none of them.
+// and sidecar add, the resources that each role uses at several cluster sizes, and the cost of control
+// calls. It sets no limits on what it measures.
 package bench
 
 import (
@@ -41,8 +41,9 @@
 	EntryCPU, SidecarCPU float64
 	// Sent and Failed count the requests through entry and sidecar. A refusal counts as failed.
 	Sent, Failed int64
-	FirstError   error
-	Machine      string
+	// FirstError is the error of one failed request through entry and sidecar, nil if there are none.
+	FirstError error
+	Machine    string
 }
 
 // Added returns the latency that entry and sidecar add, as the difference of each percentile.
@@ -104,11 +105,11 @@
 		}
 	}
 	r.Sent, r.Failed, r.FirstError = proxied.Sent, proxied.Failed, proxied.FirstError
-	coresPer100Requests := func(i int) float64 {
+	coresPer100RPS := func(i int) float64 {
 		return (after[i][metricCPU] - before[i][metricCPU]) / float64(proxied.Sent) * 100
 	}
 	r.Direct, r.Proxied = quantiles(direct.Latency), quantiles(proxied.Latency)
-	r.EntryCPU, r.SidecarCPU = coresPer100Requests(0), coresPer100Requests(1)
+	r.EntryCPU, r.SidecarCPU = coresPer100RPS(0), coresPer100RPS(1)
 	return r, nil
 }
 
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -33,8 +33,9 @@
 type LoadResult struct {
 	Sent, Failed int64
 	Latency      *hdrhistogram.Histogram
-	Elapsed      time.Duration
-	// FirstError is the error of one of the failed requests, nil if there are none.
+	// Elapsed is the time from the start of the load until the last request has ended.
+	Elapsed time.Duration
+	// FirstError is the error of the failed request that ended last, nil if there are none.
 	FirstError error
 }
 
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -22,8 +22,8 @@
 // kvOperations lists the operations of the key-value service that are reported separately.
 var kvOperations = []string{"get", "list", "watch", "compare_and_swap", "delete", "grant_lease", "keep_alive", "revoke_lease"}
 
-// measure runs action and records the rates and the memory of the processes, and the call rates of
-// the key-value service, during that time.
+// measure runs action and records the rates of the processes and the call rates of the key-value
+// service during that time, and the resident memory and the waiting watches after it.
 func (r *capacityRun) measure(ctx context.Context, phase string, action func() error) error {
 	before, err := scrapeAll(ctx, r.addresses)
 	if err != nil {
@@ -56,15 +56,15 @@
 		memory[i] = after[i][metricRSS] / (1 << 20)
 	}
 	e, s := r.splitByRole(memory)
-	r.sample(phase, RoleEntry, "MiB resident", e)
-	r.sample(phase, RoleSidecar, "MiB resident", s)
+	r.recordSample(phase, RoleEntry, "MiB resident", e)
+	r.recordSample(phase, RoleSidecar, "MiB resident", s)
 	for name, d := range map[string]uint64{
 		"reads/s": kvAfter.Reads - kvBefore.Reads, "writes/s": kvAfter.Writes - kvBefore.Writes,
 		"watches/s": kvAfter.Watches - kvBefore.Watches, "rejected/s": kvAfter.Rejected - kvBefore.Rejected,
 	} {
-		r.sample(phase, RoleKV, name, []float64{float64(d) / elapsed})
+		r.recordSample(phase, RoleKV, name, []float64{float64(d) / elapsed})
 	}
-	r.sample(phase, RoleKV, "waiting watches", []float64{float64(kvAfter.Waiting)})
+	r.recordSample(phase, RoleKV, "waiting watches", []float64{float64(kvAfter.Waiting)})
 	return nil
 }
 
@@ -74,6 +74,6 @@
 		all[i] = (after[i][metric] - before[i][metric]) / elapsed
 	}
 	e, s := r.splitByRole(all)
-	r.sample(phase, RoleEntry, name, e)
-	r.sample(phase, RoleSidecar, name, s)
+	r.recordSample(phase, RoleEntry, name, e)
+	r.recordSample(phase, RoleSidecar, name, s)
 }
--- a/internal/bench/profile.go
+++ b/internal/bench/profile.go
@@ -18,16 +18,17 @@
 	load.Rate, load.Duration = cfg.Rate, cfg.Duration+2*time.Second
 	errs := make(chan error, 2)
 	go func() {
-		errs <- profile(ctx, c.Entries[0].Address, cfg.Duration, filepath.Join(cfg.Profiles, "entry.pprof"))
+		errs <- writeCPUProfile(ctx, c.Entries[0].Address, cfg.Duration, filepath.Join(cfg.Profiles, "entry.pprof"))
 	}()
 	go func() {
-		errs <- profile(ctx, c.Workers[0].Address, cfg.Duration, filepath.Join(cfg.Profiles, "sidecar.pprof"))
+		errs <- writeCPUProfile(ctx, c.Workers[0].Address, cfg.Duration, filepath.Join(cfg.Profiles, "sidecar.pprof"))
 	}()
 	load.Run(ctx)
 	return errors.Join(<-errs, <-errs)
 }
 
-func profile(ctx context.Context, address string, d time.Duration, path string) error {
+// writeCPUProfile fetches a CPU profile of the process at address, taken for d, and writes it to a file.
+func writeCPUProfile(ctx context.Context, address string, d time.Duration, path string) error {
 	url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", address, int(d.Seconds()))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
--- a/internal/bench/scrape.go
+++ b/internal/bench/scrape.go
@@ -54,7 +54,8 @@
 	return parseMetrics(resp.Body)
 }
 
-// parseMetrics parses the Prometheus text format.
+// parseMetrics parses the Prometheus text format and returns the sum of the series of each metric; see
+// metricValues.
 func parseMetrics(r io.Reader) (metricValues, error) {
 	v := metricValues{}
 	lines := bufio.NewScanner(r)
