--- a/internal/policybench/baselines.go
+++ b/internal/policybench/baselines.go
@@ -14,7 +14,7 @@
 }
 
 func (b *baseline) accept(_ *request, e *engine) string {
-	if e.queued() >= maxQueued {
+	if e.queuedRequests() >= maxQueuedRequests {
 		return "queue_full"
 	}
 	return ""
@@ -24,9 +24,9 @@
 
 func (b *baseline) allowRetry(*request) bool                                   { return true }
 func (b *baseline) firstTokenDelivered(*request)                               {}
-func (b *baseline) finished(*request)                                          {}
+func (b *baseline) attemptEnded(*request)                                      {}
 func (b *baseline) cacheEvent(*engine, external.CacheEvent)                    {}
-func (b *baseline) restarted(*engine)                                          {}
+func (b *baseline) stateLost(*engine)                                          {}
 func (b *baseline) plan(*offeredWork)                                          {}
 func (b *baseline) report(*engine, uint64, time.Duration, external.EngineLoad) {}
 
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// leastLoaded routes to the engine with the lowest reported load. It changes roles by a threshold
-// rule: at once whenever the split that recent work calls for differs from the current one.
+// leastLoaded routes to the engine with the lowest reported load. It changes roles as soon as the split
+// that recent work calls for differs from the current one. Tables and plots call it "threshold".
 type leastLoaded struct {
 	baseline
 
@@ -65,8 +65,8 @@
 	recent  []offeredWork
 }
 
-// thresholdWindow is the number of planning rounds over which recent work is summed.
-const thresholdWindow = 10
+// recentRounds is the number of planning rounds over which recent work is summed.
+const recentRounds = 10
 
 func newLeastLoaded(sim *simulation) *leastLoaded {
 	return &leastLoaded{baseline: baseline{sim: sim}, reports: make([]external.EngineLoad, len(sim.engines))}
@@ -108,10 +108,10 @@
 
 func (p *leastLoaded) plan(offered *offeredWork) {
 	p.recent = append(p.recent, *offered)
-	if len(p.recent) < thresholdWindow {
+	if len(p.recent) < recentRounds {
 		return
 	}
-	p.recent = p.recent[len(p.recent)-thresholdWindow:]
+	p.recent = p.recent[len(p.recent)-recentRounds:]
 	prefill, decode := 0.0, 0.0
 	for i := range p.recent {
 		for _, k := range []struct {
@@ -127,31 +127,31 @@
 	}
 }
 
-// rebalance orders role changes towards prefillShare of the engines in the prefill role. It does not
-// take the last serving engine out of a role.
+// rebalance orders role changes until the prefill role has prefillShare of the engines that have not
+// crashed. It does not take the last serving engine out of a role.
 func (p *leastLoaded) rebalance(prefillShare float64) {
-	alive, current := 0, 0
+	alive, currentPrefill := 0, 0
 	for _, e := range p.sim.engines {
 		if e.state == crashed {
 			continue
 		}
 		alive++
 		if p.targetRole(e) == external.RolePrefill {
-			current++
+			currentPrefill++
 		}
 	}
-	desired := min(max(int(math.Round(prefillShare*float64(alive))), 1), alive-1)
+	desiredPrefill := min(max(int(math.Round(prefillShare*float64(alive))), 1), alive-1)
 	for _, e := range p.sim.engines {
-		if current == desired {
+		if currentPrefill == desiredPrefill {
 			return
 		}
 		from, to, step := external.RolePrefill, external.RoleDecode, -1
-		if current < desired {
+		if currentPrefill < desiredPrefill {
 			from, to, step = to, from, 1
 		}
 		if e.state == serving && e.role == from && p.countServing(from) > 1 {
 			p.sim.orderRoleChange(e, to)
-			current += step
+			currentPrefill += step
 		}
 	}
 }
--- a/internal/policybench/cmd/policybench/main.go
+++ b/internal/policybench/cmd/policybench/main.go
@@ -30,7 +30,7 @@
 	workloads := flag.String("workloads", "", "comma-separated workloads; empty for all")
 	fleets := flag.String("fleets", "", "comma-separated fleets; empty for all")
 	policies := flag.String("policies", "", "comma-separated policies; empty for all")
-	lags := flag.String("ages", "0s,1s,5s", "ages of the load reports")
+	ages := flag.String("ages", "0s,1s,5s", "ages of the load reports")
 	overload := flag.Bool("overload", true, "also run multiples of the capacity")
 	data := flag.String("data", "", "directory for the CSV file and the plots; empty for none")
 	all := flag.Bool("all-targets", false, "also print the targets that are reached")
@@ -40,7 +40,7 @@
 		Seeds: *seeds, Parallel: *workers, Overload: *overload,
 		Workloads: list(*workloads), Fleets: list(*fleets), Policies: list(*policies),
 	}
-	for _, v := range list(*lags) {
+	for _, v := range list(*ages) {
 		d, err := time.ParseDuration(v)
 		if err != nil {
 			return fmt.Errorf("parse -ages: %w", err)
--- a/internal/policybench/engine.go
+++ b/internal/policybench/engine.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// decodeChunk is the number of prompt tokens per step on an engine that also decodes,
-	// prefillChunk on one that does not. 256 tokens keep the step of a loaded mixed engine near
-	// maxTokenInterval.
-	decodeChunk       = 256
-	prefillChunk      = 2048
+	// mixedStepChunk is the largest number of prompt tokens in a step that also decodes,
+	// prefillOnlyChunk that in a step that does not. 256 tokens keep the step of a loaded mixed
+	// engine near maxTokenInterval.
+	mixedStepChunk   = 256
+	prefillOnlyChunk = 2048
+	// prefillStepBase is the fixed time of a step that only prefills.
 	prefillStepBase   = 3 * time.Millisecond
 	piecesPerEngine   = 256
 	maxCachedPrefixes = 24
 	// changeTime is the duration of a role change after the engine has drained.
-	changeTime = 5 * time.Second
-	maxQueued  = 64
+	changeTime        = 5 * time.Second
+	maxQueuedRequests = 64
 )
 
 // engine simulates one engine with continuous batching.
@@ -44,7 +45,7 @@
 	prefillQueues      [3][]*request // by rank
 	awaitingPieces     []*request    // prefilled, waiting for enough free pieces
 	batch              []*request
-	incomingDecodes    int // requests to decode here that another engine is still prefilling
+	incomingDecodes    int // requests to decode here that are still prefilled or transferred by another engine
 	freePieces         int
 	busy               bool
 	stepEnd            time.Duration
@@ -59,7 +60,7 @@
 	nextRole   external.Role
 }
 
-func (e *engine) queued() int {
+func (e *engine) queuedRequests() int {
 	n := 0
 	for _, q := range e.prefillQueues {
 		n += len(q)
@@ -83,15 +84,16 @@
 	tokens := float64(e.queuedTokens(r.kind.rank) + r.prefillTokensLeft)
 	perToken := e.sim.fleet.prefillSecondsPerToken
 	if n := len(e.batch); n > 0 {
-		perToken += e.stepTime(n).Seconds() / decodeChunk
+		perToken += e.stepTime(n).Seconds() / mixedStepChunk
 	}
-	firstToken := seconds(tokens * perToken * e.stepTimeFactor)
+	firstToken := durationFromSeconds(tokens * perToken * e.stepTimeFactor)
 	if e.busy {
 		firstToken += e.stepEnd - e.sim.At
 	}
 	return firstToken
 }
 
+// stepTime returns the nominal time of a step that decodes n sequences, without prefill.
 func (e *engine) stepTime(n int) time.Duration {
 	return e.sim.fleet.stepBase + time.Duration(n)*e.sim.fleet.stepPerSequence
 }
@@ -138,13 +140,13 @@
 }
 
 func (e *engine) startStep() {
-	if e.busy || e.state == crashed || e.state == changing || len(e.batch) == 0 && e.queued() == 0 {
+	if e.busy || e.state == crashed || e.state == changing || len(e.batch) == 0 && e.queuedRequests() == 0 {
 		return
 	}
 	e.busy = true
-	budget, duration := decodeChunk, e.stepTime(len(e.batch))
+	budget, duration := mixedStepChunk, e.stepTime(len(e.batch))
 	if len(e.batch) == 0 {
-		budget, duration = prefillChunk, prefillStepBase
+		budget, duration = prefillOnlyChunk, prefillStepBase
 	}
 	used := 0
 	var completed []*request
@@ -167,7 +169,7 @@
 			e.prefillQueues[rank] = e.prefillQueues[rank][1:]
 		}
 	}
-	duration += seconds(float64(used) * e.sim.fleet.prefillSecondsPerToken)
+	duration += durationFromSeconds(float64(used) * e.sim.fleet.prefillSecondsPerToken)
 	duration = time.Duration(float64(duration) * e.stepTimeFactor * (0.95 + 0.1*e.sim.rng.Float64()))
 	batchSize, startEpoch := len(e.batch), e.epoch
 	e.stepEnd = e.sim.At + duration
@@ -206,18 +208,19 @@
 		e.sim.prefillDone(e, r)
 	}
 	e.startStep()
-	e.finishDrain()
+	e.changeIfDrained()
 }
 
 // changeRole starts to drain the engine, after which it changes to the role.
 func (e *engine) changeRole(role external.Role) {
 	e.state, e.nextRole, e.drainStart = draining, role, e.sim.At
 	e.sim.fleetChanged()
-	e.finishDrain()
+	e.changeIfDrained()
 }
 
-func (e *engine) finishDrain() {
-	if e.state != draining || e.queued() > 0 || len(e.batch)+len(e.awaitingPieces)+e.incomingDecodes+len(e.completingPrefills) > 0 {
+// changeIfDrained starts the role change if the engine is draining and has no work left.
+func (e *engine) changeIfDrained() {
+	if e.state != draining || e.queuedRequests() > 0 || len(e.batch)+len(e.awaitingPieces)+e.incomingDecodes+len(e.completingPrefills) > 0 {
 		return
 	}
 	e.state = changing
@@ -230,7 +233,7 @@
 		e.state, e.role, e.roleSince = serving, e.nextRole, e.sim.At
 		e.prefixes = nil
 		e.sim.fleetChanged()
-		e.sim.policy.restarted(e)
+		e.sim.policy.stateLost(e)
 	})
 }
 
@@ -242,7 +245,7 @@
 	e.prefillQueues, e.awaitingPieces, e.batch, e.completingPrefills = [3][]*request{}, nil, nil, nil
 	e.epoch++
 	e.sim.fleetChanged()
-	e.sim.policy.restarted(e)
+	e.sim.policy.stateLost(e)
 	for _, r := range prefilling {
 		e.sim.releaseDecode(r)
 	}
@@ -253,10 +256,10 @@
 
 func (e *engine) report() external.EngineLoad {
 	return external.EngineLoad{
-		Running: len(e.batch), Queued: e.queued() + len(e.awaitingPieces),
+		Running: len(e.batch), Queued: e.queuedRequests() + len(e.awaitingPieces),
 		PrefillTokens: int64(e.queuedTokens(len(e.prefillQueues) - 1)),
 		FreePieces:    e.freePieces, TotalPieces: piecesPerEngine,
 	}
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func durationFromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/policybench/policybench_test.go
+++ b/internal/policybench/policybench_test.go
@@ -34,7 +34,7 @@
 		for _, n := range s.offeredByKind {
 			offered += n
 		}
-		for reason, n := range s.refusals {
+		for reason, n := range s.unmetByReason {
 			if !strings.HasPrefix(reason, "(") {
 				refused += n
 			}
--- a/internal/policybench/project.go
+++ b/internal/policybench/project.go
@@ -43,14 +43,15 @@
 	entry                       *entry
 }
 
-// uncachedShareWeight is the weight of one request in uncachedShare: an average over about 100.
+// uncachedShareWeight is the weight of one request in the moving average uncachedShare, which thus
+// covers about 100 requests.
 const uncachedShareWeight = 0.01
 
 func newQuetzallugPolicy(sim *simulation, planner *placement.Planner, weights placement.Weights) *quetzallugPolicy {
 	p := &quetzallugPolicy{sim: sim, planner: planner, weights: weights, uncachedShare: 1}
 	initial := load.Speed{
 		PrefillSecondsPerToken: sim.fleet.prefillSecondsPerToken, StepSeconds: sim.fleet.stepBase.Seconds(),
-		StepSecondsPerSequence: sim.fleet.stepPerSequence.Seconds(), ChunkTokens: decodeChunk,
+		StepSecondsPerSequence: sim.fleet.stepPerSequence.Seconds(), ChunkTokens: mixedStepChunk,
 	}
 	for i := range p.entries {
 		p.entries[i] = &entry{
@@ -66,8 +67,8 @@
 }
 
 // newQuetzallugPolicyWithCurrentReports returns the policy without a planner, for load reports that
-// are always current. These include the requests of the other entries, so the tracker does not
-// extrapolate them.
+// are always current. Such reports already include the requests of the other entries, so the tracker
+// does not estimate what other entries sent.
 func newQuetzallugPolicyWithCurrentReports(sim *simulation, weights placement.Weights) *quetzallugPolicy {
 	p := newQuetzallugPolicy(sim, nil, weights)
 	for _, e := range p.entries {
@@ -110,7 +111,7 @@
 		Model: "m", DataCentre: "dc", PromptTokens: r.promptTokens + r.producedTokens, OutputTokens: r.kind.outputTokens, Blocks: r.blocks,
 		FirstToken: r.kind.firstTokenTarget, BetweenTokens: r.kind.betweenTokensTarget, Exclude: r.excludedEngines,
 	}
-	if r.attempts == 0 {
+	if r.failedAttempts == 0 {
 		e.retries.Fresh(now)
 	}
 	decision := e.router.Choose(&routingRequest, p.fleetSnapshot(e), now)
@@ -141,16 +142,16 @@
 // accept is the check of a sidecar on arrival: the limit of the queue, and the time to first token
 // expected from the engine's current state.
 func (p *quetzallugPolicy) accept(r *request, e *engine) string {
-	if e.queued() >= maxQueued {
+	if e.queuedRequests() >= maxQueuedRequests {
 		return string(admission.QueueFull)
 	}
 	return p.recheckAdmission(r, e.expectedFirstToken(r))
 }
 
 // tooLate is the check of a sidecar when the engine is ready to start the request. A request that
-// can no longer be on time is refused as not run, so that it does not delay others.
+// can no longer be on time is refused before it starts, so that it does not delay others.
 func (p *quetzallugPolicy) tooLate(r *request, e *engine) bool {
-	return p.recheckAdmission(r, seconds(float64(r.prefillTokensLeft)*p.sim.fleet.prefillSecondsPerToken*e.stepTimeFactor)) != ""
+	return p.recheckAdmission(r, durationFromSeconds(float64(r.prefillTokensLeft)*p.sim.fleet.prefillSecondsPerToken*e.stepTimeFactor)) != ""
 }
 
 func (p *quetzallugPolicy) recheckAdmission(r *request, firstToken time.Duration) string {
@@ -171,7 +172,7 @@
 	state.prefillWorker.FirstToken(state.prefillTicket, p.sim.Now())
 }
 
-func (p *quetzallugPolicy) finished(r *request) {
+func (p *quetzallugPolicy) attemptEnded(r *request) {
 	state, ok := r.policyState.(*dispatchState)
 	if !ok {
 		return
@@ -181,6 +182,7 @@
 	state.prefillWorker.Finished(state.prefillTicket, now)
 	state.decodeWorker.Finished(state.decodeTicket, now)
 	state.entry.admission.Release("", state.admissionDecision)
+	// Only complete answers of more than 8 tokens update the estimated step time.
 	if r.producedTokens >= r.outputTokens && r.outputTokens > 8 {
 		state.decodeWorker.BetweenTokens(r.meanTokenInterval(), now)
 	}
@@ -203,7 +205,7 @@
 	}
 }
 
-func (p *quetzallugPolicy) restarted(e *engine) {
+func (p *quetzallugPolicy) stateLost(e *engine) {
 	for _, entry := range p.entries {
 		entry.tracker.Worker(e.id).Restarted(p.sim.Now())
 	}
@@ -223,7 +225,7 @@
 	}
 	snapshot.Speed = load.Speed{
 		PrefillSecondsPerToken: p.sim.fleet.prefillSecondsPerToken, StepSeconds: p.sim.fleet.stepBase.Seconds(),
-		StepSecondsPerSequence: p.sim.fleet.stepPerSequence.Seconds(), ChunkTokens: decodeChunk,
+		StepSecondsPerSequence: p.sim.fleet.stepPerSequence.Seconds(), ChunkTokens: mixedStepChunk,
 	}
 	for _, change := range p.planner.Plan(now, &snapshot, p.weights) {
 		for _, e := range p.sim.engines {
@@ -234,8 +236,8 @@
 	}
 }
 
-// plannerView returns an engine as the planner sees it, from the load tracker of the entry that
-// holds the pool, which is the first one.
+// plannerView returns an engine as the planner sees it, from the load tracker of entry 0, which is
+// taken as the entry that plans the pool.
 func (p *quetzallugPolicy) plannerView(e *engine, now time.Time) placement.Engine {
 	estimate := p.entries[0].tracker.Worker(e.id).Estimate(now)
 	view := placement.Engine{
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -14,7 +14,7 @@
 	"github.com/quetzallug/quetzallug/placement"
 )
 
-// Names of the policies.
+// Names of the policies. LeastLoaded appears as "threshold" in tables and plots.
 const (
 	RoundRobin  = "round-robin"
 	LeastLoaded = "threshold"
@@ -27,11 +27,15 @@
 
 // Options selects what is run. Empty lists of workloads, fleets and policies mean all.
 type Options struct {
-	Seeds      int
-	Parallel   int
-	Workloads  []string
-	Fleets     []string
-	Policies   []string
+	// Seeds is the number of seeds per case; they are counted from 1.
+	Seeds int
+	// Parallel is the number of runs at a time.
+	Parallel  int
+	Workloads []string
+	Fleets    []string
+	Policies  []string
+	// ReportAges lists the ages of the load reports to run each workload with; empty means that only
+	// the runs of Overload take place.
 	ReportAges []time.Duration
 	// Overload adds runs at several multiples of the nominal capacity.
 	Overload bool
@@ -53,16 +57,27 @@
 	return fmt.Sprint(c.Fleet, " ", c.Workload, " ", c.Policy, " ", c.Weights, " ", c.ReportAge)
 }
 
-// Result holds the measurements of one run of a case.
+// Result holds the measurements of one run of a case. Requests that arrive during the warm-up are not
+// counted.
 type Result struct {
-	Seed                              int
+	Seed int
+	// Goodput is the share, from 0 to 1, of the offered requests that were answered within all
+	// targets; LongGoodput and ChatGoodput are that share by kind.
 	Goodput, LongGoodput, ChatGoodput float64
-	GoodPerSecond                     float64
-	FirstTokenP95, BetweenTokensP95   time.Duration
-	RoleChanges                       int
-	EngineTimeLost                    time.Duration
-	Refusals                          map[string]int
-	Offered                           int
+	// GoodPerSecond is the number of requests answered within all targets, per second.
+	GoodPerSecond float64
+	// FirstTokenP95 is over the complete answers, BetweenTokensP95 over the mean interval between the
+	// tokens of each complete answer.
+	FirstTokenP95, BetweenTokensP95 time.Duration
+	// RoleChanges counts the ordered role changes. EngineTimeLost is the time from the order to the end
+	// of the completed ones, summed over the engines. Both include the warm-up.
+	RoleChanges    int
+	EngineTimeLost time.Duration
+	// Refusals counts the refused requests by reason. Keys in parentheses count complete answers that
+	// missed a target.
+	Refusals map[string]int
+	// Offered is the number of requests, answered or not.
+	Offered int
 }
 
 // Run simulates all cases with all seeds. Results are in the order of the cases and the seeds and do
@@ -127,21 +142,21 @@
 				continue
 			}
 			for _, reportAge := range o.ReportAges {
-				out = append(out, o.policies(f, l, reportAge)...)
+				out = append(out, o.casesFor(f, l, reportAge)...)
 			}
 		}
 		if o.Overload {
 			for _, utilisation := range []float64{0.6, 0.8, 1, 1.2, 1.5, 2} {
 				l := overload(utilisation)
 				l.name = fmt.Sprintf("load-%.1fx", utilisation)
-				out = append(out, o.policies(f, l, time.Second)...)
+				out = append(out, o.casesFor(f, l, time.Second)...)
 			}
 		}
 	}
 	return out
 }
 
-func (o *Options) policies(f *fleet, l workload, reportAge time.Duration) []Case {
+func (o *Options) casesFor(f *fleet, l workload, reportAge time.Duration) []Case {
 	var out []Case
 	for _, p := range Policies {
 		if !selected(o.Policies, p) {
@@ -178,7 +193,7 @@
 	case Quetzallug:
 		policy = newQuetzallugPolicy(sim, placement.New(placement.Config{ChangeTime: changeTime}), c.weights)
 	default:
-		b := &hindsight{quetzallugPolicy: newQuetzallugPolicyWithCurrentReports(sim, c.weights), bestSplit: table.schedule(c.fleet, &c.workload)}
+		b := &hindsight{quetzallugPolicy: newQuetzallugPolicyWithCurrentReports(sim, c.weights), bestSplit: table.bestSplits(c.fleet, &c.workload)}
 		sim.After(0, func() { b.plan(nil) })
 		policy = b
 	}
@@ -190,13 +205,13 @@
 	return Result{
 		Seed: seed + 1, Goodput: stats.goodput(""), LongGoodput: stats.goodput(c.fleet.long.name), ChatGoodput: stats.goodput(c.fleet.chat.name),
 		GoodPerSecond: stats.goodput("") * float64(offered) / stats.duration.Seconds(),
-		FirstTokenP95: percentile(stats.firstTokenLatencies, 0.95), BetweenTokensP95: percentile(stats.tokenIntervals, 0.95),
-		RoleChanges: stats.roleChanges, EngineTimeLost: stats.engineTimeLost, Refusals: stats.refusals, Offered: offered,
+		FirstTokenP95: quantile(stats.firstTokenLatencies, 0.95), BetweenTokensP95: quantile(stats.meanTokenIntervals, 0.95),
+		RoleChanges: stats.roleChanges, EngineTimeLost: stats.engineTimeLost, Refusals: stats.unmetByReason, Offered: offered,
 	}
 }
 
-// hindsightTable caches, for each mix and load, the split with the best goodput, which it finds by
-// simulating all splits.
+// hindsightTable caches the split with the best goodput, which it finds by simulating all splits, for
+// each fleet, number of engines alive, mix and utilisation, the last two rounded to 1/20.
 type hindsightTable struct {
 	mu     sync.Mutex
 	splits map[hindsightKey]*hindsightEntry
@@ -214,9 +229,9 @@
 	split roleSplit
 }
 
-// schedule returns a function that gives the best split for the phase that contains a time and for a
+// bestSplits returns a function that gives the best split for the phase that contains a time and for a
 // number of engines that are alive.
-func (h *hindsightTable) schedule(fleet *fleet, workload *workload) func(time.Duration, int) roleSplit {
+func (h *hindsightTable) bestSplits(fleet *fleet, workload *workload) func(time.Duration, int) roleSplit {
 	return func(t time.Duration, alive int) roleSplit {
 		phaseStart := t / workload.phase * workload.phase
 		middle := min(phaseStart+workload.phase/2, workload.duration)
--- a/internal/policybench/simulation.go
+++ b/internal/policybench/simulation.go
@@ -42,11 +42,19 @@
 	tooLate(r *request, e *engine) bool
 	// allowRetry reports whether a request that an engine refused may be sent to another one.
 	allowRetry(r *request) bool
+	// firstTokenDelivered is called once per request, when its first token is delivered.
 	firstTokenDelivered(r *request)
-	finished(r *request)
+	// attemptEnded is called when an attempt ends that choose has sent to engines: the answer is complete,
+	// the engine refused or dropped the request, or the engine failed.
+	attemptEnded(r *request)
+	// report is called when a load report arrives, age after the engine sent it.
 	report(e *engine, sequence uint64, age time.Duration, l external.EngineLoad)
+	// cacheEvent is called when an event of an engine's prefix cache arrives.
 	cacheEvent(e *engine, c external.CacheEvent)
-	restarted(e *engine)
+	// stateLost is called when an engine has crashed or changed its role. It holds no requests then.
+	stateLost(e *engine)
+	// plan is called in each planning round with the work offered between two rounds, which arrives as
+	// late as the load reports.
 	plan(offered *offeredWork)
 }
 
@@ -57,6 +65,8 @@
 
 type kindWork struct{ requests, promptTokens, outputTokens float64 }
 
+// add counts an offered request. outputTokens grows by the mean of the kind, which is also the length
+// that quetzallugPolicy expects of an answer.
 func (k *kindWork) add(r *request) {
 	k.requests++
 	k.promptTokens += float64(r.promptTokens)
@@ -81,7 +91,7 @@
 
 func newSimulation(fleet *fleet, workload *workload, reportAge time.Duration, seed uint64, split roleSplit) *simulation {
 	sim := &simulation{fleet: fleet, workload: workload, reportAge: reportAge, rng: rand.New(rand.NewPCG(seed, 2))}
-	sim.stats.refusals, sim.stats.warmUp = make(map[string]int), warmUp
+	sim.stats.unmetByReason, sim.stats.warmUp = make(map[string]int), warmUp
 	speedRNG := rand.New(rand.NewPCG(seed, 3))
 	for i := range fleet.engines {
 		sim.engines = append(sim.engines, &engine{
@@ -178,10 +188,10 @@
 	if d != p {
 		d.incomingDecodes++
 	}
-	sim.After(networkHop, func() { sim.atPrefill(r) })
+	sim.After(networkHop, func() { sim.arriveAtPrefill(r) })
 }
 
-func (sim *simulation) atPrefill(r *request) {
+func (sim *simulation) arriveAtPrefill(r *request) {
 	e := r.prefill
 	reason := ""
 	if e.state != serving {
@@ -194,21 +204,21 @@
 		return
 	}
 	sim.releaseDecode(r)
-	sim.policy.finished(r)
-	r.attempts++
+	sim.policy.attemptEnded(r)
+	r.failedAttempts++
 	r.excludedEngines = append(r.excludedEngines, e.id)
-	if r.attempts >= maxAttempts || !sim.policy.allowRetry(r) {
+	if r.failedAttempts >= maxAttempts || !sim.policy.allowRetry(r) {
 		sim.stats.recordRefused(r, reason)
 		return
 	}
 	sim.After(networkHop, func() { sim.dispatch(r) })
 }
 
-// releaseDecode withdraws the announcement of a request at its decode engine.
+// releaseDecode removes a request from the incoming decodes of its decode engine.
 func (sim *simulation) releaseDecode(r *request) {
 	if r.decode != r.prefill {
 		r.decode.incomingDecodes--
-		r.decode.finishDrain()
+		r.decode.changeIfDrained()
 	}
 }
 
@@ -229,7 +239,7 @@
 		return
 	}
 	d := r.decode
-	transfer := seconds(float64(r.promptTokens)*kvBytesPerToken/kvBytesPerSecond) + networkHop
+	transfer := durationFromSeconds(float64(r.promptTokens)*kvBytesPerToken/kvBytesPerSecond) + networkHop
 	sim.After(transfer, func() {
 		d.incomingDecodes--
 		if d.state == crashed || d.state == changing {
@@ -243,9 +253,9 @@
 // resume dispatches a request again after its engine failed. The next engine has to prefill the
 // prompt and the tokens that were already delivered.
 func (sim *simulation) resume(r *request) {
-	sim.policy.finished(r)
-	r.attempts++
-	if r.attempts >= maxAttempts {
+	sim.policy.attemptEnded(r)
+	r.failedAttempts++
+	if r.failedAttempts >= maxAttempts {
 		sim.stats.recordRefused(r, "failed")
 		return
 	}
@@ -256,13 +266,13 @@
 // drop refuses a queued request that its engine has not started.
 func (sim *simulation) drop(r *request) {
 	sim.releaseDecode(r)
-	sim.policy.finished(r)
+	sim.policy.attemptEnded(r)
 	sim.stats.recordRefused(r, "late")
 }
 
 func (sim *simulation) finish(r *request) {
 	r.lastTokenAt = sim.At
-	sim.policy.finished(r)
+	sim.policy.attemptEnded(r)
 	sim.stats.recordCompleted(r)
 }
 
--- a/internal/policybench/stats.go
+++ b/internal/policybench/stats.go
@@ -12,10 +12,10 @@
 	offeredByKind       map[string]int
 	goodByKind          map[string]int
 	firstTokenLatencies []time.Duration
-	tokenIntervals      []time.Duration
-	// refusals counts refused requests by reason. Keys in parentheses count complete answers that
+	meanTokenIntervals  []time.Duration
+	// unmetByReason counts refused requests by reason. Keys in parentheses count complete answers that
 	// missed a target.
-	refusals       map[string]int
+	unmetByReason  map[string]int
 	roleChanges    int
 	engineTimeLost time.Duration
 	completed      int
@@ -32,7 +32,7 @@
 
 func (s *stats) recordRefused(r *request, reason string) {
 	if r.arrived >= s.warmUp {
-		s.refusals[reason]++
+		s.unmetByReason[reason]++
 	}
 }
 
@@ -42,16 +42,16 @@
 	}
 	s.completed++
 	s.firstTokenLatencies = append(s.firstTokenLatencies, r.firstTokenAt-r.arrived)
-	s.tokenIntervals = append(s.tokenIntervals, r.meanTokenInterval())
+	s.meanTokenIntervals = append(s.meanTokenIntervals, r.meanTokenInterval())
 	switch {
 	case r.metTargets():
 		s.goodByKind[r.kind.name]++
 	case r.firstTokenAt-r.arrived > r.kind.firstTokenTarget:
-		s.refusals["(ran, first token late)"]++
+		s.unmetByReason["(ran, first token late)"]++
 	case r.meanTokenInterval() > r.kind.betweenTokensTarget:
-		s.refusals["(ran, tokens slow)"]++
+		s.unmetByReason["(ran, tokens slow)"]++
 	default:
-		s.refusals["(ran, total late)"]++
+		s.unmetByReason["(ran, total late)"]++
 	}
 }
 
@@ -71,7 +71,8 @@
 	return float64(good) / float64(offered)
 }
 
-func percentile(v []time.Duration, p float64) time.Duration {
+// quantile returns the p-quantile of v, with p from 0 to 1.
+func quantile(v []time.Duration, p float64) time.Duration {
 	if len(v) == 0 {
 		return 0
 	}
--- a/internal/policybench/targets.go
+++ b/internal/policybench/targets.go
@@ -54,7 +54,7 @@
 		}
 	}
 	for _, f := range fleets {
-		out = append(out, t.overload(f)...)
+		out = append(out, t.checkOverload(f)...)
 	}
 	return out
 }
@@ -124,27 +124,27 @@
 	add("change-heavy weights: changes", changesWithChangeWeights, changesWithGoodputWeights, changesWithChangeWeights <= changesWithGoodputWeights)
 }
 
-func (t *resultTable) overload(f *fleet) []Check {
-	peakGoodput, lastGoodput, found := 0.0, 0.0, false
+func (t *resultTable) checkOverload(f *fleet) []Check {
+	peakGoodRate, goodRateAtHighestLoad, found := 0.0, 0.0, false
 	for i := range t.cases {
 		c := &t.cases[i]
 		if c.fleet != f || c.Policy != Quetzallug || !strings.HasPrefix(c.Workload, "load-") {
 			continue
 		}
 		found = true
-		lastGoodput = spreadOf(t.results[i], func(r *Result) float64 { return r.GoodPerSecond }).median
-		peakGoodput = max(peakGoodput, lastGoodput)
+		goodRateAtHighestLoad = spreadOf(t.results[i], func(r *Result) float64 { return r.GoodPerSecond }).median
+		peakGoodRate = max(peakGoodRate, goodRateAtHighestLoad)
 	}
 	if !found {
 		return nil
 	}
 	return []Check{{
 		Target: "goodput at 2x of peak", Fleet: f.name, Workload: "load", ReportAge: time.Second,
-		Measured: lastGoodput / peakGoodput, Required: minOverloadShare, Met: lastGoodput >= minOverloadShare*peakGoodput,
+		Measured: goodRateAtHighestLoad / peakGoodRate, Required: minOverloadShare, Met: goodRateAtHighestLoad >= minOverloadShare*peakGoodRate,
 	}}
 }
 
-// WriteTargets prints the missed targets, or with all every target, and a summary.
+// WriteTargets prints the missed targets, or all targets if all is set, and a summary.
 func WriteTargets(out io.Writer, checks []Check, all bool) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	missed := 0
--- a/internal/policybench/workload.go
+++ b/internal/policybench/workload.go
@@ -14,7 +14,7 @@
 // kind is a kind of request with its mean sizes and its targets.
 type kind struct {
 	name                string
-	rank                int // counted from 0, which stands for rank 1
+	rank                int // rank in the service document minus 1
 	promptTokens        int
 	outputTokens        int
 	sharedPrefixes      int // 0 means none
@@ -205,7 +205,7 @@
 	prefix          int
 	entry           int
 	blocks          []uint64
-	attempts        int
+	failedAttempts  int
 	excludedEngines []string
 
 	prefillTokensLeft         int
