--- a/internal/cas/cas.go
+++ b/internal/cas/cas.go
@@ -15,8 +15,9 @@
 	"github.com/quetzallug/quetzallug/external"
 )
 
-// maxAttempts limits how often one write is sent. A write that did not reach the service is sent again
-// with the same ID, so that a delayed delivery of an earlier attempt is recognised.
+// maxAttempts limits how often one write is sent. If a write may or may not have taken effect and the key
+// has not changed, it is sent again with the same ID, so that a delayed delivery of an earlier attempt is
+// recognised.
 const maxAttempts = 3
 
 // DefaultCallTimeout limits one call to the key-value service. A healthy service responds within
@@ -43,8 +44,9 @@
 func NewID() string { return uuid.NewString() }
 
 // Swap performs the write and returns the key's new version. It returns external.ErrConflict if
-// another writer has changed the key, external.ErrUnavailable if nothing was written, and
-// external.ErrOutcomeUnknown if the write may have taken effect or may still do so.
+// another writer has changed the key, external.ErrUnavailable if the first attempt did not reach the
+// service, external.ErrLeaseExpired if the lease has expired, and external.ErrOutcomeUnknown if the write
+// may have taken effect or may still do so. It also returns any error of w.Check.
 func Swap(ctx context.Context, kv external.KV, w Write) (uint64, error) {
 	sent := false
 	for range maxAttempts {
@@ -76,7 +78,9 @@
 	return kv.CompareAndSwap(ctx, w.Key, w.Expected, w.Value, w.Lease)
 }
 
-// readBack returns the version if the write took effect. retry reports that the key has not changed.
+// readBack reads the key and returns its version if the write took effect. retry reports that the key has
+// not changed. Otherwise err is external.ErrConflict, or external.ErrOutcomeUnknown if the key could not
+// be read.
 func readBack(ctx context.Context, kv external.KV, w Write) (version uint64, retry bool, err error) {
 	e, err := Get(ctx, kv, w.Key, w.CallTimeout)
 	switch {
@@ -95,7 +99,8 @@
 	return 0, false, external.ErrConflict
 }
 
-// Get reads a key. A timeout of 0 means DefaultCallTimeout.
+// Get returns the entry of a key, or external.ErrNotFound if the key does not exist. A timeout of 0
+// means DefaultCallTimeout.
 func Get(ctx context.Context, kv external.KV, key string, timeout time.Duration) (external.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeoutOrDefault(timeout))
 	defer cancel()
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -35,7 +35,8 @@
 	Key = "dev"
 	// registrationTTL is longer than any run of dev, because registrations are not renewed.
 	registrationTTL = 365 * 24 * time.Hour
-	// With weightBytesPerSecond and orderTime, an engine loads its first model in about a second.
+	// weightBytesPerSecond is the rate of the weights stand-in, and orderTime the duration of an engine's
+	// order. With both, an engine loads its first model in about a second.
 	weightBytesPerSecond = 256 << 30
 	orderTime            = 500 * time.Millisecond
 	kvWritesPerSecond    = 500
@@ -225,7 +226,7 @@
 	return errors.Join(errs...)
 }
 
-// Service returns the example's first model service.
+// Service returns the example's first model service, or nil if it has none.
 func (d *Deployment) Service() *document.Service {
 	for _, s := range d.services {
 		if s.Type == document.TypeModel {
--- a/internal/dev/sample.go
+++ b/internal/dev/sample.go
@@ -23,7 +23,8 @@
 	sampleTokens = 24
 )
 
-// errNotServing means that no engine has loaded the model yet.
+// errNotServing means that the entry responded with status 503 or 404, as it does until an engine has
+// loaded the model.
 var errNotServing = errors.New("not serving yet")
 
 // StreamSample requests one streamed completion of the example's first request kind and copies the
@@ -60,7 +61,7 @@
 	req.Header.Set("X-Quetzallug-Kind", kind.Name)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "request")
+		return eris.Wrap(err, "request sample completion")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusNotFound {
@@ -68,7 +69,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		b, _ := io.ReadAll(resp.Body)
-		return eris.Errorf("status %d: %s", resp.StatusCode, b)
+		return eris.Errorf("sample completion: status %d: %s", resp.StatusCode, b)
 	}
 	_, _ = fmt.Fprintf(w, "\nrequest %s, kind %s:\n", resp.Header.Get("X-Request-Id"), kind.Name)
 	if _, err := io.Copy(w, resp.Body); err != nil {
--- a/internal/eventsim/eventsim.go
+++ b/internal/eventsim/eventsim.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// RunUntil runs all events up to and including a time and sets the clock to it.
+// RunUntil runs all events due up to and including end, a virtual time since the start, and sets the
+// clock to it.
 func (s *Sim) RunUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := s.queue.pop()
--- a/internal/faultmatrix/faultmatrix.go
+++ b/internal/faultmatrix/faultmatrix.go
@@ -21,10 +21,11 @@
 
 // Cell is the combination of a protocol step with one or more faults.
 type Cell struct {
-	Protocol  string   `json:"protocol"`
-	Step      string   `json:"step"`
-	Faults    []string `json:"faults"`
-	Invariant string   `json:"invariant"`
+	Protocol string   `json:"protocol"`
+	Step     string   `json:"step"`
+	Faults   []string `json:"faults"`
+	// Invariant names the invariants that the test checks.
+	Invariant string `json:"invariant"`
 	// Covered reports whether the test of the cell has run and passed.
 	Covered bool `json:"covered"`
 	// Test is the name of the top-level test that covers the cell.
--- a/internal/httpjson/client.go
+++ b/internal/httpjson/client.go
@@ -86,7 +86,8 @@
 	return traffic.Conn(conn, c.traffic), nil
 }
 
-// Validate checks the address.
+// Validate parses the address and checks that it is an http or https URL. It must be called before the
+// first request.
 func (c *Client) Validate() error {
 	u, err := url.Parse(c.addr)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
@@ -146,7 +147,8 @@
 }
 
 // Call sends in as JSON and decodes the response into out; both may be nil. A status other than 2xx is
-// returned as a *StatusError.
+// returned as a *StatusError. Other errors wrap ErrNotSent or ErrOutcomeUnknown; a response that cannot be
+// decoded gives ErrOutcomeUnknown.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
--- a/internal/logging/json.go
+++ b/internal/logging/json.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// jsonFormatter writes the same lines as logrus.JSONFormatter, except that fields are in no fixed order.
-// It avoids reflection for common types, because a gateway writes a line for each request.
+// jsonFormatter writes lines that decode to the same JSON as those of logrus.JSONFormatter, except that a
+// value that cannot be encoded is replaced by the error. Fields are in no fixed order. It avoids reflection for common types, because a gateway writes a line for each request.
 type jsonFormatter struct{}
 
 // Format implements logrus.Formatter.
--- a/internal/peerauth/peerauth.go
+++ b/internal/peerauth/peerauth.go
@@ -42,8 +42,9 @@
 	return &interceptor{creds: c, key: sha256.Sum256([]byte(c.Key)), log: log}
 }
 
-// check verifies the credentials of an incoming call and logs a refusal.
-func (i *interceptor) check(header interface{ Get(string) string }, peer, procedure string) error {
+// authenticate verifies the credentials of an incoming call. It logs a refusal and returns it as a connect
+// error with the code unauthenticated.
+func (i *interceptor) authenticate(header interface{ Get(string) string }, peer, procedure string) error {
 	err := i.verify(header)
 	if err == nil {
 		return nil
@@ -72,7 +73,7 @@
 			i.addCredentials(req.Header())
 			return next(ctx, req)
 		}
-		if err := i.check(req.Header(), req.Peer().Addr, req.Spec().Procedure); err != nil {
+		if err := i.authenticate(req.Header(), req.Peer().Addr, req.Spec().Procedure); err != nil {
 			return nil, err
 		}
 		return next(ctx, req)
@@ -91,7 +92,7 @@
 // WrapStreamingHandler implements connect.Interceptor.
 func (i *interceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
-		if err := i.check(conn.RequestHeader(), conn.Peer().Addr, conn.Spec().Procedure); err != nil {
+		if err := i.authenticate(conn.RequestHeader(), conn.Peer().Addr, conn.Spec().Procedure); err != nil {
 			return err
 		}
 		return next(ctx, conn)
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// maxConcurrentStreams applies per connection. An entry has one connection to each sidecar.
+	// maxConcurrentStreams applies per connection. An entry has one connection to each sidecar, so it also
+	// limits the concurrent calls from one entry to one sidecar.
 	maxConcurrentStreams = 4096
 	readHeaderTimeout    = 5 * time.Second
 	idleTimeout          = 2 * time.Minute
@@ -59,7 +60,7 @@
 }
 
 // WorkerOptions returns the options of the handler of WorkerService. They disable compression: frames
-// carry a few tokens each, and compressing them took 62% of the CPU time of a sidecar.
+// carry a few tokens each, and compressing them would take 62% of a sidecar's CPU time.
 func WorkerOptions(interceptors ...connect.Interceptor) []connect.HandlerOption {
 	return []connect.HandlerOption{
 		connect.WithCompression(gzipCompression, nil, nil),
@@ -91,11 +92,11 @@
 
 // ClientConfig configures Clients.
 type ClientConfig struct {
-	// Control is set for clients whose calls all have a short timeout, and counts their bytes. Such
-	// clients send no pings and no TCP keep-alives: with an idle connection to each of 640 sidecars,
-	// pings alone take 5 KB/s, more than all other control traffic of an entry. Idle connections
-	// stay open, because a new one costs four times the bytes of a probe. Control is nil for clients
-	// that stream responses, which need pings to detect an unreachable peer while a stream is idle.
+	// Control, if not nil, counts the bytes of the clients and disables pings and TCP keep-alives. Set it
+	// only for clients whose calls all have a short timeout; clients that stream responses need pings to
+	// detect an unreachable peer while a stream is idle. Pings on idle connections to 640 sidecars take
+	// 5 KB/s, more than all other control traffic of an entry. Idle connections stay open all the same,
+	// because a new one costs four times the bytes of a probe.
 	Control *traffic.Counter
 	// TLS is the TLS configuration, or nil for cleartext.
 	TLS          *tls.Config
