--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,7 @@
-// Package memnet is an in-memory network for tests in virtual time. It connects hosts with a fixed
-// delay, and simulates partitions, suspended processes and crashed processes.
+// Package memnet is an in-memory network for tests, which get virtual time by running in a
+// testing/synctest bubble. It connects hosts with a fixed delay. A direction between two hosts can be cut,
+// a host can be frozen like a suspended process, and a host can be killed. Data on a direction that is cut,
+// or from or to a frozen host, are delayed and not lost.
 package memnet
 
 import (
@@ -26,7 +28,7 @@
 )
 
 // Host represents one process in the network. While a host is frozen, its connections and backend
-// calls are suspended. Its timers keep running, because all hosts run in the same process.
+// calls make no progress. Its timers keep running, because all hosts run in the same process.
 type Host struct {
 	Name string
 	// Ctx is cancelled when the host is killed. Cancel cancels it.
@@ -75,7 +77,7 @@
 	n.mu.Lock()
 	var hostLinks []*link
 	for l := range n.links {
-		if l.from == h || l.to == h {
+		if l.dialer == h || l.acceptor == h {
 			hostLinks = append(hostLinks, l)
 		}
 	}
@@ -150,17 +152,17 @@
 	}
 	client, clientInner := net.Pipe()
 	serverInner, server := net.Pipe()
-	k := &link{net: n, from: from, to: l.host, ends: [2]net.Conn{clientInner, serverInner}, done: make(chan struct{})}
+	lk := &link{net: n, dialer: from, acceptor: l.host, ends: [2]net.Conn{clientInner, serverInner}, done: make(chan struct{})}
 	n.mu.Lock()
-	n.links[k] = true
+	n.links[lk] = true
 	n.mu.Unlock()
-	go k.forward(clientInner, serverInner, from, l.host)
-	go k.forward(serverInner, clientInner, l.host, from)
+	go lk.forward(clientInner, serverInner, from, l.host)
+	go lk.forward(serverInner, clientInner, l.host, from)
 	select {
 	case l.conns <- &conn{server, "peer:1"}:
 		return &conn{client, addr}, nil
 	case <-l.closed:
-		k.close()
+		lk.close()
 		return nil, dialError(errRefused)
 	}
 }
@@ -182,21 +184,21 @@
 // link is one connection. It consists of two pipes, with a goroutine per direction that copies between
 // them.
 type link struct {
-	net      *Network
-	from, to *Host
-	ends     [2]net.Conn // the inner ends of the pipes
-	once     sync.Once
-	done     chan struct{}
+	net              *Network
+	dialer, acceptor *Host
+	ends             [2]net.Conn // the inner ends of the pipes
+	once             sync.Once
+	done             chan struct{}
 }
 
-func (k *link) close() {
-	k.once.Do(func() {
-		close(k.done)
-		_ = k.ends[0].Close()
-		_ = k.ends[1].Close()
-		k.net.mu.Lock()
-		defer k.net.mu.Unlock()
-		delete(k.net.links, k)
+func (lk *link) close() {
+	lk.once.Do(func() {
+		close(lk.done)
+		_ = lk.ends[0].Close()
+		_ = lk.ends[1].Close()
+		lk.net.mu.Lock()
+		defer lk.net.mu.Unlock()
+		delete(lk.net.links, lk)
 	})
 }
 
@@ -205,8 +207,9 @@
 	due  time.Time
 }
 
-// forward copies data in one direction with a delay, and holds it back while the direction is blocked.
-func (k *link) forward(in, out net.Conn, from, to *Host) {
+// forward copies data in one direction with a delay. While the direction is cut or one of the hosts is
+// frozen, it waits.
+func (lk *link) forward(in, out net.Conn, from, to *Host) {
 	queue := make(chan packet, maxQueuedPackets)
 	go func() {
 		defer close(queue)
@@ -216,7 +219,7 @@
 			if n > 0 {
 				select {
 				case queue <- packet{append([]byte(nil), buf[:n]...), time.Now().Add(hopDelay)}:
-				case <-k.done:
+				case <-lk.done:
 					return
 				}
 			}
@@ -226,20 +229,20 @@
 		}
 	}()
 	blocked := func() bool {
-		return k.net.frozen[from] || k.net.frozen[to] || k.net.cuts[[2]string{from.Name, to.Name}]
+		return lk.net.frozen[from] || lk.net.frozen[to] || lk.net.cuts[[2]string{from.Name, to.Name}]
 	}
 	for p := range queue {
 		time.Sleep(time.Until(p.due))
-		if !k.net.waitWhile(blocked, k.done) {
+		if !lk.net.waitWhile(blocked, lk.done) {
 			break
 		}
 		if _, err := out.Write(p.data); err != nil {
 			break
 		}
 	}
-	// While the direction is blocked, the close of the connection is held back as well.
-	k.net.waitWhile(blocked, k.done)
-	k.close()
+	// The close of the connection is delayed in the same way as data.
+	lk.net.waitWhile(blocked, lk.done)
+	lk.close()
 	for range queue {
 		// Drains the queue so that the reading goroutine can exit.
 		continue
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -72,7 +72,8 @@
 	ID string
 	// Address serves callers. PeerAddress serves the other processes of the cluster.
 	Address, PeerAddress string
-	// KVLink is the connection to the key-value service if Config.ForwardKV is set, otherwise nil.
+	// KVLink forwards the entry's connections to the key-value service if Config.ForwardKV is set, otherwise
+	// it is nil.
 	KVLink   *Forwarder
 	instance external.Instance
 }
@@ -86,18 +87,18 @@
 	// BackendAddress is the URL of the backend server.
 	BackendAddress string
 	Pool           Pool
-	// Link is the connection from the entries to the sidecar if Pool.Forward is set, otherwise nil.
+	// Link forwards the connections of the entries to the sidecar if Pool.Forward is set, otherwise it is nil.
 	Link     *Forwarder
 	instance external.Instance
 }
 
 // Cluster is a set of running entries, sidecars and stand-ins.
 type Cluster struct {
-	cfg                    Config
-	kv, instances, weights string
-	KVProcess              *Process
-	Entries                []*Entry
-	Workers                []*Worker
+	cfg                             Config
+	kvURL, instancesURL, weightsURL string
+	KVProcess                       *Process
+	Entries                         []*Entry
+	Workers                         []*Worker
 
 	mu         sync.Mutex
 	processes  []*Process
@@ -138,19 +139,20 @@
 
 func (c *Cluster) startPlatform(ctx context.Context) error {
 	var err error
-	if c.KVProcess, c.kv, err = c.startStandin("kv", "kv", c.cfg.KVArgs...); err != nil {
+	if c.KVProcess, c.kvURL, err = c.startStandin("kv", "kv", c.cfg.KVArgs...); err != nil {
 		return err
 	}
-	if _, c.instances, err = c.startStandin("instances", "instances", "--lag", c.cfg.ListLag.String()); err != nil {
+	if _, c.instancesURL, err = c.startStandin("instances", "instances", "--lag", c.cfg.ListLag.String()); err != nil {
 		return err
 	}
-	if _, c.weights, err = c.startStandin("weights", "weights", "--rate", strconv.Itoa(64<<30)); err != nil {
+	if _, c.weightsURL, err = c.startStandin("weights", "weights", "--rate", strconv.Itoa(64<<30)); err != nil {
 		return err
 	}
-	return errors.Join(waitReachable(ctx, c.kv), waitReachable(ctx, c.instances), waitReachable(ctx, c.weights))
+	return errors.Join(waitReachable(ctx, c.kvURL), waitReachable(ctx, c.instancesURL), waitReachable(ctx, c.weightsURL))
 }
 
-// startStandin starts a stand-in of the given kind and returns its URL.
+// startStandin starts the stand-in that the subcommand kind of quetzallug-standin serves, as the process
+// name. It returns the process and its URL.
 func (c *Cluster) startStandin(name, kind string, args ...string) (*Process, string, error) {
 	addr, err := freeAddress()
 	if err != nil {
@@ -193,8 +195,8 @@
 	sidecar := append([]string{
 		"sidecar", "--cluster", Name, "--instance", id, "--data-centre", p.DataCentre, "--listen", w.Address,
 		"--service", p.Service, "--backend", map[bool]string{true: "plain", false: "engine"}[p.Plain],
-		"--backend-address", w.BackendAddress, "--weights-address", c.weights,
-		"--kv-address", c.kv, "--instances-address", c.instances, "--lame-duck", "500ms",
+		"--backend-address", w.BackendAddress, "--weights-address", c.weightsURL,
+		"--kv-address", c.kvURL, "--instances-address", c.instancesURL, "--lame-duck", "500ms",
 	}, c.cfg.SidecarArgs...)
 	if w.Sidecar, err = c.startProcess(id, "quetzallugd", sidecar); err != nil {
 		return err
@@ -221,18 +223,18 @@
 	if e.PeerAddress, err = freeAddress(); err != nil {
 		return err
 	}
-	kv := c.kv
+	kvURL := c.kvURL
 	if c.cfg.ForwardKV {
-		if e.KVLink, err = c.startForwarder(strings.TrimPrefix(c.kv, "http://")); err != nil {
+		if e.KVLink, err = c.startForwarder(strings.TrimPrefix(c.kvURL, "http://")); err != nil {
 			return err
 		}
-		kv = "http://" + e.KVLink.Address()
+		kvURL = "http://" + e.KVLink.Address()
 	}
 	dc := c.cfg.DataCentres[i%len(c.cfg.DataCentres)]
 	args := append([]string{
 		"entry", "--cluster", Name, "--instance", e.ID, "--data-centre", dc,
-		"--listen", e.Address, "--peer-listen", e.PeerAddress, "--kv-address", kv,
-		"--instances-address", c.instances, "--instances-poll", "200ms", "--plan-interval", "1s", "--lame-duck", "500ms",
+		"--listen", e.Address, "--peer-listen", e.PeerAddress, "--kv-address", kvURL,
+		"--instances-address", c.instancesURL, "--instances-poll", "200ms", "--plan-interval", "1s", "--lame-duck", "500ms",
 	}, c.cfg.EntryArgs...)
 	if e.Process, err = c.startProcess(e.ID, "quetzallugd", args); err != nil {
 		return err
@@ -246,31 +248,31 @@
 
 // register adds an instance to the platform's instance list.
 func (c *Cluster) register(ctx context.Context, instance external.Instance) error {
-	return post(ctx, c.instances+instancewire.PathRegister, instancewire.Registration{Instance: instance, TTLMS: time.Hour.Milliseconds()})
+	return post(ctx, c.instancesURL+instancewire.PathRegister, instancewire.Registration{Instance: instance, TTLMS: time.Hour.Milliseconds()})
 }
 
 // Leave marks an instance as leaving in the instance list.
 func (c *Cluster) Leave(ctx context.Context, id string) error {
-	return post(ctx, c.instances+instancewire.PathLeave, instancewire.Leave{ID: id})
+	return post(ctx, c.instancesURL+instancewire.PathLeave, instancewire.Leave{ID: id})
 }
 
 // KVFaults sets the faults that the key-value service injects.
 func (c *Cluster) KVFaults(ctx context.Context, faults any) error {
-	return post(ctx, c.kv+"/faults", faults)
+	return post(ctx, c.kvURL+"/faults", faults)
 }
 
 // KVCalls decodes the call statistics of the key-value service into out.
-func (c *Cluster) KVCalls(ctx context.Context, out any) error { return get(ctx, c.kv+"/calls", out) }
+func (c *Cluster) KVCalls(ctx context.Context, out any) error { return get(ctx, c.kvURL+"/calls", out) }
 
 // KVAddress returns the URL of the key-value service.
-func (c *Cluster) KVAddress() string { return c.kv }
+func (c *Cluster) KVAddress() string { return c.kvURL }
 
 // InstancesAddress returns the URL of the instance list.
-func (c *Cluster) InstancesAddress() string { return c.instances }
+func (c *Cluster) InstancesAddress() string { return c.instancesURL }
 
 // KV returns a client of the key-value service.
 func (c *Cluster) KV(ctx context.Context) (external.KV, error) {
-	return kernel.Load[external.KV](ctx, kvhttp.ID, kernel.Settings{"address": c.kv})
+	return kernel.Load[external.KV](ctx, kvhttp.ID, kernel.Settings{"address": c.kvURL})
 }
 
 // Apply applies a document file as the next revision of its service with the command line tool. The
@@ -290,7 +292,7 @@
 
 // Tool runs the command line tool against the cluster and returns its standard output.
 func (c *Cluster) Tool(ctx context.Context, args ...string) (string, error) {
-	args = append(args, "--cluster", Name, "--kv-address", c.kv)
+	args = append(args, "--cluster", Name, "--kv-address", c.kvURL)
 	for _, e := range c.Entries {
 		args = append(args, "--entry", e.PeerAddress)
 	}
@@ -333,7 +335,8 @@
 	return nil
 }
 
-// Stop resumes paused processes and stops all that still run: entries, then sidecars, then stand-ins.
+// Stop releases the forwarders, resumes paused processes and stops all that still run: entries, then
+// sidecars, then stand-ins. It closes the forwarders last.
 func (c *Cluster) Stop() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testcluster/control.go
+++ b/internal/testcluster/control.go
@@ -40,7 +40,7 @@
 
 // ListFaults sets the faults that the instance list injects.
 func (c *Cluster) ListFaults(ctx context.Context, f instances.FaultRequest) error {
-	return post(ctx, c.instances+"/faults", f)
+	return post(ctx, c.instancesURL+"/faults", f)
 }
 
 // Clients returns RPC clients that authenticate as members of the cluster.
@@ -107,7 +107,8 @@
 // PoolName returns the name of the worker's pool.
 func (w *Worker) PoolName() string { return w.Pool.Service + "." + w.Pool.DataCentre }
 
-// Holder returns the entry that holds the lease of a pool.
+// Holder returns the entry that holds the lease of a pool. The holder in the pool's fence record is the
+// entry's ID, a slash and its incarnation.
 func (c *Cluster) Holder(ctx context.Context, kv external.KV, pool string) (*Entry, error) {
 	p, err := lease.ReadPool(ctx, kv, pool)
 	if err != nil {
@@ -118,10 +119,11 @@
 			return e, nil
 		}
 	}
-	return nil, fmt.Errorf("pool %s has no holder", pool)
+	return nil, fmt.Errorf("no entry of the cluster holds the lease of pool %s", pool)
 }
 
-// ApplyBody applies a document as the revision that follows base.
+// ApplyBody applies a document as the revision that follows base. Unlike Apply, it writes to the registry
+// without the command line tool.
 func (c *Cluster) ApplyBody(ctx context.Context, service string, base uint64, body []byte, author string) (registry.Record, error) {
 	kv, err := c.KV(ctx)
 	if err != nil {
--- a/internal/testcluster/forwarder.go
+++ b/internal/testcluster/forwarder.go
@@ -47,7 +47,7 @@
 	return f, nil
 }
 
-// Refuse sets whether new connections are refused, as the host of a stopped process does.
+// Refuse sets whether new connections are refused, as they are by the host of a stopped process.
 // Established connections are not affected.
 func (f *Forwarder) Refuse(refuse bool) error {
 	if refuse {
@@ -175,7 +175,8 @@
 	return !f.closed
 }
 
-// track adds connections to those that Reset and Close end. It returns false if the forwarder is closed.
+// track adds connections to those that Reset and Close end. If the forwarder is
+// closed, track returns false, and the caller must close the connections.
 func (f *Forwarder) track(conns ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -70,7 +70,7 @@
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	err := <-p.done
-	p.done <- err
+	p.done <- err // put back, so that a later Kill or Stop does not block
 }
 
 // Pause suspends the process with SIGSTOP until Resume is called.
@@ -87,7 +87,7 @@
 	}
 	select {
 	case err := <-p.done:
-		p.done <- nil
+		p.done <- nil // so that a later Kill or Stop does not block
 		return err
 	case <-time.After(timeout):
 		p.Kill()
