--- a/cmd/quetzallug-bench/main.go
+++ b/cmd/quetzallug-bench/main.go
@@ -21,7 +21,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	root := &cobra.Command{Use: "quetzallug-bench", Short: "Measure the product on loopback, and its decisions in simulated time", SilenceUsage: true}
+	root := &cobra.Command{Use: "quetzallug-bench", Short: "Measure quetzallug on loopback, and its routing decisions in simulated time", SilenceUsage: true}
 	root.PersistentFlags().String("data", "", "folder for CSV files; empty for none")
 	root.PersistentFlags().String("bin", "", "folder of built programs; empty builds them")
 	root.AddCommand(latencyCommand(), capacityCommand(), callsCommand(), fullSizeCommand(), mixCommand())
@@ -113,7 +113,7 @@
 	f.StringVar(&sizes, "sizes", "2x4,2x16,8x16,8x64,32x64", "comma-separated sizes: entries x sidecars")
 	f.DurationVar(&cfg.Phase, "phase", 20*time.Second, "length of the phases at rest, under load and after a restart")
 	f.StringSliceVar(&cfg.Phases, "phases", nil, "phases to run, such as rest; empty for all")
-	f.IntVar(&cfg.Singles, "singles", 4, "number of single changes")
+	f.IntVar(&cfg.Singles, "singles", 4, "number of changes made one at a time in the phase of single changes")
 	return cmd
 }
 
@@ -176,7 +176,8 @@
 	return cmd
 }
 
-// reportCapacity prints the fits of the samples, and writes samples and fits to the --data directory.
+// reportCapacity prints linear fits of the samples by the numbers of entries and sidecars, and writes
+// samples and fits to the --data directory.
 func reportCapacity(cmd *cobra.Command, samples []bench.Sample) error {
 	fits := bench.Fits(samples)
 	if data, _ := cmd.Flags().GetString("data"); data != "" {
@@ -194,9 +195,9 @@
 func parseSizes(list string) ([]bench.Size, error) {
 	var sizes []bench.Size
 	for s := range strings.SplitSeq(list, ",") {
-		e, w, _ := strings.Cut(s, "x")
-		entries, entriesErr := strconv.Atoi(e)
-		sidecars, sidecarsErr := strconv.Atoi(w)
+		entriesText, sidecarsText, _ := strings.Cut(s, "x")
+		entries, entriesErr := strconv.Atoi(entriesText)
+		sidecars, sidecarsErr := strconv.Atoi(sidecarsText)
 		if entriesErr != nil || sidecarsErr != nil || entries < 1 || sidecars < 1 {
 			return nil, fmt.Errorf("size %q: want entries x sidecars, such as 8x64", s)
 		}
--- a/cmd/quetzallug-bench/mix.go
+++ b/cmd/quetzallug-bench/mix.go
@@ -18,7 +18,7 @@
 		Short: "Compare the gateway's routing decisions with other policies on simulated engines",
 		Long: `mix simulates days of load on a deployment, once for each policy and seed, and prints the results
 that callers see. With --data it also writes the results as JSON and a plot; --previous shows the results of
-an earlier version beside those of this one. A run of all examples takes about half a minute.`,
+an earlier version beside those of this one.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			d, err := gatewaybench.ReadDeployment(deployment)
--- a/cmd/quetzallug-standin/commands.go
+++ b/cmd/quetzallug-standin/commands.go
@@ -27,7 +27,7 @@
 func newRoot(log *logrus.Logger) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "quetzallug-standin",
-		Short:         "Stand-ins for the platform: test equipment",
+		Short:         "Serve a stand-in for a platform service or a backend server, for tests",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -78,7 +78,7 @@
 }
 
 func newInstances(log *logrus.Logger) *cobra.Command {
-	cmd := standin{"instances", "lagging instance list", func(v *viper.Viper) (http.Handler, func() error, error) {
+	cmd := standin{"instances", "instance list with an optional delay", func(v *viper.Viper) (http.Handler, func() error, error) {
 		return instances.New(v.GetDuration("lag")).Handler(), nothingToClose, nil
 	}}.command(log)
 	cmd.Flags().Duration("lag", 0, "delay until a change becomes visible")
@@ -100,7 +100,7 @@
 		})
 		return s.Handler(), nothingToClose, nil
 	}}.command(log)
-	cmd.Flags().Duration("service-time", backend.DefaultServiceTime, "time of one request, negative for none")
+	cmd.Flags().Duration("service-time", backend.DefaultServiceTime, "duration of one request, negative for none")
 	cmd.Flags().Int("limit", backend.DefaultLimit, "requests that run at once")
 	return cmd
 }
@@ -115,8 +115,8 @@
 		return e.Handler(), e.Close, nil
 	}}.command(log)
 	f := cmd.Flags()
-	f.String("name", "engine", "name, from which the start ID is derived")
-	f.Uint64("seed", 1, "seed of start IDs and cache event gaps")
+	f.String("name", "engine", "name; with the seed, it determines the ID of each start of the engine")
+	f.Uint64("seed", 1, "seed of the IDs of engine starts and of the gaps in cache events")
 	f.String("role", string(external.RoleMixed), "role at the first start: prefill, decode or mixed")
 	// In the environment variables of the next two flags, list items are separated by spaces.
 	f.StringSlice("model", nil, "model loaded at the first start, as name or name@version; repeatable")
@@ -124,7 +124,7 @@
 	f.Int("pieces", engine.DefaultPieces, "capacity in pieces of 1,024 tokens")
 	f.Int("max-running", engine.DefaultMaxRunning, "requests that run at once")
 	f.Duration("load-lag", 0, "age of load reports")
-	f.Duration("order-time", engine.DefaultOrderTime, "time of one order")
+	f.Duration("order-time", engine.DefaultOrderTime, "duration of one order")
 	f.Bool("check-fence", true, "refuse orders with an outdated fence number")
 	f.Bool("instant", false, "generate without step time, for benchmarks")
 	return cmd
--- a/cmd/quetzallugd/main.go
+++ b/cmd/quetzallugd/main.go
@@ -89,12 +89,12 @@
 // role gracefully.
 func run(a *fx.App, log *logrus.Logger) error {
 	if err := a.Err(); err != nil {
-		return eris.Wrap(err, "set up")
+		return eris.Wrap(err, "set up the role")
 	}
 	startCtx, cancel := context.WithTimeout(context.Background(), a.StartTimeout())
 	defer cancel()
 	if err := a.Start(startCtx); err != nil {
-		return eris.Wrap(err, "start")
+		return eris.Wrap(err, "start the role")
 	}
 	var exitCode int
 	select {
@@ -107,7 +107,7 @@
 	stopCtx, cancel := context.WithTimeout(context.Background(), a.StopTimeout())
 	defer cancel()
 	if err := a.Stop(stopCtx); err != nil {
-		return eris.Wrap(err, "stop")
+		return eris.Wrap(err, "stop the role")
 	}
 	if exitCode != 0 {
 		return eris.Errorf("stopped with exit code %d", exitCode)
--- a/cmd/quetzallugd/settings.go
+++ b/cmd/quetzallugd/settings.go
@@ -13,7 +13,7 @@
 func settingsCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "settings",
-		Short: "Print the settings in force for a role",
+		Short: "Print the effective settings of a role",
 	}
 	entry := &cobra.Command{
 		Use: "entry", Short: "Print the settings of an entry", Args: cobra.NoArgs,
--- a/internal/tools/mutants/main.go
+++ b/internal/tools/mutants/main.go
@@ -31,8 +31,8 @@
 }
 
 var (
-	errUndetected = errors.New("not detected by their tests")
-	errNoLists    = errors.New("no list of mutants")
+	errNotAllDetected = errors.New("without the result \"detected\"; see the table")
+	errNoLists        = errors.New("no list of mutants")
 )
 
 func main() {
@@ -45,8 +45,8 @@
 	}
 }
 
-func run(file, only string) error {
-	mutants, err := loadAll(file)
+func run(pattern, only string) error {
+	mutants, err := loadAll(pattern)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 		return fmt.Errorf("print table: %w", err)
 	}
 	if undetected > 0 {
-		return fmt.Errorf("%d mutants: %w", undetected, errUndetected)
+		return fmt.Errorf("%d mutants %w", undetected, errNotAllDetected)
 	}
 	return nil
 }
@@ -115,7 +115,8 @@
 	return mutants, nil
 }
 
-// copyModule copies the files that git tracks or would add to dir, so that no build output is copied.
+// copyModule copies to dir the files that git tracks and the untracked ones that it does not ignore, so
+// that no build output is copied.
 func copyModule(dir string) error {
 	out, err := exec.Command("git", "ls-files", "-z", "--cached", "--others", "--exclude-standard").Output()
 	if err != nil {
@@ -146,7 +147,8 @@
 	detected = "detected"
 )
 
-// runMutant applies one mutant, runs its test and restores the file.
+// runMutant applies one mutant, runs its test and restores the file. It returns detected, "SURVIVED" or,
+// if the test gave no result, the reason.
 func runMutant(dir string, m mutant) string {
 	path := filepath.Join(dir, m.File)
 	source, err := os.ReadFile(path)
@@ -174,7 +176,7 @@
 }
 
 // runTest runs one test, given as "package Test/sub". It distinguishes a failed test from other errors,
-// such as a failed build.
+// such as a failed build, and returns passed, failed or the error.
 func runTest(dir, spec string) string {
 	pkg, name, ok := strings.Cut(spec, " ")
 	if !ok {
