--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -23,8 +23,8 @@
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Write a document as the next revision of its service",
-		Long: `apply validates a document and writes it to the key-value service if the service is still at the
-base revision. The base revision comes from --base or from the comment in the first line of a
+		Long: `apply validates a document and writes it to the key-value service if the service that it describes is
+still at the base revision. The base revision comes from --base or from the comment in the first line of a
 document from 'get'; it is 0 for a service that does not exist or is deleted. Once apply reports the
 new revision, the document is accepted and takes effect everywhere within 8 s.
 
@@ -59,7 +59,7 @@
 		}
 		base = f.base
 	}
-	r, err := registry.Apply(ctx, kv, f.service.Service, base, f.body, a.v.GetString(settingAuthor))
+	r, err := registry.Apply(ctx, kv, f.service.Service, base, f.body, a.settings.GetString(settingAuthor))
 	return a.reportWrite(&r, err)
 }
 
@@ -67,7 +67,7 @@
 	if !hasBase {
 		return usagef("--delete needs --base with the revision to delete")
 	}
-	r, err := registry.Delete(ctx, kv, service, base, a.v.GetString(settingAuthor))
+	r, err := registry.Delete(ctx, kv, service, base, a.settings.GetString(settingAuthor))
 	return a.reportWrite(&r, err)
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -153,7 +153,7 @@
 	require.Equal(t, ExitOK, runCLI(t, "", "completion", "bash").code)
 }
 
-// fakePeer serves an entry and the sidecar of its only worker. With hangDrain, Drain does not respond.
+// fakePeer serves an entry and the sidecar of its only backend server. With hangDrain, Drain does not respond.
 type fakePeer struct {
 	quetzallugv1connect.UnimplementedPeerServiceHandler
 	quetzallugv1connect.UnimplementedWorkerServiceHandler
@@ -210,7 +210,7 @@
 }
 
 // Guards against a command that fails because one of several entries is down, and against showing an outdated
-// load report of a worker.
+// load report of a backend server.
 func TestPeers(t *testing.T) {
 	recent, stale := startPeer(t, &fakePeer{reportAgeMS: 5}), startPeer(t, &fakePeer{reportAgeMS: 900})
 	t.Setenv("QUETZALLUG_KEY", "secret")
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -28,9 +28,9 @@
 	var f drainFlags
 	cmd := &cobra.Command{
 		Use:   "drain INSTANCE",
-		Short: "Stop new requests to a worker and let those in flight complete",
-		Long: `drain tells the sidecar of a worker to refuse new requests and reports the number of requests in
-flight. It does not interrupt requests and may be repeated. With --undo the worker takes requests
+		Short: "Stop new requests to a backend server and let those in flight complete",
+		Long: `drain tells the sidecar of a backend server to refuse new requests and reports the number of requests in
+flight. It does not interrupt requests and may be repeated. With --undo the backend server takes requests
 again. With --wait drain waits until no request is in flight, up to --timeout.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -48,11 +48,11 @@
 }
 
 func (a *app) drain(ctx context.Context, instance string, f drainFlags) error {
-	address, err := a.workerAddress(ctx, instance)
+	address, err := a.sidecarAddress(ctx, instance)
 	if err != nil {
 		return err
 	}
-	clients, err := a.connectPeers()
+	clients, err := a.newPeerClients()
 	if err != nil {
 		return err
 	}
@@ -79,18 +79,18 @@
 	}
 }
 
-// drainError distinguishes a drain that never reached the sidecar from one whose response was lost and which
-// may have taken effect.
+// drainError wraps an error of a Drain call. The result is an outcomeUnknownError if the request may have
+// reached the sidecar, so that the drain may have taken effect.
 func drainError(instance, address string, err error) error {
 	wrapped := fmt.Errorf("drain of %s at %s: %w", instance, address, err)
-	if unreachable(err) && !dialFailed(err) {
+	if noResponse(err) && !dialFailed(err) {
 		return &outcomeUnknownError{wrapped}
 	}
 	return wrapped
 }
 
-// workerAddress looks up the address of a worker's sidecar in the membership of the entries.
-func (a *app) workerAddress(ctx context.Context, instance string) (string, error) {
+// sidecarAddress asks all entries for their backend servers and returns the address of the sidecar of the named one.
+func (a *app) sidecarAddress(ctx context.Context, instance string) (string, error) {
 	responses, err := a.queryStatus(ctx)
 	if err != nil {
 		return "", err
@@ -102,5 +102,5 @@
 			}
 		}
 	}
-	return "", errors.New("no entry knows worker " + strconv.Quote(instance) + "; see 'quetzallug engines'")
+	return "", errors.New("no entry knows backend server " + strconv.Quote(instance) + "; see 'quetzallug engines'")
 }
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -26,7 +26,7 @@
 
 const exitCodesHelp = `Exit codes:
   0  ok
-  1  unexpected error, or the named service, worker, request or revision does not exist
+  1  unexpected error, or the named service, backend server, request or revision does not exist
   2  invalid arguments or settings
   3  invalid document
   4  conflict: the service is not at the base revision; nothing was written
@@ -52,7 +52,7 @@
 		usage          *usageError
 		conflict       *registry.ConflictError
 		unknownWrite   *registry.OutcomeUnknownError
-		unknownRequest *outcomeUnknownError
+		unknownOutcome *outcomeUnknownError
 	)
 	switch {
 	case err == nil:
@@ -63,16 +63,17 @@
 		return ExitInvalid
 	case errors.As(err, &conflict):
 		return ExitConflict
-	case errors.As(err, &unknownWrite), errors.As(err, &unknownRequest), errors.Is(err, external.ErrOutcomeUnknown):
+	case errors.As(err, &unknownWrite), errors.As(err, &unknownOutcome), errors.Is(err, external.ErrOutcomeUnknown):
 		return ExitOutcomeUnknown
-	case errors.Is(err, external.ErrUnavailable), unreachable(err):
+	case errors.Is(err, external.ErrUnavailable), noResponse(err):
 		return ExitUnavailable
 	}
 	return ExitUnexpected
 }
 
-// unreachable reports whether an error means that the peer could not be reached or did not respond in time.
-func unreachable(err error) bool {
+// noResponse reports whether err means that no response came: the connection failed, the time limit passed or
+// the call was cancelled.
+func noResponse(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return true
 	}
--- a/internal/cli/explainlogs.go
+++ b/internal/cli/explainlogs.go
@@ -11,7 +11,11 @@
 	"strings"
 )
 
-// logLine holds the fields of a gateway's log line about a request that explain uses.
+// logLine has the fields that explain reads from a line of a gateway's log. A line with the message "request" has
+// Outcome, Sends, Runs, UncachedTokens, ExpectedMS, FirstMS and ElapsedMS; one with the message "attempt" has Result
+// and TookMS. Reader is the prefill server, UncachedTokens the number of prompt tokens to prefill, and Config the
+// version of the configuration. Sends is the number of times that the request was sent to a backend server, Runs
+// the number of those in which it may have run.
 type logLine struct {
 	Time           string `json:"time"`
 	Instance       string `json:"instance"`
@@ -106,12 +110,12 @@
 			fmt.Fprintf(&b, "An attempt at %s of service %s ended after %d ms as %s (%s). ", orNone(l.Server), l.Service, l.TookMS, l.Result, orNone(l.Cause))
 		}
 	}
-	last := slices.IndexFunc(lines, func(l logLine) bool { return l.Message == "request" })
-	if last < 0 {
+	final := slices.IndexFunc(lines, func(l logLine) bool { return l.Message == "request" })
+	if final < 0 {
 		b.WriteString("There is no final line about the request: the gateway process ended, or the line was left out.")
 		return b.String()
 	}
-	l := lines[last]
+	l := lines[final]
 	switch l.Outcome {
 	case "answered":
 		fmt.Fprintf(&b, "%s answered by %s: first part after %d ms (expected %d ms), complete after %d ms.", l.Request, orNone(l.Server), l.FirstMS, l.ExpectedMS, l.ElapsedMS)
--- a/internal/cli/file.go
+++ b/internal/cli/file.go
@@ -35,7 +35,7 @@
 
 // readDocument reads and validates a document and prints the warnings. The name "-" stands for standard input.
 func (a *app) readDocument(name string) (*documentFile, error) {
-	body, err := a.readNormalised(name)
+	body, err := a.readWithLF(name)
 	if err != nil {
 		return nil, err
 	}
@@ -57,8 +57,8 @@
 	return f, nil
 }
 
-// readNormalised reads a file, or standard input for "-", and converts line ends to LF.
-func (a *app) readNormalised(name string) ([]byte, error) {
+// readWithLF reads a file, or standard input for "-", and converts line ends to LF.
+func (a *app) readWithLF(name string) ([]byte, error) {
 	input := a.streams.In
 	if name != "-" {
 		f, err := os.Open(name) //nolint:gosec // the operator names the file
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -21,11 +21,11 @@
 
 // gateways returns the addresses of the gateways. They may be separated by commas or spaces.
 func (a *app) gateways() []string {
-	return strings.FieldsFunc(strings.Join(a.v.GetStringSlice(settingGateway), ","), func(r rune) bool { return r == ',' || r == ' ' })
+	return strings.FieldsFunc(strings.Join(a.settings.GetStringSlice(settingGateway), ","), func(r rune) bool { return r == ',' || r == ' ' })
 }
 
 // queryGateways fetches the status of all gateways concurrently.
-func (a *app) queryGateways(ctx context.Context, addresses []string) ([]reply[*gateway.Status], error) {
+func (a *app) queryGateways(ctx context.Context, addresses []string) ([]response[*gateway.Status], error) {
 	return queryAll(a, "gateway", addresses, func(address string) (*gateway.Status, error) { return fetchStatus(ctx, address) })
 }
 
@@ -40,7 +40,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("status %d instead of 200: the address must be that of the readiness or metrics listener", resp.StatusCode)
+		return nil, fmt.Errorf("HTTP status %d instead of 200: the address must be that of the readiness or metrics listener", resp.StatusCode)
 	}
 	var s gateway.Status
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s); err != nil {
@@ -108,11 +108,11 @@
 	return a.emit(views, t)
 }
 
-// mergeServers sums the requests, tokens and connections of all gateways for each backend server. It takes the
-// registration from the gateway with the most recent data from the store, and the reported load from the one
-// with the most recent report.
-func mergeServers(responses []reply[*gateway.Status]) []serverView {
-	slices.SortStableFunc(responses, func(x, y reply[*gateway.Status]) int { return cmp.Compare(x.value.StoreAgeMS, y.value.StoreAgeMS) })
+// mergeServers sums the requests, tokens and connections of all gateways for each backend server. FailureRate is
+// the highest of all. It takes the registration from the gateway with the most recent data from the store, where a
+// gateway without data from the store sorts first, and the reported load from the one with the most recent report.
+func mergeServers(responses []response[*gateway.Status]) []serverView {
+	slices.SortStableFunc(responses, func(x, y response[*gateway.Status]) int { return cmp.Compare(x.value.StoreAgeMS, y.value.StoreAgeMS) })
 	merged := map[string]*serverView{}
 	for _, r := range responses {
 		for _, s := range r.value.Servers {
@@ -145,7 +145,7 @@
 	return out
 }
 
-// formatAge formats an age in milliseconds. A negative age means that there was no report yet.
+// formatAge formats an age in milliseconds. A negative age means that there is no data yet.
 func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -16,42 +16,42 @@
 	"github.com/quetzallug/quetzallug/internal/rpc"
 )
 
-// connectPeers returns RPC clients that authenticate with the cluster's shared key.
-func (a *app) connectPeers() (*rpc.Clients, error) {
+// newPeerClients returns RPC clients that authenticate with the cluster's shared key.
+func (a *app) newPeerClients() (*rpc.Clients, error) {
 	tlsConfig, err := rpc.TLSFiles{
-		Cert: a.v.GetString(settingTLSCert), Key: a.v.GetString(settingTLSKey), CA: a.v.GetString(settingTLSCA),
+		Cert: a.settings.GetString(settingTLSCert), Key: a.settings.GetString(settingTLSKey), CA: a.settings.GetString(settingTLSCA),
 	}.Load()
 	if err != nil {
 		return nil, &usageError{err}
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	auth := peerauth.NewInterceptor(peerauth.Credentials{Cluster: a.cluster(), Key: a.v.GetString(settingKey)}, log)
+	auth := peerauth.NewInterceptor(peerauth.Credentials{Cluster: a.cluster(), Key: a.settings.GetString(settingKey)}, log)
 	return rpc.NewClients(rpc.ClientConfig{TLS: tlsConfig, Interceptors: []connect.Interceptor{auth}}), nil
 }
 
-func (a *app) cluster() string { return a.v.GetString(settingCluster) }
+func (a *app) cluster() string { return a.settings.GetString(settingCluster) }
 
-// reply is the response of one entry or gateway.
-type reply[T any] struct {
+// response is the result of a call to one entry or gateway. value is unset if err is not nil.
+type response[T any] struct {
 	address string
 	value   T
 	err     error
 }
 
-// queryAll calls all addresses concurrently and returns the successful responses. Failures are printed, with
-// peerKind and the address. It returns an error only if every call fails.
-func queryAll[T any](a *app, peerKind string, addresses []string, call func(address string) (T, error)) ([]reply[T], error) {
-	responses := make([]reply[T], len(addresses))
+// queryAll calls all addresses concurrently and returns the successful responses. If some calls fail, it prints
+// their errors; if all fail, it returns the joined errors. Each error names peerKind and the address.
+func queryAll[T any](a *app, peerKind string, addresses []string, call func(address string) (T, error)) ([]response[T], error) {
+	responses := make([]response[T], len(addresses))
 	var wg sync.WaitGroup
 	for i, address := range addresses {
 		wg.Go(func() {
 			v, err := call(address)
-			responses[i] = reply[T]{address, v, err}
+			responses[i] = response[T]{address, v, err}
 		})
 	}
 	wg.Wait()
-	var succeeded []reply[T]
+	var succeeded []response[T]
 	var failures []error
 	for _, r := range responses {
 		if r.err != nil {
@@ -70,12 +70,12 @@
 }
 
 // queryEntries calls all entries concurrently.
-func queryEntries[T any](a *app, ctx context.Context, call func(context.Context, quetzallugv1connect.PeerServiceClient) (T, error)) ([]reply[T], error) {
+func queryEntries[T any](a *app, ctx context.Context, call func(context.Context, quetzallugv1connect.PeerServiceClient) (T, error)) ([]response[T], error) {
 	addresses, err := a.entries()
 	if err != nil {
 		return nil, err
 	}
-	clients, err := a.connectPeers()
+	clients, err := a.newPeerClients()
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	return queryAll(a, "entry", addresses, func(address string) (T, error) { return call(ctx, clients.Peer(address)) })
 }
 
-func (a *app) queryStatus(ctx context.Context) ([]reply[*quetzallugv1.StatusResponse], error) {
+func (a *app) queryStatus(ctx context.Context) ([]response[*quetzallugv1.StatusResponse], error) {
 	return queryEntries(a, ctx, func(ctx context.Context, c quetzallugv1connect.PeerServiceClient) (*quetzallugv1.StatusResponse, error) {
 		r, err := c.Status(ctx, connect.NewRequest(&quetzallugv1.StatusRequest{Cluster: a.cluster()}))
 		if err != nil {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -22,11 +22,11 @@
 
 // app is the state of one run of the tool.
 type app struct {
-	streams Streams
-	v       *viper.Viper
-	// parsed is set once the command line and the settings are known to be valid. Errors before that are
+	streams  Streams
+	settings *viper.Viper
+	// settingsValid is set once the command line and the settings are known to be valid. Errors before that are
 	// usage errors.
-	parsed bool
+	settingsValid bool
 	// openKV opens the key-value service. Tests may replace it.
 	openKV func(ctx context.Context, module, address string) (external.KV, func(), error)
 }
@@ -36,7 +36,7 @@
 	return newApp(s).run(ctx, args)
 }
 
-func newApp(s Streams) *app { return &app{streams: s, v: newViper(), openKV: openKV} }
+func newApp(s Streams) *app { return &app{streams: s, settings: newViper(), openKV: openKV} }
 
 func (a *app) run(ctx context.Context, args []string) int {
 	root := a.rootCommand() //nolint:contextcheck // cobra passes the context to each command
@@ -45,7 +45,7 @@
 	root.SetOut(a.streams.Out)
 	root.SetErr(a.streams.Err)
 	err := root.ExecuteContext(ctx)
-	if err != nil && !a.parsed {
+	if err != nil && !a.settingsValid {
 		err = &usageError{err}
 	}
 	if err != nil {
@@ -67,7 +67,7 @@
 			if err := a.checkSettings(); err != nil {
 				return err
 			}
-			a.parsed = true
+			a.settingsValid = true
 			return nil
 		},
 	}
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -41,7 +41,7 @@
 	envPrefix       = "QUETZALLUG"
 )
 
-var outputs = []string{"table", "json", "yaml"}
+var outputFormats = []string{"table", "json", "yaml"}
 
 func newViper() *viper.Viper {
 	v := viper.New()
@@ -63,9 +63,9 @@
 	fs.String(settingTLSCA, "", "CA certificate that signs the cluster's certificates, as PEM text or file")
 	fs.String(settingAuthor, defaultAuthor(), "author of a change, as shown in the history")
 	fs.Duration(settingTimeout, defaultTimeout, "time limit of a command")
-	fs.StringP(settingOutput, "o", "table", "output format: "+strings.Join(outputs, ", "))
+	fs.StringP(settingOutput, "o", "table", "output format: "+strings.Join(outputFormats, ", "))
 	// BindPFlags fails only for a nil flag.
-	_ = a.v.BindPFlags(fs)
+	_ = a.settings.BindPFlags(fs)
 }
 
 // defaultAuthor returns USER@HOST, as far as they are known.
@@ -81,21 +81,21 @@
 }
 
 func (a *app) checkSettings() error {
-	if o := a.output(); !slices.Contains(outputs, o) {
-		return usagef("output format %q is not one of %s", o, strings.Join(outputs, ", "))
+	if o := a.output(); !slices.Contains(outputFormats, o) {
+		return usagef("output format %q is not one of %s", o, strings.Join(outputFormats, ", "))
 	}
-	if d := a.v.GetDuration(settingTimeout); d <= 0 {
-		return usagef("timeout %q is not a positive duration such as 10s", a.v.GetString(settingTimeout))
+	if d := a.settings.GetDuration(settingTimeout); d <= 0 {
+		return usagef("timeout %q is not a positive duration such as 10s", a.settings.GetString(settingTimeout))
 	}
 	return nil
 }
 
-func (a *app) output() string { return a.v.GetString(settingOutput) }
+func (a *app) output() string { return a.settings.GetString(settingOutput) }
 
-// entries returns the addresses of the entries. They may be separated by commas or spaces, as in the
-// environment variable.
+// entries returns the addresses given by --entry or the environment variable, in which they are separated by
+// commas or spaces.
 func (a *app) entries() ([]string, error) {
-	addresses := strings.FieldsFunc(strings.Join(a.v.GetStringSlice(settingEntry), ","), func(r rune) bool {
+	addresses := strings.FieldsFunc(strings.Join(a.settings.GetStringSlice(settingEntry), ","), func(r rune) bool {
 		return r == ',' || r == ' '
 	})
 	if len(addresses) == 0 {
@@ -105,18 +105,18 @@
 }
 
 func (a *app) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, a.v.GetDuration(settingTimeout))
+	return context.WithTimeout(ctx, a.settings.GetDuration(settingTimeout))
 }
 
 // withKV opens the key-value service and calls run with it, within the time limit of the command.
 func (a *app) withKV(cmd *cobra.Command, run func(context.Context, external.KV) error) error {
-	address := a.v.GetString(settingKVAddress)
+	address := a.settings.GetString(settingKVAddress)
 	if address == "" {
 		return usagef("no address of the key-value service: set --%s or %s_KV_ADDRESS", settingKVAddress, envPrefix)
 	}
 	ctx, cancel := a.withTimeout(cmd.Context())
 	defer cancel()
-	kv, release, err := a.openKV(ctx, a.v.GetString(settingKVModule), address)
+	kv, release, err := a.openKV(ctx, a.settings.GetString(settingKVModule), address)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 func openKV(ctx context.Context, module, address string) (external.KV, func(), error) {
 	kv, err := kernel.Load[external.KV](ctx, module, kernel.Settings{"address": address})
 	if err != nil {
-		return nil, nil, &usageError{fmt.Errorf("key-value service: %w", err)}
+		return nil, nil, &usageError{fmt.Errorf("load the module of the key-value service: %w", err)}
 	}
 	return kv, func() { _ = kernel.Cleanup(kv) }, nil
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -39,7 +39,7 @@
 service. A gateway that does not respond is reported on standard error; the exit code is 5 only if
 none responds.
 
-Without it, status shows the documents in force at each entry. An entry that is not confirmed has not
+Without --gateway, status shows the documents in force at each entry. An entry that is not confirmed has not
 reached the key-value service since it started, neither directly nor through a peer. An entry that
 does not respond is reported on standard error; the exit code is 5 only if none responds.`,
 		Args: cobra.NoArgs,
@@ -90,6 +90,8 @@
 	}
 }
 
+// engineView is the status of a backend server as an entry reports it. The API and the alias of the engines command
+// call it a worker.
 type engineView struct {
 	Instance      string   `json:"instance"`
 	Address       string   `json:"address"`
@@ -103,10 +105,10 @@
 	Queued        uint32   `json:"queued"`
 	PrefillTokens uint64   `json:"prefill_tokens"`
 	DecodeTokens  uint64   `json:"decode_tokens"`
-	FreePieces    uint32   `json:"free_pieces"`
-	TotalPieces   uint32   `json:"total_pieces"`
+	FreeBlocks    uint32   `json:"free_pieces"`
+	TotalBlocks   uint32   `json:"total_pieces"`
 	ReportAgeMS   uint32   `json:"report_age_ms"`
-	// Entry is the address of the entry that reported this worker.
+	// Entry is the address of the entry that reported this backend server.
 	Entry string `json:"entry"`
 }
 
@@ -119,8 +121,8 @@
 		Long: `With --gateway, engines shows for each backend server the requests, prompt tokens not yet prefilled and
 connections of all given gateways together, and how many of the gateways send new requests to it.
 
-Without it, engines shows each worker once, with the most recent load report that any of the given
-entries has. FREE and TOTAL count pieces of 1,024 tokens.`,
+Without --gateway, engines shows each backend server once, with the most recent load report that any of the
+given entries has. FREE and TOTAL count blocks of 1,024 tokens of an engine's KV cache.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := a.withTimeout(cmd.Context())
@@ -141,8 +143,8 @@
 	return cmd
 }
 
-// mergeEngines returns each worker once, with its most recent load report.
-func mergeEngines(responses []reply[*quetzallugv1.StatusResponse]) []engineView {
+// mergeEngines returns each backend server once, with its most recent load report.
+func mergeEngines(responses []response[*quetzallugv1.StatusResponse]) []engineView {
 	latest := map[string]engineView{}
 	for _, r := range responses {
 		for _, w := range r.value.GetWorkers() {
@@ -163,7 +165,7 @@
 		Instance: w.GetInstance(), Address: w.GetAddress(), Service: w.GetService(), DataCentre: w.GetDataCentre(),
 		State: w.GetState(), Role: l.GetRole(), Models: append([]string{}, l.GetModels()...), Draining: l.GetDraining(),
 		Running: l.GetRunning(), Queued: l.GetQueued(), PrefillTokens: l.GetPrefillTokens(), DecodeTokens: l.GetDecodeTokens(),
-		FreePieces: l.GetFreePieces(), TotalPieces: l.GetTotalPieces(), ReportAgeMS: l.GetAgeMs(), Entry: entry,
+		FreeBlocks: l.GetFreePieces(), TotalBlocks: l.GetTotalPieces(), ReportAgeMS: l.GetAgeMs(), Entry: entry,
 	}
 }
 
@@ -175,7 +177,7 @@
 			state += ",draining"
 		}
 		t.add(v.Instance, v.Service, v.DataCentre, state, v.Role, strings.Join(v.Models, ","),
-			formatUint32(v.Running), formatUint32(v.Queued), formatUint32(v.FreePieces), formatUint32(v.TotalPieces), formatUint32(v.ReportAgeMS)+"ms")
+			formatUint32(v.Running), formatUint32(v.Queued), formatUint32(v.FreeBlocks), formatUint32(v.TotalBlocks), formatUint32(v.ReportAgeMS)+"ms")
 	}
 	return t
 }
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -31,7 +31,7 @@
 	results := make([]validationResult, len(files))
 	var faults document.Errors
 	for i, name := range files {
-		body, err := a.readNormalised(name)
+		body, err := a.readWithLF(name)
 		if err != nil {
 			return err
 		}
