--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -29,9 +29,9 @@
 	cmd := &cobra.Command{
 		Use:   "drain INSTANCE",
 		Short: "Stop new requests to a backend server and let those in flight complete",
-		Long: `drain tells the sidecar of a backend server to refuse new requests and reports the number of requests in
-flight. It does not interrupt requests and may be repeated. With --undo the backend server takes requests
-again. With --wait drain waits until no request is in flight, up to --timeout.`,
+		Long: `drain tells the sidecar of a backend server to refuse new requests and reports the number of
+requests in flight. It does not interrupt requests and may be repeated. With --undo the backend
+server takes requests again. With --wait drain waits until no request is in flight, up to --timeout.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if f.undo && f.wait {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -39,9 +39,9 @@
 service. A gateway that does not respond is reported on standard error; the exit code is 5 only if
 none responds.
 
-Without --gateway, status shows the documents in force at each entry. An entry that is not confirmed has not
-reached the key-value service since it started, neither directly nor through a peer. An entry that
-does not respond is reported on standard error; the exit code is 5 only if none responds.`,
+Without --gateway, status shows the documents in force at each entry. An entry that is not confirmed
+has not reached the key-value service since it started, neither directly nor through a peer. An entry
+that does not respond is reported on standard error; the exit code is 5 only if none responds.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := a.withTimeout(cmd.Context())
