--- a/test/path/apply_test.go
+++ b/test/path/apply_test.go
@@ -19,89 +19,91 @@
 	applyRestart = "restart during an outage"
 )
 
-// inForceBound is the bound of I9.
+// inForceBound is the time within which an accepted document must be in force in every process
+// (invariant I9).
 const inForceBound = 8 * time.Second
 
-func isApply(step string) bool {
+func isApplyStep(step string) bool {
 	return slices.Contains([]string{applyWrite, applySpread, applyRestart}, step)
 }
 
-// playApply lets an operator change a document, and restarts processes while the key-value service
-// is down.
-func playApply(w *world, step string) {
-	w.hook(event{step: applyWrite, entry: w.entries[0], worker: w.workers[0]})
-	if w.twoOperators.Load() {
+// runApply applies edits to a document as an operator does. At step applyRestart it also restarts
+// an entry and a sidecar while the key-value service is down.
+func runApply(dep *deployment, step string) {
+	dep.reachStep(event{step: applyWrite, entry: dep.entries[0], worker: dep.workers[0]})
+	if dep.twoOperators.Load() {
 		var wg sync.WaitGroup
-		wg.Go(func() { w.edit(1, 70) })
-		wg.Go(func() { w.edit(1, 71) })
+		wg.Go(func() { dep.applyEdit(1, 70) })
+		wg.Go(func() { dep.applyEdit(1, 71) })
 		wg.Wait()
 	} else {
-		w.edit(1, 70)
+		dep.applyEdit(1, 70)
 	}
-	w.hook(event{step: applySpread, entry: w.entries[0], worker: w.workers[0]})
-	if w.twoOperators.Load() && step != applyWrite {
+	dep.reachStep(event{step: applySpread, entry: dep.entries[0], worker: dep.workers[0]})
+	if dep.twoOperators.Load() && step != applyWrite {
 		var wg sync.WaitGroup
-		wg.Go(func() { w.edit(2, 72) })
-		wg.Go(func() { w.edit(2, 73) })
+		wg.Go(func() { dep.applyEdit(2, 72) })
+		wg.Go(func() { dep.applyEdit(2, 73) })
 		wg.Wait()
 	}
 	if step != applyRestart {
 		return
 	}
 	time.Sleep(inForceBound)
-	w.store.Faults().Set(kv.FaultState{Down: true})
-	for i, p := range []*process{w.entries[1].process, w.workers[1].process} {
+	dep.store.Faults().Set(kv.FaultState{Down: true})
+	for i, p := range []*process{dep.entries[1].process, dep.workers[1].process} {
 		p.kill()
 		if i == 0 {
-			w.startEntry(1)
+			dep.startEntry(1)
 		} else {
-			w.startWorker(1)
+			dep.startWorker(1)
 		}
 	}
-	w.hook(event{step: applyRestart, entry: w.entries[2], worker: w.workers[0]})
+	dep.reachStep(event{step: applyRestart, entry: dep.entries[2], worker: dep.workers[0]})
 	time.Sleep(outageTime)
-	// An older state of a restarted process shows in the check of revisions below.
-	for _, p := range []*process{w.entries[1].process, w.workers[1].process} {
-		if f := p.docs.Snapshot()[llm]; f != nil && f.Revision < w.topAccepted() {
-			w.regress("%s started with revision %d after %d was in force", p.inst.ID, f.Revision, w.topAccepted())
+	// Without the key-value service, a restarted process must get the accepted revision from its
+	// peers.
+	for _, p := range []*process{dep.entries[1].process, dep.workers[1].process} {
+		if f := p.docs.Snapshot()[llm]; f != nil && f.Revision < dep.highestAcceptedRevision() {
+			dep.recordRegression("%s started with revision %d after %d was in force", p.instance.ID, f.Revision, dep.highestAcceptedRevision())
 		}
 	}
-	w.store.Faults().Set(kv.FaultState{})
+	dep.store.Faults().Set(kv.FaultState{})
 }
 
-func (w *world) regress(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.regressed = append(w.regressed, fmt.Sprintf(format, args...))
+func (dep *deployment) recordRegression(format string, args ...any) {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	dep.regressions = append(dep.regressions, fmt.Sprintf(format, args...))
 }
 
-// topAccepted returns the highest revision that an operator was told is accepted.
-func (w *world) topAccepted() uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// highestAcceptedRevision returns the highest revision whose acceptance was reported to an operator.
+func (dep *deployment) highestAcceptedRevision() uint64 {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
 	var top uint64
-	for r := range w.accepts {
+	for r := range dep.acceptedEdits {
 		top = max(top, r)
 	}
 	return top
 }
 
-// edit applies a document based on a revision, as an operator does who repeats the command until
-// it says whether the change was accepted.
-func (w *world) edit(base uint64, queue int) {
+// applyEdit applies a document based on revision base. Like an operator, it repeats the command
+// until the result is definite: accepted or in conflict with another edit.
+func (dep *deployment) applyEdit(base uint64, queue int) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		r, err := registry.Apply(ctx, w.store, llm, base, body(llm, queue), fmt.Sprint("operator-", queue))
+		r, err := registry.Apply(ctx, dep.store, llm, base, documentBody(llm, queue), fmt.Sprint("operator-", queue))
 		cancel()
 		var conflict *registry.ConflictError
 		switch {
 		case err == nil:
-			w.mu.Lock()
-			w.accepts[r.Revision] = append(w.accepts[r.Revision], queue)
-			w.mu.Unlock()
-			if w.duplicateClaims.Load() {
-				// The command is given again with the same base.
-				_, _ = registry.Apply(context.Background(), w.store, llm, base, body(llm, queue), "again")
+			dep.mu.Lock()
+			dep.acceptedEdits[r.Revision] = append(dep.acceptedEdits[r.Revision], queue)
+			dep.mu.Unlock()
+			if dep.duplicateClaims.Load() {
+				// Repeats the accepted command with the same base revision.
+				_, _ = registry.Apply(context.Background(), dep.store, llm, base, documentBody(llm, queue), "again")
 			}
 			return
 		case errors.As(err, &conflict):
@@ -111,37 +113,37 @@
 	}
 }
 
-// inForce checks that the accepted document is in force everywhere and that each revision has one
-// author.
-func inForce(w *world, s *script) (bad []string) {
+// checkInForce checks that the accepted document is in force in every process and that each
+// revision was accepted for one edit only.
+func checkInForce(dep *deployment, s *script) (violations []string) {
 	time.Sleep(inForceBound)
-	r, err := registry.Get(context.Background(), w.store, llm)
+	r, err := registry.Get(context.Background(), dep.store, llm)
 	if err != nil {
 		return []string{"I9: " + err.Error()}
 	}
-	top := w.topAccepted()
+	top := dep.highestAcceptedRevision()
 	if top > r.Revision {
-		bad = append(bad, fmt.Sprintf("I9: accepted revision %d is lost, the key-value service has %d", top, r.Revision))
+		violations = append(violations, fmt.Sprintf("I9: accepted revision %d is lost, the key-value service holds %d", top, r.Revision))
 	}
-	for rev, queues := range w.accepts {
+	for rev, queues := range dep.acceptedEdits {
 		if len(queues) > 1 {
-			bad = append(bad, fmt.Sprintf("I9: revision %d was accepted for %v", rev, queues))
+			violations = append(violations, fmt.Sprintf("I9: revision %d was accepted for several edits: %v", rev, queues))
 		}
 	}
-	if len(w.accepts) == 0 && s.faults[0] != lost {
-		bad = append(bad, "I9: no edit was accepted")
+	if len(dep.acceptedEdits) == 0 && s.faults[0] != responseLost {
+		violations = append(violations, "I9: no edit was accepted")
 	}
 	var all []*process
-	for _, p := range w.entries {
+	for _, p := range dep.entries {
 		all = append(all, p.process)
 	}
-	for _, p := range w.workers {
+	for _, p := range dep.workers {
 		all = append(all, p.process)
 	}
 	for _, p := range all {
 		if f := p.docs.Snapshot()[llm]; f == nil || f.Revision != r.Revision || string(f.Body) != string(r.Body) {
-			bad = append(bad, fmt.Sprintf("I9: %s does not hold revision %d", p.inst.ID, r.Revision))
+			violations = append(violations, fmt.Sprintf("I9: %s does not hold revision %d", p.instance.ID, r.Revision))
 		}
 	}
-	return bad
+	return violations
 }
--- a/test/path/caller_test.go
+++ b/test/path/caller_test.go
@@ -20,51 +20,53 @@
 const (
 	callerTimeout = 60 * time.Second
 	answerTokens  = 16
-	// pairTokens is the prompt length from which the world prefills on another engine.
-	pairTokens = 100
+	// remotePrefillTokens is the shortest prompt that is prefilled on another engine.
+	remotePrefillTokens = 100
 )
 
-// ask is one request of a caller.
-type ask struct {
-	kind   string // kind of the document
+// callerRequest is one request of a caller.
+type callerRequest struct {
+	kind   string // request kind, as the document declares it
 	stream bool
 	key    string
-	// n makes prompts and paths differ.
+	// n makes the prompts and paths of different requests distinct.
 	n int
-	// pair asks for prefill on another engine.
-	pair bool
+	// remotePrefill makes the prompt long enough to be prefilled on another engine.
+	remotePrefill bool
 }
 
-func (a ask) isModel() bool {
-	return a.kind == "arrival-verdict" || a.kind == "chat" || a.kind == "order"
+func (r callerRequest) isModel() bool {
+	return r.kind == "arrival-verdict" || r.kind == "chat" || r.kind == "order"
 }
 
-func (a ask) repeatable() bool { return a.kind != "order" && a.kind != "alert-acknowledgement" }
+func (r callerRequest) repeatable() bool {
+	return r.kind != "order" && r.kind != "alert-acknowledgement"
+}
 
-func (a ask) prompt() string {
+func (r callerRequest) prompt() string {
 	words := 10
-	if a.pair {
-		words = 2 * pairTokens
+	if r.remotePrefill {
+		words = 2 * remotePrefillTokens
 	}
-	return strings.Repeat(fmt.Sprint("stop", a.n, " "), words)
+	return strings.Repeat(fmt.Sprint("stop", r.n, " "), words)
 }
 
-func (a ask) path() string {
-	if a.kind == "schedule-read" {
-		return fmt.Sprint("/stops/", a.n)
+func (r callerRequest) path() string {
+	if r.kind == "schedule-read" {
+		return fmt.Sprint("/stops/", r.n)
 	}
-	return fmt.Sprint("/alerts/", a.n)
+	return fmt.Sprint("/alerts/", r.n)
 }
 
 // observation is what a caller received.
 type observation struct {
-	ask
+	callerRequest
 	entry  string
 	id     string // request ID, empty if no response arrived
 	status int
-	// complete says that the answer was presented as whole.
+	// complete is true if the response was marked as complete.
 	complete bool
-	// outcome is the typed outcome of an error, empty if none arrived.
+	// outcome is the type of the error body, empty if none arrived.
 	outcome, code string
 	text          string
 	err           error
@@ -75,34 +77,36 @@
 	return fmt.Sprintf("%s n=%d key=%q via %s: id %s, status %d, complete %t, outcome %q (%s), error %v", o.kind, o.n, o.key, o.entry, o.id, o.status, o.complete, o.outcome, o.code, o.err)
 }
 
-// send makes one call through an entry and records what came back.
-func (w *world) send(i int, a ask) *observation {
-	w.mu.Lock()
-	p := w.entries[i]
-	if p.unbalanced {
-		p = w.entries[(i+1)%len(w.entries)]
+// send makes one call through an entry, or through the next one if it is out of rotation, and
+// records the result.
+func (dep *deployment) send(i int, r callerRequest) *observation {
+	dep.mu.Lock()
+	p := dep.entries[i]
+	if p.outOfRotation {
+		p = dep.entries[(i+1)%len(dep.entries)]
 	}
-	w.mu.Unlock()
-	o := &observation{ask: a, entry: p.inst.ID}
-	w.receive(o, "http://"+p.addr)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.calls = append(w.calls, o)
+	dep.mu.Unlock()
+	o := &observation{callerRequest: r, entry: p.instance.ID}
+	dep.exchange(o, "http://"+p.callerAddr)
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	dep.calls = append(dep.calls, o)
 	return o
 }
 
-// retried sends again through the next entry, as a caller behind the balancer does, until an
-// answer or a typed error arrives. Only requests that are safe to repeat are sent again.
-func (w *world) retried(i int, a ask) *observation {
-	o := w.send(i, a)
-	for n := 1; n < 4 && !o.complete && (a.repeatable() || a.key != "" || o.outcome == "not_run"); n++ {
+// sendWithRetries sends a request up to four times until it gets a complete answer, each time
+// through the next entry, as a caller behind a load balancer does. It repeats only requests that
+// are repeatable, have an idempotency key or were answered with not_run.
+func (dep *deployment) sendWithRetries(i int, r callerRequest) *observation {
+	o := dep.send(i, r)
+	for n := 1; n < 4 && !o.complete && (r.repeatable() || r.key != "" || o.outcome == "not_run"); n++ {
 		time.Sleep(time.Second)
-		o = w.send((i+n)%len(w.entries), a)
+		o = dep.send((i+n)%len(dep.entries), r)
 	}
 	return o
 }
 
-func (w *world) receive(o *observation, base string) {
+func (dep *deployment) exchange(o *observation, base string) {
 	method, url, body := http.MethodPost, base+"/svc/"+api+o.path(), fmt.Sprint("body ", o.n)
 	if o.isModel() {
 		b, _ := json.Marshal(map[string]any{"model": model, "prompt": o.prompt(), "max_tokens": answerTokens, "stream": o.stream, "seed": o.n})
@@ -121,7 +125,7 @@
 	if o.key != "" {
 		r.Header.Set("Idempotency-Key", o.key)
 	}
-	resp, err := w.caller.Do(r)
+	resp, err := dep.callerClient.Do(r)
 	if err != nil {
 		o.err = err
 		return
@@ -182,32 +186,33 @@
 	}
 }
 
-// arrival is an attempt's arrival at one incarnation of a worker.
+// arrival is the arrival of an attempt at one incarnation of a worker.
 type arrival struct {
 	at     time.Time
 	worker string
 }
 
-// name tells the incarnations of a worker apart.
-func (p *workerProc) name() string { return p.inst.ID + "#" + p.inc }
+// name identifies one incarnation of a worker.
+func (p *workerProcess) name() string { return p.instance.ID + "#" + p.incarnation }
 
-// drainRecord is a worker that took no new work in a period.
-type drainRecord struct {
-	worker     string
-	from, till time.Time
+// drainPeriod is a period in which a worker must not begin new work. A zero end means that the
+// drain goes on.
+type drainPeriod struct {
+	worker      string
+	from, until time.Time
 }
 
-func (w *world) noteAccepted(p *workerProc, r *v1.ExecuteRequest) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (dep *deployment) recordArrival(p *workerProcess, r *v1.ExecuteRequest) {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
 	key := fmt.Sprintf("%s/%d", r.GetRequestId(), r.GetAttempt())
-	if _, ok := w.accepted[key]; !ok {
-		w.accepted[key] = arrival{time.Now(), p.name()}
+	if _, ok := dep.firstArrivals[key]; !ok {
+		dep.firstArrivals[key] = arrival{time.Now(), p.name()}
 	}
 	if r.GetRepeatable() && r.GetIncarnation() == "" {
-		w.unbound[key] = true
+		dep.withoutIncarnation[key] = true
 	}
-	w.delivered[p.slot] = append(w.delivered[p.slot], proto.CloneOf(r))
+	dep.delivered[p.slot] = append(dep.delivered[p.slot], proto.CloneOf(r))
 }
 
 // run is one request that a backend server began.
@@ -218,10 +223,10 @@
 	isGet            bool
 }
 
-// runs reads the journals.
-func (w *world) runs() []run {
+// runs returns the requests in the journals of all backend servers.
+func (dep *deployment) runs() []run {
 	var all []run
-	for _, p := range w.workers {
+	for _, p := range dep.workers {
 		if p.engine != nil {
 			for _, r := range p.engine.Journal() {
 				if r.Kind == engine.RequestQueued {
@@ -238,25 +243,25 @@
 	return all
 }
 
-// check compares what callers received with what the backend servers did, and returns the
-// violations.
-func (w *world) check() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	bad := append([]string(nil), w.regressed...)
-	fail := func(format string, args ...any) { bad = append(bad, fmt.Sprintf(format, args...)) }
+// check compares what callers received with what the backend servers ran, and returns the
+// violated invariants.
+func (dep *deployment) check() []string {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	violations := append([]string(nil), dep.regressions...)
+	fail := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	byID, byKey, byAttempt := map[string]int{}, map[string]int{}, map[string]int{}
-	for _, r := range w.runs() {
+	for _, r := range dep.runs() {
 		byID[r.id]++
 		if r.key != "" && !r.isGet {
 			byKey[r.key]++
 		}
-		if r.attempt != "" && !w.unbound[r.attempt] {
+		if r.attempt != "" && !dep.withoutIncarnation[r.attempt] {
 			byAttempt[fmt.Sprint(r.slot, " ", r.attempt)]++
 		}
-		for _, d := range w.drains {
-			a, ok := w.accepted[r.attempt]
-			if ok && a.worker == d.worker && a.at.After(d.from) && (d.till.IsZero() || a.at.Before(d.till)) {
+		for _, d := range dep.drains {
+			a, ok := dep.firstArrivals[r.attempt]
+			if ok && a.worker == d.worker && a.at.After(d.from) && (d.until.IsZero() || a.at.Before(d.until)) {
 				fail("I7: %s began %s after its drain began", d.worker, r.attempt)
 			}
 		}
@@ -272,8 +277,8 @@
 		}
 	}
 	answers := map[string]string{}
-	for _, o := range w.calls {
-		bad = append(bad, o.check(byID)...)
+	for _, o := range dep.calls {
+		violations = append(violations, o.check(byID)...)
 		if o.complete && o.key != "" {
 			if first, ok := answers[o.key]; ok && first != string(o.body) {
 				fail("I4: key %s was answered %q, then %q", o.key, first, o.body)
@@ -281,38 +286,38 @@
 			answers[o.key] = string(o.body)
 		}
 	}
-	for _, p := range w.workers {
+	for _, p := range dep.workers {
 		if p.engine == nil {
 			continue
 		}
 		for _, v := range p.engine.Violations() {
-			fail("I2: engine of %s: %s %s", p.inst.ID, v.Kind, v.RequestID)
+			fail("I2: engine of %s: %s %s", p.instance.ID, v.Kind, v.RequestID)
 		}
 	}
-	return bad
+	return violations
 }
 
-func (o *observation) check(runs map[string]int) (bad []string) {
+func (o *observation) check(runs map[string]int) (violations []string) {
 	fail := func(format string, args ...any) {
-		bad = append(bad, fmt.Sprintf(format, args...)+": "+o.String())
+		violations = append(violations, fmt.Sprintf(format, args...)+": "+o.String())
 	}
 	if o.outcome == "not_run" && o.id != "" && runs[o.id] > 0 {
-		fail("I5: told not_run, but ran")
+		fail("I5: reported as not_run, but ran")
 	}
 	if !o.repeatable() && runs[o.id] > 1 {
 		fail("I6: ran %d times", runs[o.id])
 	}
 	if !o.complete {
-		if o.isModel() && !strings.HasPrefix(o.want(), o.text) {
-			fail("I4: part %q is not of the answer", o.text)
+		if o.isModel() && !strings.HasPrefix(o.expectedText(), o.text) {
+			fail("I4: partial text %q is not a prefix of the expected answer", o.text)
 		}
-		return bad
+		return violations
 	}
 	if o.isModel() {
-		if o.text != o.want() {
-			fail("I4: answer %q, want %q", o.text, o.want())
+		if o.text != o.expectedText() {
+			fail("I4: answer %q, want %q", o.text, o.expectedText())
 		}
-		return bad
+		return violations
 	}
 	var a backend.Answer
 	switch err := json.Unmarshal(o.body, &a); {
@@ -323,12 +328,12 @@
 	case o.key == "" && a.RequestID != o.id:
 		fail("I4: answer belongs to request %s", a.RequestID)
 	case runs[a.RequestID] == 0:
-		fail("I4: answer of request %s that never ran", a.RequestID)
+		fail("I4: answer belongs to request %s, which never ran", a.RequestID)
 	}
-	return bad
+	return violations
 }
 
-func (o *observation) want() string {
+func (o *observation) expectedText() string {
 	text, _, _ := engine.Answer(&external.GenerateRequest{Model: model, Prompt: o.prompt(), MaxTokens: answerTokens, Seed: uint64(o.n)})
 	return text
 }
--- a/test/path/drain_test.go
+++ b/test/path/drain_test.go
@@ -26,205 +26,208 @@
 const (
 	lameDuck     = time.Second
 	drainTimeout = 30 * time.Second
-	// leavingPoll and leavingBound are the sidecar's look at the list and the bound of I7.
+	// leavingPoll is the interval at which a sidecar reads the instance list. leavingBound is the
+	// time within which it must refuse new work once the list names it as leaving (invariant I7).
 	leavingPoll  = 200 * time.Millisecond
 	leavingBound = 3 * time.Second
 )
 
-// harmless faults may not make a drain cut a request.
-var harmless = []string{none, kvDown, kvSlow, noReports}
+// nonDisruptiveFaults are the faults under which a drain must not interrupt a request.
+var nonDisruptiveFaults = []string{noFault, kvDown, kvSlow, loadReportsLost}
 
-// none is the drain without a fault.
-const none = "none"
+// noFault marks a cell in which nothing fails.
+const noFault = "none"
 
-// playDrain drains a part in the middle of an answer, while callers go on.
-func playDrain(w *world, step string) {
-	inner := w.onStep
+// runDrain drains a process in the middle of an answer, while callers continue to send requests.
+func runDrain(dep *deployment, step string) {
+	previousHook := dep.onStep
 	var once sync.Once
 	var drained sync.WaitGroup
-	w.setHook(func(e event) {
-		inner(e)
+	dep.setStepHook(func(e event) {
+		previousHook(e)
 		if e.step == "middle of the stream" {
 			once.Do(func() {
-				w.mu.Lock()
-				en := w.entries[0]
-				w.mu.Unlock()
-				drained.Go(func() { w.drain(step, en, e.worker) })
+				dep.mu.Lock()
+				en := dep.entries[0]
+				dep.mu.Unlock()
+				drained.Go(func() { dep.drain(step, en, e.worker) })
 			})
 		}
 	})
-	traffic := func(n int) {
-		w.together(
-			ask{kind: "arrival-verdict", stream: true, n: n}, ask{kind: "arrival-verdict", n: n + 1}, ask{kind: "order", stream: true, n: n + 2},
-			ask{kind: "alert-acknowledgement", n: n + 3}, ask{kind: "schedule-read", n: n + 4}, ask{kind: "chat", stream: true, n: n + 5},
+	sendTraffic := func(n int) {
+		dep.sendConcurrently(
+			callerRequest{kind: "arrival-verdict", stream: true, n: n}, callerRequest{kind: "arrival-verdict", n: n + 1}, callerRequest{kind: "order", stream: true, n: n + 2},
+			callerRequest{kind: "alert-acknowledgement", n: n + 3}, callerRequest{kind: "schedule-read", n: n + 4}, callerRequest{kind: "chat", stream: true, n: n + 5},
 		)
 	}
 	var wg sync.WaitGroup
 	for i := range 8 {
-		wg.Go(func() { traffic(10 * i) })
+		wg.Go(func() { sendTraffic(10 * i) })
 		time.Sleep(time.Duration(5+20*i) * time.Millisecond)
 	}
 	time.Sleep(leavingBound)
-	traffic(80)
+	sendTraffic(80)
 	wg.Wait()
 	drained.Wait()
 }
 
-func (w *world) drain(step string, en *entryProc, p *workerProc) {
-	begun := func() { w.hook(event{step: step, entry: en, worker: p}) }
+func (dep *deployment) drain(step string, en *entryProcess, p *workerProcess) {
+	onBegin := func() { dep.reachStep(event{step: step, entry: en, worker: p}) }
 	switch step {
 	case drainOrder:
-		w.drainForOrder(p, begun)
+		dep.drainForOrder(p, onBegin)
 	case drainLeaving:
-		w.drainLeaving(p, begun)
+		dep.drainLeaving(p, onBegin)
 	case drainSidecar:
-		p.sc.Leave()
-		w.noteDrain(p, time.Now())
-		begun()
-		w.sendLate(p)
-		w.stopSidecar(p)
+		p.sidecar.Leave()
+		dep.recordDrain(p, time.Now())
+		onBegin()
+		dep.sendLate(p)
+		dep.stopSidecar(p)
 	case drainEntry:
-		begun()
-		w.stopEntry(en)
+		onBegin()
+		dep.stopEntry(en)
 	}
 }
 
-// drainForOrder drains an engine and applies an order, as the executor of orders does.
-func (w *world) drainForOrder(p *workerProc, begun func()) {
+// drainForOrder drains an engine and then applies an order to it, as the order executor does.
+func (dep *deployment) drainForOrder(p *workerProcess, onBegin func()) {
 	ctx, cancel := context.WithTimeout(p.host.Ctx, drainTimeout)
 	defer cancel()
-	_ = p.sc.BeginDrain(ctx)
-	w.noteDrain(p, time.Now())
-	begun()
-	w.sendLate(p)
-	defer p.sc.EndDrain()
-	defer w.endDrain(p)
-	if p.sc.Wait(ctx) == nil && w.net.Awake(ctx, p.host) == nil {
-		_ = p.engine.Apply(ctx, external.EngineOrder{Fence: 1, Number: uint64(p.slot + 1), Config: initial})
+	_ = p.sidecar.BeginDrain(ctx)
+	dep.recordDrain(p, time.Now())
+	onBegin()
+	dep.sendLate(p)
+	defer p.sidecar.EndDrain()
+	defer dep.endDrain(p)
+	if p.sidecar.Wait(ctx) == nil && dep.net.Awake(ctx, p.host) == nil {
+		_ = p.engine.Apply(ctx, external.EngineOrder{Fence: 1, Number: uint64(p.slot + 1), Config: initialConfig})
 	}
 }
 
-// drainLeaving lets the platform's list name the worker as leaving. The sidecar learns it from the
-// list and drains, as the daemon does.
-func (w *world) drainLeaving(p *workerProc, begun func()) {
-	in := p.inst
+// drainLeaving marks the worker as leaving in the platform's instance list. As in the daemon, the
+// sidecar reads this from the list and drains.
+func (dep *deployment) drainLeaving(p *workerProcess, onBegin func()) {
+	in := p.instance
 	in.State = external.InstanceLeaving
-	w.publish(in)
-	w.noteDrain(p, time.Now().Add(leavingBound))
-	begun()
+	dep.publish(in)
+	dep.recordDrain(p, time.Now().Add(leavingBound))
+	onBegin()
 	for left := false; !left && p.host.Ctx.Err() == nil; {
 		pause.For(p.host.Ctx, leavingPoll)
-		s, err := w.list.Instances(p.host.Ctx, 0)
+		s, err := dep.list.Instances(p.host.Ctx, 0)
 		left = err == nil && slices.ContainsFunc(s.Instances, func(in external.Instance) bool {
-			return in.ID == p.inst.ID && in.State == external.InstanceLeaving
+			return in.ID == p.instance.ID && in.State == external.InstanceLeaving
 		})
 	}
-	p.sc.Leave()
-	w.noteDrain(p, time.Now())
-	w.sendLate(p)
-	w.stopSidecar(p)
+	p.sidecar.Leave()
+	dep.recordDrain(p, time.Now())
+	dep.sendLate(p)
+	dep.stopSidecar(p)
 }
 
-// sendLate delivers a request of an entry that has not heard of a drain.
-func (w *world) sendLate(p *workerProc) {
+// sendLate delivers a request from an entry that does not know of the drain yet.
+func (dep *deployment) sendLate(p *workerProcess) {
 	time.Sleep(time.Millisecond)
 	r := &v1.ExecuteRequest{
-		Cluster: cluster, RequestId: "late-" + p.inc, Attempt: 1, Service: llm, Kind: "chat", Incarnation: p.inc, RemainingMs: 1000,
+		Cluster: cluster, RequestId: "late-" + p.incarnation, Attempt: 1, Service: llm, Kind: "chat", Incarnation: p.incarnation, RemainingMs: 1000,
 		Repeatable: true, Request: &v1.ExecuteRequest_Model{Model: &v1.ModelRequest{Model: model, Prompt: "late", PromptTokens: 1, MaxTokens: 1}},
 	}
-	w.noteAccepted(p, r)
-	p.done.Go(func() { _ = p.sc.Execute(p.host.Ctx, r, discard{}) })
+	dep.recordArrival(p, r)
+	p.done.Go(func() { _ = p.sidecar.Execute(p.host.Ctx, r, discard{}) })
 }
 
-// stopSidecar is the rest of a sidecar's graceful shutdown. Another process takes its slot later.
-func (w *world) stopSidecar(p *workerProc) {
-	defer w.endDrain(p)
+// stopSidecar finishes the graceful shutdown of a sidecar that has left, and starts another process
+// in its slot.
+func (dep *deployment) stopSidecar(p *workerProcess) {
+	defer dep.endDrain(p)
 	pause.For(p.host.Ctx, max(lameDuck, leavingBound+time.Second))
 	ctx, cancel := context.WithTimeout(p.host.Ctx, drainTimeout)
 	defer cancel()
-	_ = p.sc.Wait(ctx)
+	_ = p.sidecar.Wait(ctx)
 	_ = p.servers[0].Shutdown(ctx)
 	if p.host.Ctx.Err() == nil {
 		p.kill()
-		w.startWorker(p.slot)
+		dep.startWorker(p.slot)
 	}
 }
 
-// stopEntry is an entry's graceful shutdown. The balancer sends no new callers from now on.
-func (w *world) stopEntry(p *entryProc) {
-	p.caller.SetKeepAlivesEnabled(false)
-	w.setBalanced(p, false)
+// stopEntry shuts an entry down gracefully and starts another one in its place. The load balancer
+// sends it no new calls from the beginning of the shutdown.
+func (dep *deployment) stopEntry(p *entryProcess) {
+	p.callerServer.SetKeepAlivesEnabled(false)
+	dep.setInRotation(p, false)
 	pause.For(p.host.Ctx, lameDuck)
 	ctx, cancel := context.WithTimeout(p.host.Ctx, drainTimeout)
 	defer cancel()
-	_ = p.caller.Shutdown(ctx)
-	_ = p.commit.Close(ctx)
+	_ = p.callerServer.Shutdown(ctx)
+	_ = p.committer.Close(ctx)
 	if p.host.Ctx.Err() == nil {
 		p.kill()
-		w.startEntry(0)
+		dep.startEntry(0)
 	}
 }
 
-func (w *world) setBalanced(p *entryProc, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p.unbalanced = !on
+func (dep *deployment) setInRotation(p *entryProcess, on bool) {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	p.outOfRotation = !on
 }
 
-func (w *world) noteDrain(p *workerProc, from time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.drains = append(w.drains, drainRecord{worker: p.name(), from: from})
+func (dep *deployment) recordDrain(p *workerProcess, from time.Time) {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	dep.drains = append(dep.drains, drainPeriod{worker: p.name(), from: from})
 }
 
-// endDrain ends the drains of a worker, because it takes work again or is replaced.
-func (w *world) endDrain(p *workerProc) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := range w.drains {
-		if d := &w.drains[i]; d.worker == p.name() && d.till.IsZero() {
-			d.till = time.Now()
+// endDrain records the end of a worker's drain: it takes work again or is replaced.
+func (dep *deployment) endDrain(p *workerProcess) {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	for i := range dep.drains {
+		if d := &dep.drains[i]; d.worker == p.name() && d.until.IsZero() {
+			d.until = time.Now()
 		}
 	}
 }
 
-// drainCutNothing checks that a drain that met only harmless faults interrupted no request but
-// those of kinds that allow it.
-func drainCutNothing(w *world, s *script) (bad []string) {
-	if !slices.Contains(harmless, s.faults[0]) {
+// checkDrain checks that a drain under a non-disruptive fault interrupted no request and that no
+// engine cut a request off.
+func checkDrain(dep *deployment, s *script) (violations []string) {
+	if !slices.Contains(nonDisruptiveFaults, s.faults[0]) {
 		return nil
 	}
-	for _, o := range w.calls {
+	for _, o := range dep.calls {
 		if o.n < 100 && !o.complete && o.outcome != "not_run" {
-			bad = append(bad, "I8: a drain cut "+o.String())
+			violations = append(violations, "I8: a drain interrupted "+o.String())
 		}
 	}
-	if len(w.drains) == 0 && s.step != drainEntry {
-		bad = append(bad, "no drain began")
+	if len(dep.drains) == 0 && s.step != drainEntry {
+		violations = append(violations, "no drain began")
 	}
-	for _, p := range w.workers {
+	for _, p := range dep.workers {
 		if p.engine == nil {
 			continue
 		}
 		for _, r := range p.engine.Journal() {
 			if r.Kind == engine.RequestCut {
-				bad = append(bad, fmt.Sprintf("I2: engine of %s cut %s", p.inst.ID, r.RequestID))
+				violations = append(violations, fmt.Sprintf("I2: engine of %s cut %s", p.instance.ID, r.RequestID))
 			}
 		}
 	}
-	return bad
+	return violations
 }
 
-// Guards against a drain that cuts requests although nothing fails.
+// Guards against a drain that interrupts requests although nothing fails.
 func TestDrainMatrix(t *testing.T) {
 	r := faultmatrix.NewRegistry()
 	t.Cleanup(func() { r.Report(t) })
 	p := &protocols[slices.IndexFunc(protocols, func(p protocol) bool { return p.name == "drain" })]
 	for _, step := range p.steps {
-		c := p.cell(step, none)
+		c := p.cell(step, noFault)
 		r.Declare(c)
 		r.Run(t, c, func(t *testing.T) {
-			requireNone(t, p.playCell(t, &script{step: step, faults: c.Faults, on: hitsWorker}))
+			requireNoViolations(t, p.runCell(t, &script{step: step, faults: c.Faults, on: targetWorker}))
 		})
 	}
 }
--- a/test/path/faults_test.go
+++ b/test/path/faults_test.go
@@ -10,245 +10,247 @@
 
 // Faults of the matrix.
 const (
-	killed    = "killed"
-	paused    = "paused past its timeouts"
-	cutTo     = "cut entry to sidecar"
-	cutFrom   = "cut sidecar to entry"
-	lost      = "response lost"
-	duplicate = "duplicate delivery"
-	reordered = "frames reordered"
-	gaps      = "frames lost"
-	foreign   = "frame of another request"
-	again     = "restarted, request delivered again"
-	kvDown    = "key-value service down"
-	kvSlow    = "key-value service slow"
-	crash     = "engine crash"
-	staleList = "stale instance list"
-	noReports = "load reports lost"
-	operators = "two operators"
+	processKilled           = "killed"
+	processPaused           = "paused past its timeouts"
+	cutEntryToSidecar       = "cut entry to sidecar"
+	cutSidecarToEntry       = "cut sidecar to entry"
+	responseLost            = "response lost"
+	duplicateDelivery       = "duplicate delivery"
+	framesReordered         = "frames reordered"
+	framesLost              = "frames lost"
+	foreignFrame            = "frame of another request"
+	restartedAndRedelivered = "restarted, request delivered again"
+	kvDown                  = "key-value service down"
+	kvSlow                  = "key-value service slow"
+	engineCrash             = "engine crash"
+	staleList               = "stale instance list"
+	loadReportsLost         = "load reports lost"
+	concurrentOperators     = "two operators"
 )
 
-var allFaults = []string{killed, paused, cutTo, cutFrom, lost, duplicate, reordered, gaps, foreign, again, kvDown, kvSlow, crash, staleList, noReports}
+var allFaults = []string{processKilled, processPaused, cutEntryToSidecar, cutSidecarToEntry, responseLost, duplicateDelivery, framesReordered, framesLost, foreignFrame, restartedAndRedelivered, kvDown, kvSlow, engineCrash, staleList, loadReportsLost}
 
 const (
 	restartTime = 2 * time.Second
-	// pauseTime exceeds the deadlines of all kinds but chat, and every timeout between processes.
+	// pauseTime exceeds the deadlines of all kinds except chat, and every timeout between processes.
 	pauseTime   = 12 * time.Second
 	cutTime     = 10 * time.Second
 	outageTime  = 6 * time.Second
 	messageTime = 5 * time.Second
-	// settleTime covers the longest fault, a second one and the back-off of probes.
+	// settleTime covers the longest fault, a second fault and the back-off of health probes.
 	settleTime = 30 * time.Second
 )
 
-// hits says which process a fault of a process meets.
-type hits string
+// faultTarget selects the process that a process fault is injected into.
+type faultTarget string
 
 const (
-	hitsEntry  hits = "entry"
-	hitsWorker hits = "worker"
+	targetEntry  faultTarget = "entry"
+	targetWorker faultTarget = "worker"
 )
 
-// targets returns the processes that a fault can meet; other faults have one variant.
-func targets(fault string) []hits {
-	if fault == killed || fault == paused {
-		return []hits{hitsEntry, hitsWorker}
+// targets returns the targets with which a fault is tested. Only process faults have more than one.
+func targets(fault string) []faultTarget {
+	if fault == processKilled || fault == processPaused {
+		return []faultTarget{targetEntry, targetWorker}
 	}
-	return []hits{hitsWorker}
+	return []faultTarget{targetWorker}
 }
 
-// later undoes a fault after a time.
-func (w *world) later(d time.Duration, f func()) {
+// runAfter runs f after d, in most cases to end a fault.
+func (dep *deployment) runAfter(d time.Duration, f func()) {
 	go func() {
 		time.Sleep(d)
 		f()
 	}()
 }
 
-// inject applies a fault around an event.
-func (w *world) inject(fault string, on hits, e event) {
-	e = w.present(e, "")
+// inject applies a fault to the processes of an event.
+func (dep *deployment) inject(fault string, on faultTarget, e event) {
+	e = dep.resolve(e, "")
 	en, wk := e.entry, e.worker
-	w.mu.Lock()
+	dep.mu.Lock()
 	if en == nil {
-		en = w.entries[0]
+		en = dep.entries[0]
 	}
-	workers := append([]*workerProc(nil), w.workers...)
-	w.mu.Unlock()
+	workers := append([]*workerProcess(nil), dep.workers...)
+	dep.mu.Unlock()
 	switch fault {
-	case killed:
-		w.injectKill(on, en, wk)
-	case paused:
+	case processKilled:
+		dep.injectKill(on, en, wk)
+	case processPaused:
 		h := wk.host
-		if on == hitsEntry {
+		if on == targetEntry {
 			h = en.host
 		}
-		w.net.Freeze(h, true)
-		w.later(pauseTime, func() { w.net.Freeze(h, false) })
-	case cutTo, cutFrom:
-		from, to := en.inst.ID, wk.inst.ID
-		if fault == cutFrom {
+		dep.net.Freeze(h, true)
+		dep.runAfter(pauseTime, func() { dep.net.Freeze(h, false) })
+	case cutEntryToSidecar, cutSidecarToEntry:
+		from, to := en.instance.ID, wk.instance.ID
+		if fault == cutSidecarToEntry {
 			from, to = to, from
 		}
-		w.net.Cut(from, to, true)
-		w.later(cutTime, func() { w.net.Cut(from, to, false) })
+		dep.net.Cut(from, to, true)
+		dep.runAfter(cutTime, func() { dep.net.Cut(from, to, false) })
 	case kvDown:
-		w.store.Faults().Set(kv.FaultState{Down: true})
-		w.later(outageTime, func() { w.store.Faults().Set(kv.FaultState{}) })
+		dep.store.Faults().Set(kv.FaultState{Down: true})
+		dep.runAfter(outageTime, func() { dep.store.Faults().Set(kv.FaultState{}) })
 	case kvSlow:
-		w.store.Faults().Set(kv.FaultState{SlowMS: 800})
-		w.later(outageTime, func() { w.store.Faults().Set(kv.FaultState{}) })
-	case crash:
-		w.injectCrash(wk)
-	case again:
-		w.injectAgain(wk, workers)
-	case operators:
-		w.twoOperators.Store(true)
+		dep.store.Faults().Set(kv.FaultState{SlowMS: 800})
+		dep.runAfter(outageTime, func() { dep.store.Faults().Set(kv.FaultState{}) })
+	case engineCrash:
+		dep.injectCrash(wk)
+	case restartedAndRedelivered:
+		dep.injectRedelivery(wk, workers)
+	case concurrentOperators:
+		dep.twoOperators.Store(true)
 	case staleList:
-		w.injectStaleList(wk)
+		dep.injectStaleList(wk)
 	default:
-		w.injectMessages(fault, wk, workers)
+		dep.injectMessages(fault, wk, workers)
 	}
 }
 
-func (w *world) injectKill(on hits, en *entryProc, wk *workerProc) {
-	if on == hitsEntry {
+func (dep *deployment) injectKill(on faultTarget, en *entryProcess, wk *workerProcess) {
+	if on == targetEntry {
 		en.kill()
-		w.later(restartTime, func() { w.startEntry(int(en.inst.ID[len(en.inst.ID)-1] - '0')) })
+		dep.runAfter(restartTime, func() { dep.startEntry(int(en.instance.ID[len(en.instance.ID)-1] - '0')) })
 		return
 	}
 	wk.kill()
-	w.later(restartTime, func() { w.startWorker(wk.slot) })
+	dep.runAfter(restartTime, func() { dep.startWorker(wk.slot) })
 }
 
-// injectAgain restarts the sidecars of a service after the request has run, and delivers all of
-// their requests to the new incarnations.
-func (w *world) injectAgain(wk *workerProc, workers []*workerProc) {
+// injectRedelivery restarts all sidecars of a service after the request has run, and delivers the
+// requests that each of them had received to its new incarnation.
+func (dep *deployment) injectRedelivery(wk *workerProcess, workers []*workerProcess) {
 	for _, p := range workers {
-		if p.inst.Service != wk.inst.Service {
+		if p.instance.Service != wk.instance.Service {
 			continue
 		}
-		w.later(20*time.Millisecond, func() {
+		dep.runAfter(20*time.Millisecond, func() {
 			p.kill()
-			w.startWorker(p.slot)
+			dep.startWorker(p.slot)
 			time.Sleep(restartTime)
-			w.mu.Lock()
-			next, requests := w.workers[p.slot], w.delivered[p.slot]
-			w.mu.Unlock()
+			dep.mu.Lock()
+			next, requests := dep.workers[p.slot], dep.delivered[p.slot]
+			dep.mu.Unlock()
 			for _, r := range requests {
-				_ = next.sc.Execute(next.host.Ctx, r, discard{})
+				_ = next.sidecar.Execute(next.host.Ctx, r, discard{})
 			}
 		})
 	}
 }
 
-func (w *world) injectCrash(wk *workerProc) {
+func (dep *deployment) injectCrash(wk *workerProcess) {
 	if wk.engine == nil {
 		wk.plain.SetFaults(backend.Faults{LoseResponse: 1})
-		w.later(messageTime, func() { wk.plain.SetFaults(backend.Faults{}) })
+		dep.runAfter(messageTime, func() { wk.plain.SetFaults(backend.Faults{}) })
 		return
 	}
 	wk.engine.Crash()
-	w.later(restartTime, func() { wk.engine.Restart(initial) })
+	dep.runAfter(restartTime, func() { wk.engine.Restart(initialConfig) })
 }
 
-// injectStaleList replaces a sidecar while the list still names the first one as live: the old
-// process is gone, the address belongs to a new incarnation.
-func (w *world) injectStaleList(wk *workerProc) {
-	w.list.SetLag(cutTime)
+// injectStaleList replaces a sidecar while the instance list still names the old one as live: its
+// process is gone and its address belongs to a new incarnation.
+func (dep *deployment) injectStaleList(wk *workerProcess) {
+	dep.list.SetLag(cutTime)
 	wk.kill()
-	w.startWorker(wk.slot)
-	w.later(cutTime, func() { w.list.SetLag(200 * time.Millisecond) })
+	dep.startWorker(wk.slot)
+	dep.runAfter(cutTime, func() { dep.list.SetLag(200 * time.Millisecond) })
 }
 
-// injectMessages applies a fault to the messages of a sidecar, and to claims.
-func (w *world) injectMessages(fault string, wk *workerProc, workers []*workerProc) {
-	m := &wk.mode
+// injectMessages applies a fault to the messages of a sidecar, to its key-value service calls or to
+// claims.
+func (dep *deployment) injectMessages(fault string, wk *workerProcess, workers []*workerProcess) {
+	m := &wk.faults
 	switch fault {
-	case lost:
+	case responseLost:
 		m.loseAnswers.Store(true)
-		w.store.Faults().Set(kv.FaultState{LoseAnswers: 1})
-	case duplicate:
+		dep.store.Faults().Set(kv.FaultState{LoseAnswers: 1})
+	case duplicateDelivery:
 		m.duplicateRequest.Store(true)
 		m.duplicateFrames.Store(true)
-		w.duplicateClaims.Store(true)
-	case reordered:
+		dep.duplicateClaims.Store(true)
+	case framesReordered:
 		m.reorder.Store(true)
-	case gaps:
+	case framesLost:
 		m.loseFrames.Store(true)
-	case foreign:
-		m.foreign.Store(true)
-	case noReports:
+	case foreignFrame:
+		m.foreignFrames.Store(true)
+	case loadReportsLost:
 		for _, p := range workers {
-			p.mode.loseReports.Store(true)
+			p.faults.loseReports.Store(true)
 		}
 	}
-	w.later(messageTime, func() {
+	dep.runAfter(messageTime, func() {
 		m.loseAnswers.Store(false)
 		m.duplicateRequest.Store(false)
 		m.duplicateFrames.Store(false)
 		m.reorder.Store(false)
 		m.loseFrames.Store(false)
-		m.foreign.Store(false)
-		w.duplicateClaims.Store(false)
+		m.foreignFrames.Store(false)
+		dep.duplicateClaims.Store(false)
 		for _, p := range workers {
-			p.mode.loseReports.Store(false)
+			p.faults.loseReports.Store(false)
 		}
 	})
 }
 
-// script injects its faults once: the first one at a step, each further one a second after the one
-// before it.
+// script injects its faults once: the first one when a step occurs, each further one a second after
+// the previous one.
 type script struct {
 	step   string
 	faults []string
-	on     hits
-	// delay lets the step begin before the fault strikes.
+	on     faultTarget
+	// delay is the time from the beginning of the step to the first fault.
 	delay time.Duration
-	// service restricts the step to the workers of one service, if it is set.
+	// service, if set, restricts the step to the workers of one service.
 	service string
-	// first is called for each event before the step is compared.
-	first func(w *world, e event)
+	// onEvent, if set, is called for each event, whether or not its step matches.
+	onEvent func(dep *deployment, e event)
 
-	once  sync.Once
-	fired bool
+	once     sync.Once
+	injected bool
 }
 
-func (s *script) hook(w *world) func(event) {
+func (s *script) hook(dep *deployment) func(event) {
 	return func(e event) {
-		if s.first != nil {
-			s.first(w, e)
+		if s.onEvent != nil {
+			s.onEvent(dep, e)
 		}
-		if e.step != s.step || s.service != "" && e.worker != nil && e.worker.inst.Service != s.service {
+		if e.step != s.step || s.service != "" && e.worker != nil && e.worker.instance.Service != s.service {
 			return
 		}
 		s.once.Do(func() {
-			s.fired = true
-			e := w.present(e, s.service)
+			s.injected = true
+			e := dep.resolve(e, s.service)
 			for i, f := range s.faults {
 				if i == 0 && s.delay == 0 {
-					w.inject(f, s.on, e)
+					dep.inject(f, s.on, e)
 					continue
 				}
-				w.later(s.delay+time.Duration(i)*time.Second, func() {
-					w.inject(f, s.on, w.present(e, s.service))
+				dep.runAfter(s.delay+time.Duration(i)*time.Second, func() {
+					dep.inject(f, s.on, dep.resolve(e, s.service))
 				})
 			}
 		})
 	}
 }
 
-// present returns an event with the processes that hold its slots now.
-func (w *world) present(e event, service string) event {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.entries {
-		if e.entry != nil && e.entry.inst.ID == p.inst.ID {
+// resolve returns the event with its processes replaced by those that now run in their slots. An
+// event without a worker gets the first worker of the service.
+func (dep *deployment) resolve(e event, service string) event {
+	dep.mu.Lock()
+	defer dep.mu.Unlock()
+	for _, p := range dep.entries {
+		if e.entry != nil && e.entry.instance.ID == p.instance.ID {
 			e.entry = p
 		}
 	}
-	for _, p := range w.workers {
-		if e.worker == nil && (service == "" || p.inst.Service == service) || e.worker != nil && e.worker.slot == p.slot {
+	for _, p := range dep.workers {
+		if e.worker == nil && (service == "" || p.instance.Service == service) || e.worker != nil && e.worker.slot == p.slot {
 			e.worker = p
 			break
 		}
@@ -256,12 +258,13 @@
 	return e
 }
 
-// crashOnce crashes the engine of the first answer in its middle, so that the answer resumes.
-func crashOnce() func(w *world, e event) {
+// crashOnce crashes the engine in the middle of the first streamed answer, so that the answer must
+// be resumed on another engine.
+func crashOnce() func(dep *deployment, e event) {
 	var once sync.Once
-	return func(w *world, e event) {
+	return func(dep *deployment, e event) {
 		if e.step == "middle of the stream" && e.attempt == 1 {
-			once.Do(func() { w.injectCrash(e.worker) })
+			once.Do(func() { dep.injectCrash(e.worker) })
 		}
 	}
 }
--- a/test/path/hosts_test.go
+++ b/test/path/hosts_test.go
@@ -17,45 +17,46 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-// kv returns the key-value service as the process sees it: a killed process has no effect, a
-// frozen one stands still.
-func (p *process) kv() external.KV { return &hostKV{p.w.store, p} }
+// kv returns the key-value service as the process sees it: calls of a killed process fail, and
+// calls of a frozen one block until it resumes.
+func (p *process) kv() external.KV { return &processKV{p.dep.store, p} }
 
-type hostKV struct {
+type processKV struct {
 	external.KV
 	p *process
 }
 
-// call runs one call that the process makes.
+// call runs f as a call that the process makes. It blocks while the process is frozen, and fails
+// once it has been killed.
 func call[T any](ctx context.Context, p *process, f func(ctx context.Context) (T, error)) (T, error) {
 	var zero T
-	if err := p.w.net.Awake(ctx, p.host); err != nil {
+	if err := p.dep.net.Awake(ctx, p.host); err != nil {
 		return zero, external.ErrUnavailable
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(p.host.Ctx, cancel)() //nolint:contextcheck // the process, not its caller, decides
+	defer context.AfterFunc(p.host.Ctx, cancel)() //nolint:contextcheck // the call also ends with the process
 	v, err := f(ctx)
-	if !p.w.net.Stand(p.host) {
+	if !p.dep.net.Stand(p.host) {
 		return zero, external.ErrOutcomeUnknown
 	}
 	return v, err
 }
 
-func (k *hostKV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (k *processKV) Get(ctx context.Context, key string) (external.Entry, error) {
 	return call(ctx, k.p, func(ctx context.Context) (external.Entry, error) { return k.KV.Get(ctx, key) })
 }
 
-func (k *hostKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, l external.LeaseID) (uint64, error) {
+func (k *processKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, l external.LeaseID) (uint64, error) {
 	return call(ctx, k.p, func(ctx context.Context) (uint64, error) { return k.KV.CompareAndSwap(ctx, key, expected, value, l) })
 }
 
-func (k *hostKV) Delete(ctx context.Context, key string, expected uint64) error {
+func (k *processKV) Delete(ctx context.Context, key string, expected uint64) error {
 	_, err := call(ctx, k.p, func(ctx context.Context) (int, error) { return 0, k.KV.Delete(ctx, key, expected) })
 	return err
 }
 
-func (k *hostKV) List(ctx context.Context, prefix string) (all []external.Entry, rev uint64, err error) {
+func (k *processKV) List(ctx context.Context, prefix string) (all []external.Entry, rev uint64, err error) {
 	rev, err = call(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.List(ctx, prefix)
 		return rev, err
@@ -63,7 +64,7 @@
 	return all, rev, err
 }
 
-func (k *hostKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.Event, rev uint64, err error) {
+func (k *processKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.Event, rev uint64, err error) {
 	rev, err = call(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.Watch(ctx, prefix, after)
 		return rev, err
@@ -71,116 +72,116 @@
 	return all, rev, err
 }
 
-// hostEngine is an engine as its sidecar sees it. The connection to it ends with the sidecar.
-type hostEngine struct {
+// processEngine is an engine as its sidecar sees it. Its streams end with the sidecar.
+type processEngine struct {
 	*engine.Engine
-	p *workerProc
+	p *workerProcess
 }
 
-func (e *hostEngine) Generate(ctx context.Context, r *external.GenerateRequest) (external.TokenStream, error) {
+func (e *processEngine) Generate(ctx context.Context, r *external.GenerateRequest) (external.TokenStream, error) {
 	if r.Offset > 0 {
-		e.p.w.hook(event{step: "prefill again", worker: e.p, request: r.RequestID})
+		e.p.dep.reachStep(event{step: "prefill again", worker: e.p, request: r.RequestID})
 	}
 	if r.KVHandle != "" {
-		e.p.w.hook(event{step: "decode", worker: e.p, request: r.RequestID})
+		e.p.dep.reachStep(event{step: "decode", worker: e.p, request: r.RequestID})
 	}
-	if err := e.p.w.net.Awake(ctx, e.p.host); err != nil {
+	if err := e.p.dep.net.Awake(ctx, e.p.host); err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(e.p.host.Ctx, cancel) //nolint:contextcheck // the process, not its caller, decides
+	stop := context.AfterFunc(e.p.host.Ctx, cancel) //nolint:contextcheck // the call also ends with the process
 	s, err := e.Engine.Generate(ctx, r)
 	if err != nil {
 		stop()
 		cancel()
 		return nil, err
 	}
-	return &hostStream{s, e.p, func() { stop(); cancel() }}, nil
+	return &processStream{s, e.p, func() { stop(); cancel() }}, nil
 }
 
-func (e *hostEngine) ImportKV(ctx context.Context, data []byte) (string, error) {
-	e.p.w.hook(event{step: "import", worker: e.p})
-	if err := e.p.w.net.Awake(ctx, e.p.host); err != nil {
+func (e *processEngine) ImportKV(ctx context.Context, data []byte) (string, error) {
+	e.p.dep.reachStep(event{step: "import", worker: e.p})
+	if err := e.p.dep.net.Awake(ctx, e.p.host); err != nil {
 		return "", err
 	}
 	return e.Engine.ImportKV(ctx, data)
 }
 
-type hostStream struct {
+type processStream struct {
 	external.TokenStream
-	p    *workerProc
+	p    *workerProcess
 	stop func()
 }
 
-func (s *hostStream) Next() (external.TokenChunk, error) {
+func (s *processStream) Next() (external.TokenChunk, error) {
 	c, err := s.TokenStream.Next()
-	if !s.p.w.net.Stand(s.p.host) {
+	if !s.p.dep.net.Stand(s.p.host) {
 		return external.TokenChunk{}, external.ErrEngineFailed
 	}
 	return c, err
 }
 
-func (s *hostStream) Close() error {
+func (s *processStream) Close() error {
 	defer s.stop()
 	return s.TokenStream.Close()
 }
 
-type hostBackend struct {
+type processBackend struct {
 	*backend.Server
-	p *workerProc
+	p *workerProcess
 }
 
-func (b *hostBackend) Do(ctx context.Context, r *external.PlainRequest) (*external.PlainResponse, error) {
-	b.p.w.hook(event{step: "run", worker: b.p, request: r.RequestID})
+func (b *processBackend) Do(ctx context.Context, r *external.PlainRequest) (*external.PlainResponse, error) {
+	b.p.dep.reachStep(event{step: "run", worker: b.p, request: r.RequestID})
 	return call(ctx, b.p.process, func(ctx context.Context) (*external.PlainResponse, error) { return b.Server.Do(ctx, r) })
 }
 
-// workerMode holds the faults of a sidecar's messages that are in force.
-type workerMode struct {
-	duplicateRequest, duplicateFrames, reorder, foreign, loseFrames, loseAnswers, loseReports atomic.Bool
-	// refuse is the number of attempts that get a typed "not run".
+// messageFaults holds the active faults of a sidecar's messages.
+type messageFaults struct {
+	duplicateRequest, duplicateFrames, reorder, foreignFrames, loseFrames, loseAnswers, loseReports atomic.Bool
+	// refuse is the number of attempts that are still to be refused as not run.
 	refuse atomic.Int32
 }
 
-// worker delivers requests to a sidecar, with the faults in force.
-type worker struct {
+// faultyService passes requests to a sidecar and applies the active message faults.
+type faultyService struct {
 	*sidecar.Service
-	p *workerProc
+	p *workerProcess
 }
 
 var errLost = connect.NewError(connect.CodeUnavailable, errors.New("message lost"))
 
-func (s *worker) Execute(ctx context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
-	s.p.w.noteAccepted(s.p, r.Msg)
-	s.p.w.hook(event{step: "accept", worker: s.p, request: r.Msg.GetRequestId(), attempt: r.Msg.GetAttempt()})
-	if n := s.p.mode.refuse.Add(-1); n >= 0 {
+func (s *faultyService) Execute(ctx context.Context, r *connect.Request[v1.ExecuteRequest], out *connect.ServerStream[v1.Frame]) error {
+	s.p.dep.recordArrival(s.p, r.Msg)
+	s.p.dep.reachStep(event{step: "accept", worker: s.p, request: r.Msg.GetRequestId(), attempt: r.Msg.GetAttempt()})
+	if n := s.p.faults.refuse.Add(-1); n >= 0 {
 		return out.Send(&v1.Frame{RequestId: r.Msg.GetRequestId(), Attempt: r.Msg.GetAttempt(), Final: &v1.Final{
-			Outcome: v1.Outcome_OUTCOME_NOT_RUN, Reason: v1.Reason_REASON_QUEUE_FULL, Load: s.p.sc.Report(ctx),
+			Outcome: v1.Outcome_OUTCOME_NOT_RUN, Reason: v1.Reason_REASON_QUEUE_FULL, Load: s.p.sidecar.Report(ctx),
 		}})
 	}
-	if s.p.mode.duplicateRequest.Load() {
-		// The first copy runs, the second one is answered.
-		s.p.done.Go(func() { _ = s.p.sc.Execute(s.p.host.Ctx, proto.CloneOf(r.Msg), discard{}) })
+	if s.p.faults.duplicateRequest.Load() {
+		// The first copy runs and its response is dropped; the second one is answered.
+		s.p.done.Go(func() { _ = s.p.sidecar.Execute(s.p.host.Ctx, proto.CloneOf(r.Msg), discard{}) })
 		time.Sleep(time.Millisecond)
 	}
-	return s.p.sc.Execute(ctx, r.Msg, &sender{out: out, p: s.p})
+	return s.p.sidecar.Execute(ctx, r.Msg, &sender{out: out, p: s.p})
 }
 
-func (s *worker) Prefill(ctx context.Context, r *connect.Request[v1.PrefillRequest], out *connect.ServerStream[v1.PrefillChunk]) error {
-	s.p.w.hook(event{step: "fetch", worker: s.p, request: r.Msg.GetAttempt().GetRequestId()})
-	if s.p.mode.duplicateRequest.Load() {
-		s.p.done.Go(func() { _ = s.p.sc.Prefill(s.p.host.Ctx, proto.CloneOf(r.Msg.GetAttempt()), discardChunks{}) })
+func (s *faultyService) Prefill(ctx context.Context, r *connect.Request[v1.PrefillRequest], out *connect.ServerStream[v1.PrefillChunk]) error {
+	s.p.dep.reachStep(event{step: "fetch", worker: s.p, request: r.Msg.GetAttempt().GetRequestId()})
+	if s.p.faults.duplicateRequest.Load() {
+		s.p.done.Go(func() { _ = s.p.sidecar.Prefill(s.p.host.Ctx, proto.CloneOf(r.Msg.GetAttempt()), discardChunks{}) })
 		time.Sleep(time.Millisecond)
 	}
-	if s.p.mode.loseAnswers.Load() {
-		_ = s.p.sc.Prefill(ctx, r.Msg.GetAttempt(), discardChunks{})
+	if s.p.faults.loseAnswers.Load() {
+		_ = s.p.sidecar.Prefill(ctx, r.Msg.GetAttempt(), discardChunks{})
 		return errLost
 	}
 	return s.Service.Prefill(ctx, r, out)
 }
 
-func (s *worker) Probe(ctx context.Context, r *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
-	if s.p.mode.loseReports.Load() {
+func (s *faultyService) Probe(ctx context.Context, r *connect.Request[v1.ProbeRequest]) (*connect.Response[v1.ProbeResponse], error) {
+	if s.p.faults.loseReports.Load() {
 		return nil, errLost
 	}
 	return s.Service.Probe(ctx, r)
@@ -194,20 +195,20 @@
 
 func (discardChunks) Send(*v1.PrefillChunk) error { return nil }
 
-// sender passes an attempt's frames on, with the faults in force.
+// sender passes on the frames of an attempt and applies the active message faults.
 type sender struct {
 	out  sidecar.Sender
-	p    *workerProc
+	p    *workerProcess
 	sent int
 	held *v1.Frame
 }
 
-// middleFrame is in the middle of the answers of the tests.
+// middleFrame is the index of a frame in the middle of an answer of answerTokens tokens.
 const middleFrame = 6
 
 func (s *sender) Send(f *v1.Frame) error {
-	s.step(f)
-	m := &s.p.mode
+	s.reportSteps(f)
+	m := &s.p.faults
 	if m.loseAnswers.Load() {
 		if f.GetFinal() != nil {
 			return errLost
@@ -219,7 +220,7 @@
 		f.Final.Load = nil
 	}
 	if m.reorder.Load() {
-		// Each frame goes after the next one; the final frame goes before the last data.
+		// Swaps each pair of frames, so the final frame can overtake the last data frame.
 		if s.held == nil && f.GetFinal() == nil {
 			s.held = f
 			return nil
@@ -234,7 +235,7 @@
 	if m.loseFrames.Load() && f.GetFinal() == nil {
 		return nil
 	}
-	if m.foreign.Load() && f.GetFinal() == nil {
+	if m.foreignFrames.Load() && f.GetFinal() == nil {
 		other := proto.CloneOf(f)
 		other.RequestId, other.Data = "other", []byte(" other")
 		if err := s.out.Send(other); err != nil {
@@ -243,7 +244,7 @@
 	}
 	if m.duplicateFrames.Load() {
 		if f.GetFinal() == nil {
-			// A frame of another attempt arrives late.
+			// Adds a stray frame of another attempt.
 			late := proto.CloneOf(f)
 			late.Attempt, late.Data = f.GetAttempt()+1, []byte(" late")
 			if err := s.out.Send(late); err != nil {
@@ -257,7 +258,7 @@
 	return s.out.Send(f)
 }
 
-func (s *sender) step(f *v1.Frame) {
+func (s *sender) reportSteps(f *v1.Frame) {
 	steps := []string{}
 	switch {
 	case f.GetFinal() != nil && f.GetFinal().GetOutcome() == v1.Outcome_OUTCOME_COMPLETE:
@@ -276,6 +277,6 @@
 	}
 	s.sent++
 	for _, n := range steps {
-		s.p.w.hook(event{step: n, worker: s.p, request: f.GetRequestId(), attempt: f.GetAttempt(), sender: s})
+		s.p.dep.reachStep(event{step: n, worker: s.p, request: f.GetRequestId(), attempt: f.GetAttempt(), sender: s})
 	}
 }
