--- a/test/boundary/boundary_test.go
+++ b/test/boundary/boundary_test.go
@@ -1,4 +1,5 @@
-// Package boundary checks that the names of the users' platform occur only in its adapter.
+// Package boundary checks that product code uses the wire names of the platform, and imports its adapter,
+// only where that is allowed.
 package boundary
 
 import (
@@ -19,7 +20,8 @@
 // adapterImport is the import path of the adapter. Only the folders in mayImportAdapter may import it.
 const adapterImport = "github.com/quetzallug/quetzallug/platform"
 
-// wireNames are names of the platform's wire protocol, which the rest of the product must not use.
+// wireNames are names of the platform's wire protocol, or distinctive parts of such names. The rest of the
+// product must not contain them.
 var wireNames = []string{
 	"Quetzallug-Attempt", "Quetzallug-Deadline", "Quetzallug-Token", "Quetzallug-Prefix", "Quetzallug-Expect", "Quetzallug-Request-P",
 	"Quetzallug-Stage", "Quetzallug-Kv", "Quetzallug-Pin", "Quetzallug-Response", "Quetzallug-Not", "Quetzallug-Server", "Kv-Fetch",
@@ -55,7 +57,7 @@
 		return nil
 	})
 	require.NoError(t, err)
-	require.Greater(t, files, 100)
+	require.Greater(t, files, 100, "too few source files found; is the root wrong?")
 }
 
 func checkFile(t *testing.T, path, rel string) {
--- a/test/site/drawn_test.go
+++ b/test/site/drawn_test.go
@@ -22,7 +22,7 @@
 
 const (
 	fixedDeployments      = 25
-	faultPhase            = 20 * time.Second
+	faultPhaseDuration    = 20 * time.Second
 	requestsPerDeployment = 150
 )
 
@@ -53,11 +53,11 @@
 // randomDeployment is a testEnv with random workers, routes and gateways.
 type randomDeployment struct {
 	*testEnv
-	rnd          *rand.Rand
-	routes       []jsonMap
-	nodes        []*gatewayNode
-	plainWorkers int
-	engines      int
+	rnd              *rand.Rand
+	routes           []jsonMap
+	nodes            []*gatewayNode
+	plainWorkerCount int
+	engineCount      int
 }
 
 func randomBetween(rnd *rand.Rand, low, high int) int { return low + rnd.IntN(high-low+1) }
@@ -66,14 +66,14 @@
 // role orders, and then checks that requests succeed again.
 func runRandomDeployment(env *testEnv, rnd *rand.Rand) {
 	d := &randomDeployment{testEnv: env, rnd: rnd}
-	d.generate()
+	d.startRandom()
 	time.Sleep(settleTime)
 	var calls sync.WaitGroup
 	var mu sync.Mutex
 	responses := map[*response]request{}
 	for range requestsPerDeployment {
 		req, n := d.randomRequest(), d.nodes[rnd.IntN(len(d.nodes))]
-		delay := time.Duration(rnd.IntN(int(faultPhase)))
+		delay := time.Duration(rnd.IntN(int(faultPhaseDuration)))
 		calls.Go(func() {
 			time.Sleep(delay)
 			r := env.call(n, req)
@@ -103,7 +103,7 @@
 	}
 }
 
-// recoveryTimeout is the longest recovery time that the users allow.
+// recoveryTimeout is the longest recovery time that the platform allows.
 const recoveryTimeout = 12 * time.Second
 
 // waitForRecovery repeats a request until it succeeds, and fails the test after recoveryTimeout.
@@ -117,17 +117,18 @@
 	d.t.Errorf("%s does not succeed after the faults: %d %v %s", req.path, r.status, r.err, r.body)
 }
 
-func (d *randomDeployment) generate() {
+// startRandom starts random workers and gateways and writes a random configuration.
+func (d *randomDeployment) startRandom() {
 	rnd := d.rnd
-	d.plainWorkers, d.engines = randomBetween(rnd, 1, 4), randomBetween(rnd, 0, 8)
-	for i := range d.plainWorkers {
+	d.plainWorkerCount, d.engineCount = randomBetween(rnd, 1, 4), randomBetween(rnd, 0, 8)
+	for i := range d.plainWorkerCount {
 		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: randomBetween(rnd, 2, 16), Work: time.Duration(randomBetween(rnd, 1, 60)) * time.Millisecond})
 	}
 	api2Workers := randomBetween(rnd, 0, 2)
 	for i := range api2Workers {
 		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api2-%d", i), Service: "api2", Slots: randomBetween(rnd, 2, 16)})
 	}
-	for i := range d.engines {
+	for i := range d.engineCount {
 		stage := "decode"
 		if rnd.IntN(3) == 0 {
 			stage = "prefill"
@@ -174,10 +175,10 @@
 	return req
 }
 
-// injectFaults starts random faults during faultPhase. Faults may overlap.
+// injectFaults starts random faults during faultPhaseDuration. Faults may overlap.
 func (d *randomDeployment) injectFaults() {
 	var wg sync.WaitGroup
-	for end := time.Now().Add(faultPhase); time.Now().Before(end); {
+	for end := time.Now().Add(faultPhaseDuration); time.Now().Before(end); {
 		rnd := rand.New(rand.NewPCG(d.rnd.Uint64(), 1))
 		wg.Go(func() { d.injectFault(rnd) })
 		d.refreshRegistrations()
@@ -191,6 +192,7 @@
 	wk, n := d.workers[rnd.IntN(len(d.workers))], d.nodes[rnd.IntN(len(d.nodes))]
 	switch rnd.IntN(9) {
 	case 0, 1, 2:
+		// FaultUnframed is the last fault before FaultEarly, which sends a plain response even to a stream request.
 		kind, every, count := site.Fault(randomBetween(rnd, 1, int(site.FaultUnframed))), randomBetween(rnd, 1, 4), 0
 		wk.SetFault(func(*http.Request) site.Fault {
 			if count++; count%every == 0 {
@@ -225,8 +227,8 @@
 	}
 }
 
-// checkRetryBudget counts the arrivals after the first of each request, except for one completed prefill, and
-// compares them with the retry budget.
+// checkRetryBudget counts as retries all arrivals of a request beyond the first and beyond one completed
+// prefill. Their number may be at most 0.2 (RetryShare) of the requests plus 1 (RetrySlack) per gateway.
 func (d *randomDeployment) checkRetryBudget(requests int) {
 	arrivals, prefilled := map[string]int{}, map[string]bool{}
 	for _, wk := range d.workers {
--- a/test/site/gateway_test.go
+++ b/test/site/gateway_test.go
@@ -14,6 +14,7 @@
 	"github.com/quetzallug/quetzallug/standin/site"
 )
 
+// longPrompt lists prefix hashes with their token counts, 6000 tokens in total.
 const longPrompt = "aa:2000,bb:3000,cc:1000"
 
 // startDefaultDeployment starts two plain workers, one prefill engine, two decode engines and a gateway,
@@ -105,6 +106,7 @@
 						{path: pathResume + "x", prompt: longPrompt, events: 4},
 						{path: pathStream + "x", prompt: longPrompt, events: 4},
 					} {
+						// FaultEarly sends a plain response even to a stream request.
 						if fault == site.FaultEarly && strings.HasPrefix(req.path, pathResume) {
 							continue
 						}
@@ -129,7 +131,7 @@
 func TestRepeatableRequestsAreSentAgain(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
-		// The retry budget is a share of recent requests, so these come first.
+		// These requests come first because retries are limited to a share of recent requests.
 		for range 20 {
 			require.True(t, env.call(n, request{path: pathRead + "warm"}).succeeded())
 			require.True(t, env.call(n, request{path: pathStream + "warm", prompt: "dd:50", events: 1}).succeeded())
@@ -168,6 +170,7 @@
 		for _, wk := range env.workers {
 			arrivals += len(wk.Arrivals())
 		}
+		// RetryShare is 0.2 and RetrySlack 1.
 		require.LessOrEqual(t, arrivals-requests, requests/5+1)
 		require.Greater(t, arrivals, requests, "no request was retried")
 	})
@@ -198,7 +201,7 @@
 	})
 }
 
-// Guards against requests that are sent to a draining worker after the drain bound.
+// Guards against requests that are sent to a draining worker more than settleTime after its registration says so.
 func TestDrainingWorkersGetNothing(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
@@ -219,7 +222,7 @@
 		n := startDefaultDeployment(env)
 		env.store.Remove("servers/i-a")
 		time.Sleep(settleTime)
-		require.Len(t, n.roster.Servers("api"), 1, "deleted while the store was available")
+		require.Len(t, n.roster.Servers("api"), 1, "a registration deleted while the store was available was kept")
 		env.workers[0].Register(env.store)
 		time.Sleep(settleTime)
 		require.Len(t, n.roster.Servers("api"), 2)
@@ -230,10 +233,10 @@
 		env.store.Remove("servers/i-b")
 		env.store.SetMode(site.StoreUp)
 		time.Sleep(settleTime)
-		require.Len(t, n.roster.Servers("api"), 2, "lapsed while the store was unavailable")
+		require.Len(t, n.roster.Servers("api"), 2, "registrations that lapsed while the store was unavailable were removed")
 		env.workers[0].Register(env.store)
 		time.Sleep(3 * time.Second)
-		require.Len(t, n.roster.Servers("api"), 1, "the other worker did not register again")
+		require.Len(t, n.roster.Servers("api"), 1, "the worker that did not register again was kept")
 	})
 }
 
@@ -398,7 +401,7 @@
 }
 
 // Guards against a prefill engine that keeps the cache entry of a prefilled prompt that no decode
-// engine fetched, and against needless free calls for prompts that were fetched.
+// engine fetched, and against needless calls that free the cache entries of fetched prompts.
 func TestPromptsReadInVainAreFreed(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
@@ -424,11 +427,13 @@
 }
 
 // Guards against requests to a worker that deregistered while the gateway could not reach the store, sent
-// later than the platform allows after the gateway reconnected. A registration that was missing after the
-// outage was kept for 2.5 s after the last failed call, which can come up to 1.2 s after the outage ended.
-// It was seen as a request 3.3 s after the worker's shutdown had been acknowledged.
+// later than removalBound after the store is reachable again. The gateway keeps missing registrations for a
+// while after the last failed call. When it kept them for 2.5 s, counted from a failure up to 1.2 s after the
+// outage, a worker got a request 3.3 s after its shutdown had been acknowledged. The offsets vary the end of
+// the outage against the gateway's calls to the store.
 func TestWorkersThatLeftDuringACut(t *testing.T) {
-	// removalBound is the time that the platform allows after the connection is restored.
+	// removalBound is the time that the platform allows, after the connection is restored, for removing a
+	// worker that deregistered during the outage.
 	const removalBound = 3 * time.Second
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 100 * time.Millisecond {
 		t.Run(offset.String(), func(t *testing.T) {
--- a/test/site/roles_test.go
+++ b/test/site/roles_test.go
@@ -11,14 +11,14 @@
 	"github.com/quetzallug/quetzallug/standin/site"
 )
 
-const engines = 8
+const engineCount = 8
 
 // startEngines starts one plain worker, one prefill engine, decode engines and gateways. modifyConfig may
 // change the configuration of an engine.
-func startEngines(env *testEnv, gateways int, modifyConfig func(*site.WorkerConfig)) []*gatewayNode {
+func startEngines(env *testEnv, gatewayCount int, modifyConfig func(*site.WorkerConfig)) []*gatewayNode {
 	env.writeConfig()
 	env.addWorker(site.WorkerConfig{ID: "i-api", Service: "api"})
-	for i := range engines {
+	for i := range engineCount {
 		cfg := site.WorkerConfig{ID: fmt.Sprintf("i-%d", i), Service: "llm", Stage: "decode", PerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second}
 		if i == 0 {
 			cfg.Stage = "prefill"
@@ -29,7 +29,7 @@
 		env.addWorker(cfg)
 	}
 	var out []*gatewayNode
-	for i := range gateways {
+	for i := range gatewayCount {
 		out = append(out, env.addGateway(fmt.Sprintf("edge-%d", i+1)))
 	}
 	return out
@@ -100,7 +100,7 @@
 		startEngines(env, 3, nil)
 		env.runFor(20 * time.Second)
 		prefill, decode := env.countStages()
-		require.Equal(t, engines, prefill+decode)
+		require.Equal(t, engineCount, prefill+decode)
 		require.Greater(t, prefill, decode)
 		require.GreaterOrEqual(t, decode, 2)
 		orderCount := len(env.orders())
--- a/test/site/slow_test.go
+++ b/test/site/slow_test.go
@@ -18,11 +18,11 @@
 // limit is 64 KiB here, and the timeout of the route 2 s.
 func TestBodiesThatCannotBeRead(t *testing.T) {
 	for name, tc := range map[string]struct {
-		head   string
-		body   string
-		pause  time.Duration
-		status int
-		within time.Duration
+		head        string
+		body        string
+		pause       time.Duration
+		status      int
+		maxDuration time.Duration
 	}{
 		"a byte at a time":   {"Content-Length: 60\r\n", strings.Repeat("b", 60), 900 * time.Millisecond, http.StatusRequestTimeout, 4 * time.Second},
 		"no more bytes":      {"Content-Length: 60\r\n", "b", time.Hour, http.StatusRequestTimeout, 4 * time.Second},
@@ -67,7 +67,7 @@
 				defer resp.Body.Close()
 				require.Equal(t, tc.status, resp.StatusCode)
 				require.True(t, resp.Close)
-				require.LessOrEqual(t, time.Since(started), tc.within)
+				require.LessOrEqual(t, time.Since(started), tc.maxDuration)
 				require.Empty(t, env.runsOf("slow"))
 				_, err = io.Copy(io.Discard, resp.Body)
 				require.NoError(t, err)
@@ -81,7 +81,7 @@
 }
 
 // Guards against a gateway status without the facts that operators need: readiness, configuration version,
-// unusable backend servers and connections.
+// which backend servers are usable, and connection counts.
 func TestStatusOfAGateway(t *testing.T) {
 	runInBubble(t, func(t *testing.T, env *testEnv) {
 		n := startDefaultDeployment(env)
@@ -104,7 +104,7 @@
 		require.GreaterOrEqual(t, s.Servers[0].LoadAgeMS, int64(0))
 		require.Equal(t, "draining", s.Servers[1].State)
 		require.False(t, s.Servers[1].Usable)
-		require.EqualValues(t, -1, s.Servers[2].LoadAgeMS, "no request was sent to this server")
+		require.EqualValues(t, -1, s.Servers[2].LoadAgeMS, "load age of a server without requests")
 		require.Equal(t, "api", s.Services[0].Service)
 		require.Equal(t, 2, s.Services[0].Servers)
 		require.Equal(t, 1, s.Services[0].Usable)
--- a/test/site/world_test.go
+++ b/test/site/world_test.go
@@ -35,6 +35,7 @@
 	// settleTime is longer than a gateway takes to apply a change of the store.
 	settleTime = time.Second
 	leaseTTL   = 3500 * time.Millisecond
+	// orderGuard is the minimum time between role orders of two lease holders.
 	orderGuard = 3 * time.Second
 )
 
@@ -180,8 +181,8 @@
 	return r
 }
 
-// writeConfig writes the next version of the operator's configuration, with the default routes if none
-// are given.
+// writeConfig writes a later version of the operator's configuration, with the default routes if none are
+// given. Versions must increase, but need not be consecutive.
 func (env *testEnv) writeConfig(routes ...jsonMap) {
 	env.version += 3
 	if len(routes) == 0 {
@@ -221,7 +222,9 @@
 	path   string
 	method string
 	body   string
+	// events is the number of events of the stream, or 0 for a plain response.
 	events int
+	// prompt is a comma-separated list of prefix hashes with their token counts, each as HASH:TOKENS.
 	prompt string
 	header http.Header
 	// disconnectAfter, if above 0, is the time after which the caller closes the connection.
@@ -277,6 +280,7 @@
 	return resp
 }
 
+// promptTokens returns the sum of the token counts of a prompt.
 func promptTokens(prompt string) int {
 	total := 0
 	for part := range strings.SplitSeq(prompt, ",") {
--- a/test/soak/cause_test.go
+++ b/test/soak/cause_test.go
@@ -37,7 +37,7 @@
 			w.SetFault(func(*http.Request) site.Fault { return f })
 		}
 	}
-	// The retry budget is a share of recent requests, so these come first.
+	// These requests come first because retries are limited to a share of recent requests.
 	for range 30 {
 		send("read")
 	}
@@ -57,7 +57,7 @@
 			return site.FaultLost
 		})
 	}
-	late := send("read")
+	slow := send("read")
 	d.stop()
 
 	explain := func(id string) string {
@@ -69,6 +69,6 @@
 	require.Contains(t, explain(refused), "server_full")
 	require.Contains(t, explain(refused), "it did not run")
 	require.Contains(t, explain(broken), "stream_broken")
-	require.Contains(t, explain(late), "An attempt at")
-	require.Contains(t, explain(late), "answered by")
+	require.Contains(t, explain(slow), "An attempt at")
+	require.Contains(t, explain(slow), "answered by")
 }
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -19,16 +19,17 @@
 )
 
 const (
-	gateways       = 3
-	plainWorkers   = 3
-	engines        = 5
-	roleSwitchTime = 500 * time.Millisecond
+	gatewayCount     = 3
+	plainWorkerCount = 3
+	engineCount      = 5
+	roleSwitchTime   = 500 * time.Millisecond
 	// orderGuard is the minimum time between orders of two lease holders. The gateways get it as a flag.
 	orderGuard = 3 * time.Second
 	// resumeTolerance is the time around the end of a pause in which orders are not checked, because a
 	// resumed process can still send an order that it had begun before the pause.
 	resumeTolerance = 300 * time.Millisecond
-	// readyTimeout is the recovery time that the users allow, plus a margin for a busy machine.
+	// readyTimeout limits the waits for readiness and for recovery. It is the longest recovery time that the
+	// platform allows, plus a margin for a busy machine.
 	readyTimeout = 60 * time.Second
 	stopTimeout  = 20 * time.Second
 )
@@ -65,10 +66,10 @@
 func newDeployment(t *testing.T, program, dir string) *deployment {
 	d := &deployment{t: t, store: site.NewStore()}
 	d.storeForwarder = d.startForwarder(d.serve(d.store))
-	for i := range plainWorkers {
+	for i := range plainWorkerCount {
 		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: 16, Work: 5 * time.Millisecond})
 	}
-	for i := range engines {
+	for i := range engineCount {
 		stage := "decode"
 		if i == 0 {
 			stage = "prefill"
@@ -79,7 +80,7 @@
 		})
 	}
 	d.writeConfig()
-	for i := range gateways {
+	for i := range gatewayCount {
 		d.addGateway(program, dir, fmt.Sprintf("edge-%d", i))
 	}
 	return d
@@ -196,6 +197,7 @@
 		duration := time.Duration(100+rnd.IntN(2500)) * time.Millisecond
 		w := d.workers[rnd.IntN(len(d.workers))]
 		g := d.gateways[rnd.IntN(len(d.gateways))]
+		// FaultUnframed is the last fault before FaultEarly, which sends a plain response even to a stream request.
 		faultKind, n, workerFault := rnd.IntN(14), rnd.IntN(3)+2, site.Fault(1+rnd.IntN(int(site.FaultUnframed)))
 		wg.Go(func() { d.injectFault(faultKind, n, workerFault, w, g, duration) })
 		d.refreshRegistrations()
@@ -211,11 +213,11 @@
 	}
 }
 
-// injectFault injects one fault and ends it after the duration. n is a small number that parametrises the
-// fault, such as the interval between failing requests.
+// injectFault injects one fault and ends it after the duration. Depending on the kind, n is the interval
+// between failing requests, selects the mode of the store, or is the number of lost responses.
 func (d *deployment) injectFault(faultKind, n int, workerFault site.Fault, w *worker, g *gatewayProcess, duration time.Duration) {
 	switch faultKind {
-	case 0, 1, 2:
+	case 0, 1, 2: // every n-th request to a worker meets workerFault
 		count := 0
 		w.SetFault(func(*http.Request) site.Fault {
 			if count++; count%n == 0 {
@@ -225,40 +227,40 @@
 		})
 		time.Sleep(duration)
 		w.SetFault(nil)
-	case 3:
+	case 3: // the connections to a worker transfer no data in either direction
 		w.forwarder.Hold(true, true)
 		time.Sleep(duration)
 		w.forwarder.Hold(false, false)
-	case 4:
+	case 4: // no data from a worker arrives
 		w.forwarder.Hold(false, true)
 		time.Sleep(duration)
 		w.forwarder.Hold(false, false)
-	case 5:
+	case 5: // the connections to a worker are reset
 		w.forwarder.Reset()
-	case 6:
+	case 6: // the connections to the store transfer no data in either direction
 		d.storeForwarder.Hold(true, true)
 		time.Sleep(duration)
 		d.storeForwarder.Hold(false, false)
-	case 7:
+	case 7: // the store responds with 503, never responds or closes connections
 		d.store.SetMode(site.StoreMode(1 + n%3))
 		time.Sleep(duration)
 		d.store.SetMode(site.StoreUp)
-	case 8:
+	case 8: // the store loses responses to writes, applies the writes late and compacts its history
 		d.store.LoseWrites(n, duration/4)
 		d.store.Compact()
-	case 9:
+	case 9: // the configuration changes
 		d.writeConfig()
-	case 10:
+	case 10: // a registration is missing for some time
 		d.store.Remove("servers/" + w.ID())
 		time.Sleep(duration)
 		w.Register(d.store)
-	case 11:
+	case 11: // a gateway is killed and restarted
 		d.runExclusively(g, func() {
 			g.Kill()
 			time.Sleep(duration / 4)
 			require.NoError(d.t, g.Restart())
 		})
-	case 12:
+	case 12: // a gateway is paused
 		d.runExclusively(g, func() {
 			_ = g.Pause()
 			time.Sleep(duration)
@@ -267,7 +269,7 @@
 			d.resumedAt = append(d.resumedAt, time.Now())
 			d.mu.Unlock()
 		})
-	case 13:
+	case 13: // a gateway gets a SIGHUP, which it must ignore, and is then stopped and restarted
 		d.runExclusively(g, func() {
 			// A signal that arrives before the program has started ends the process. Nothing is lost by
 			// that, so the result of Stop is only checked if the gateway was ready.
--- a/test/soak/load_test.go
+++ b/test/soak/load_test.go
@@ -121,13 +121,13 @@
 	}
 	resp, err := http.ReadResponse(reader, r)
 	if err != nil {
-		l.record(result{id: id, kind: kind}, "no answer")
+		l.record(result{id: id, kind: kind}, "failed before the response")
 		return false
 	}
 	b, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
 	if err != nil {
-		l.record(result{id: id, kind: kind}, "cut in the answer")
+		l.record(result{id: id, kind: kind}, "failed within the response")
 		return false
 	}
 	refused := resp.StatusCode == http.StatusServiceUnavailable
@@ -174,6 +174,7 @@
 	l.errors = append(l.errors, fmt.Sprintf(format, args...))
 }
 
+// expect records message as a failure if condition does not hold.
 func (l *loadGenerator) expect(condition func() bool, message string) {
 	if !condition() {
 		l.fail("%s", message)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -19,10 +19,10 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 0, "number of new random seeds to run; 0 runs the fixed seeds")
-	seed   = flag.Uint64("seed", 0, "the only seed to run; 0 runs several")
-	length = flag.Duration("length", 6*time.Second, "duration of the fault phase of each seed")
-	logs   = flag.String("logs", "", "directory in which to keep the logs of all processes")
+	seeds              = flag.Int("seeds", 0, "number of new random seeds to run; 0 runs the fixed seeds")
+	seed               = flag.Uint64("seed", 0, "the only seed to run; 0 runs several")
+	faultPhaseDuration = flag.Duration("length", 6*time.Second, "duration of the fault phase of each seed")
+	logs               = flag.String("logs", "", "directory in which to keep the logs of all processes")
 )
 
 // fixedSeeds run in CI. Seeds that found a failure are kept here with its cause.
@@ -82,7 +82,7 @@
 	d.waitReady()
 	load := newLoadGenerator(d)
 	load.start()
-	d.injectFaults(rand.New(rand.NewPCG(s, s)), *length)
+	d.injectFaults(rand.New(rand.NewPCG(s, s)), *faultPhaseDuration)
 	d.clearFaults()
 	d.waitReady()
 	load.expect(load.anySucceeded, "no request succeeded during the faults")
--- a/test/soak/status_test.go
+++ b/test/soak/status_test.go
@@ -38,7 +38,7 @@
 			send(kind)
 		}
 	}
-	for _, w := range d.workers[:plainWorkers] {
+	for _, w := range d.workers[:plainWorkerCount] {
 		w.SetFault(func(*http.Request) site.Fault { return site.FaultShed })
 	}
 	send("once")
@@ -66,10 +66,10 @@
 	require.Equal(t, "edge-0", status[0].Instance)
 	require.True(t, status[0].Ready)
 	require.EqualValues(t, 1, status[0].Config)
-	require.Equal(t, plainWorkers+engines, status[0].Servers)
+	require.Equal(t, plainWorkerCount+engineCount, status[0].Servers)
 	var workers []gateway.ServerStatus
 	require.NoError(t, json.Unmarshal([]byte(runCLI("workers")), &workers))
-	require.Len(t, workers, plainWorkers+engines)
+	require.Len(t, workers, plainWorkerCount+engineCount)
 
 	resp, err := http.Get("http://" + d.gateways[0].readyAddress + "/metrics")
 	require.NoError(t, err)
