--- a/test/e2e/e2e_test.go
+++ b/test/e2e/e2e_test.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	root    = "../.."
-	model   = "halte-verdict"
-	callers = 200
+	root        = "../.."
+	model       = "halte-verdict"
+	callerCount = 200
 )
 
 func startCluster(t *testing.T) *testcluster.Cluster {
@@ -52,17 +52,17 @@
 		}
 	})
 	for _, service := range []string{"halte-llm", "halte-api"} {
-		require.NoError(t, c.Apply(t.Context(), withoutDeadlines(t, service)))
+		require.NoError(t, c.Apply(t.Context(), withLongDeadlines(t, service)))
 	}
 	require.NoError(t, c.WaitServing(t.Context(), http.MethodPost, "/v1/completions", completionBody("ready?", 1, false)))
 	require.NoError(t, c.WaitServing(t.Context(), http.MethodGet, "/svc/halte-api/schedules/7", ""))
 	return c
 }
 
-// withoutDeadlines writes a copy of an example document with deadlines that even a busy machine meets,
-// and returns its path. Admission refuses requests that would miss their deadlines, so the original
-// deadlines would make the tests depend on the speed of the machine.
-func withoutDeadlines(t *testing.T, service string) string {
+// withLongDeadlines writes a copy of an example document with deadlines of 10 minutes, which even a busy
+// machine meets, and returns its path. Admission refuses requests that would miss their deadlines, so the
+// original deadlines would make the tests depend on the speed of the machine.
+func withLongDeadlines(t *testing.T, service string) string {
 	t.Helper()
 	body, err := os.ReadFile(filepath.Join(root, "examples", "transport", service+".yaml"))
 	require.NoError(t, err)
@@ -95,8 +95,8 @@
 func TestWholeAnswersForConcurrentCallers(t *testing.T) {
 	c := startCluster(t)
 	var wg sync.WaitGroup
-	errs := make(chan error, 2*callers)
-	for i := range callers {
+	errs := make(chan error, 2*callerCount)
+	for i := range callerCount {
 		entry := c.Entries[i%len(c.Entries)].Address
 		wg.Go(func() { errs <- checkCompletion(entry, i) })
 		wg.Go(func() { errs <- checkSchedule(entry, i) })
@@ -187,7 +187,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK || !strings.Contains(string(b), fmt.Sprintf("/schedules/%d\"", caller)) {
-		return fmt.Errorf("schedule %d: status %d: %s", caller, resp.StatusCode, b)
+		return fmt.Errorf("caller %d: status %d, want 200 and a body with the requested path: %s", caller, resp.StatusCode, b)
 	}
 	return nil
 }
--- a/test/faults/cells_test.go
+++ b/test/faults/cells_test.go
@@ -75,8 +75,8 @@
 		{"backend-lost-responses", false, backendLostResponses},
 		{"pause-entry", false, func(ctx context.Context, h *harness) error { return h.pauseEntry(ctx, h.randomEntry(), false) }},
 		{"list-lag", true, lagInstanceList},
-		{"leave-sidecar", true, func(ctx context.Context, h *harness) error { return h.leave(ctx, h.randomModelWorker(), 0) }},
-		{"leave-plain-sidecar", true, func(ctx context.Context, h *harness) error { return h.leave(ctx, h.randomPlainWorker(), 0) }},
+		{"leave-sidecar", true, func(ctx context.Context, h *harness) error { return h.leaveAndRestart(ctx, h.randomModelWorker(), 0) }},
+		{"leave-plain-sidecar", true, func(ctx context.Context, h *harness) error { return h.leaveAndRestart(ctx, h.randomPlainWorker(), 0) }},
 		{"stop-entry", true, func(ctx context.Context, h *harness) error { return h.stopEntry(ctx, h.randomEntry()) }},
 		{"stop-holder", true, func(ctx context.Context, h *harness) error { return h.stopEntry(ctx, h.leaseHolder(ctx)) }},
 		{"stop-sidecar", true, func(ctx context.Context, h *harness) error { return h.stopSidecar(ctx, h.randomModelWorker()) }},
@@ -101,7 +101,7 @@
 	start := time.Now()
 	e.Kill()
 	h.sleep(downtime)
-	defer func() { h.revisions.addDisturbance(e.ID, "kill", start, time.Now().Add(inForceBound)) }()
+	defer func() { h.revisions.addDisturbance(e.ID, "kill", start, time.Now().Add(configApplyBound)) }()
 	return h.cluster.RestartEntry(ctx, e)
 }
 
@@ -110,7 +110,7 @@
 	start := time.Now()
 	w.Sidecar.Kill()
 	h.sleep(downtime)
-	defer func() { h.revisions.addDisturbance(w.ID, "kill", start, time.Now().Add(inForceBound)) }()
+	defer func() { h.revisions.addDisturbance(w.ID, "kill", start, time.Now().Add(configApplyBound)) }()
 	return h.cluster.RestartSidecar(ctx, w)
 }
 
@@ -142,7 +142,7 @@
 	}
 	h.sleep(leaseTTL + 2*time.Second)
 	h.logf("SIGCONT %s", e.ID)
-	defer func() { h.revisions.addDisturbance(e.ID, "pause", start, time.Now().Add(inForceBound)) }()
+	defer func() { h.revisions.addDisturbance(e.ID, "pause", start, time.Now().Add(configApplyBound)) }()
 	return errors.Join(err, e.Resume())
 }
 
@@ -154,7 +154,7 @@
 	}
 	h.sleep(leaseTTL + 2*time.Second)
 	h.logf("SIGCONT sidecar %s", w.ID)
-	h.revisions.addDisturbance(w.ID, "pause", start, time.Now().Add(inForceBound))
+	h.revisions.addDisturbance(w.ID, "pause", start, time.Now().Add(configApplyBound))
 	return w.Sidecar.Resume()
 }
 
@@ -162,7 +162,7 @@
 // and applies a changed document meanwhile.
 func (h *harness) cutHolder(ctx context.Context, toKV, fromKV bool) error {
 	e := h.leaseHolder(ctx)
-	h.logf("cut %s from the key-value service: to %t, from %t", e.ID, toKV, fromKV)
+	h.logf("hold traffic of %s to the key-value service: %t, from it: %t", e.ID, toKV, fromKV)
 	start := time.Now()
 	e.KVLink.Hold(toKV, fromKV)
 	err := h.applyNewVersion(ctx)
@@ -175,7 +175,7 @@
 
 func (h *harness) cutSidecar(_ context.Context, toSidecar, fromSidecar bool) error {
 	w := h.randomForwardedWorker()
-	h.logf("cut sidecar %s from the entries: to %t, from %t", w.ID, toSidecar, fromSidecar)
+	h.logf("hold traffic of the entries to sidecar %s: %t, from it: %t", w.ID, toSidecar, fromSidecar)
 	start := time.Now()
 	w.Link.Hold(toSidecar, fromSidecar)
 	h.sleep(outageDuration)
@@ -195,8 +195,8 @@
 	return h.cluster.KVFaults(ctx, kv.FaultState{})
 }
 
-// kvLostResponses drops the responses to writes that took effect, while a document is applied
-// and idempotency keys are claimed.
+// kvLostResponses makes the key-value service lose responses to writes that took effect, such as claims of
+// idempotency keys, for five seconds, and then applies a changed document.
 func kvLostResponses(ctx context.Context, h *harness) error {
 	h.logf("key-value service loses responses")
 	start := time.Now()
@@ -251,16 +251,16 @@
 	if err := h.cluster.ListFaults(ctx, instances.FaultRequest{LagMS: listLag.Milliseconds()}); err != nil {
 		return err
 	}
-	err := h.leave(ctx, h.randomPlainWorker(), listLag)
+	err := h.leaveAndRestart(ctx, h.randomPlainWorker(), listLag)
 	if resetErr := h.cluster.ListFaults(ctx, instances.FaultRequest{}); resetErr != nil {
 		return resetErr
 	}
 	return err
 }
 
-// leave lists a worker as leaving, waits until leaveBound (I7) has passed, and restarts its sidecar.
+// leaveAndRestart lists a worker as leaving, waits until leaveBound (I7) has passed, and restarts its sidecar.
 // lag is the delay of the instance list.
-func (h *harness) leave(ctx context.Context, w *worker, lag time.Duration) error {
+func (h *harness) leaveAndRestart(ctx context.Context, w *worker, lag time.Duration) error {
 	h.logf("%s is listed as leaving", w.ID)
 	if err := h.cluster.Leave(ctx, w.ID); err != nil {
 		return err
@@ -279,7 +279,7 @@
 		return err
 	}
 	h.sleep(downtime / 2)
-	defer func() { h.revisions.addDisturbance(e.ID, "stop", start, time.Now().Add(inForceBound)) }()
+	defer func() { h.revisions.addDisturbance(e.ID, "stop", start, time.Now().Add(configApplyBound)) }()
 	return h.cluster.RestartEntry(ctx, e)
 }
 
@@ -295,7 +295,7 @@
 		return err
 	}
 	h.sleep(downtime / 2)
-	defer func() { h.revisions.addDisturbance(w.ID, "stop", start, time.Now().Add(inForceBound)) }()
+	defer func() { h.revisions.addDisturbance(w.ID, "stop", start, time.Now().Add(configApplyBound)) }()
 	if w.Link != nil {
 		if err := w.Link.Refuse(false); err != nil {
 			return err
--- a/test/faults/checker_self_test.go
+++ b/test/faults/checker_self_test.go
@@ -15,8 +15,8 @@
 // run in one way.
 func TestCheckerFindsEachBreach(t *testing.T) {
 	at := time.Date(2026, 11, 3, 10, 0, 0, 0, time.UTC)
-	request := func(kind, token, id, outcome string) record {
-		return record{kind: kind, token: token, requestID: id, outcome: outcome, started: at, ended: at.Add(time.Second)}
+	request := func(kind, operationID, id, outcome string) record {
+		return record{kind: kind, operationID: operationID, requestID: id, outcome: outcome, started: at, ended: at.Add(time.Second)}
 	}
 	cases := map[string]struct {
 		want   string
@@ -48,7 +48,7 @@
 		"refused in a planned stop":      {"I8", func(c *checker) { c.records = append(c.records, request(kindAck, "t", "", outcomeUnsent)) }},
 		"broken before the planned stop": {"", func(c *checker) {
 			c.records = append(c.records, request(kindAck, "t", "x", outcomeBroken))
-			c.planned[0].lastFault = at.Add(time.Minute)
+			c.planned[0].lastFaultEnd = at.Add(time.Minute)
 		}},
 		"work before the bound of I7": {"", func(c *checker) { c.leaving = []leavingPeriod{{worker: "e", since: at.Add(-leaveBound + time.Second)}} }},
 		"work after the slot was renewed": {"", func(c *checker) {
@@ -60,8 +60,8 @@
 			c := &checker{
 				records: []record{
 					request(kindVerdict, "v", "v", outcomeComplete),
-					{kind: kindKeyed, token: "k", requestID: "k", answerID: "k", body: "b", outcome: outcomeComplete, started: at, ended: at},
-					{kind: kindKeyed, token: "k", requestID: "k2", answerID: "k", body: "b", outcome: outcomeComplete, started: at, ended: at},
+					{kind: kindKeyed, operationID: "k", requestID: "k", answerID: "k", body: "b", outcome: outcomeComplete, started: at, ended: at},
+					{kind: kindKeyed, operationID: "k", requestID: "k2", answerID: "k", body: "b", outcome: outcomeComplete, started: at, ended: at},
 				},
 				journals: &journals{
 					engines: map[string]engine.Report{"e": {Journal: []engine.Record{
@@ -69,7 +69,7 @@
 					}}},
 					backends: map[string][]backend.Record{"b": {{RequestID: "k", Path: "/alerts/k", At: at}}},
 				},
-				planned: []window{{cell: "order", from: at.Add(-time.Second), to: at.Add(time.Minute)}},
+				planned: []window{{name: "order", from: at.Add(-time.Second), to: at.Add(time.Minute)}},
 			}
 			tc.inject(c)
 			violations := c.check()
@@ -99,7 +99,7 @@
 // that reports one from a disturbed or restarted process.
 func TestRevisionsFindEachBreach(t *testing.T) {
 	at := time.Date(2026, 11, 3, 10, 0, 0, 0, time.UTC)
-	deadline := at.Add(inForceBound + observationSlack)
+	deadline := at.Add(configApplyBound + observationSlack)
 	start := func() *revisionTracker {
 		r := &revisionTracker{observed: map[string][]observation{}, disturbances: map[string][]window{}}
 		r.observe("e", "s", observation{at, "1", 3})
@@ -107,16 +107,16 @@
 		return r
 	}
 	r := start()
-	require.Empty(t, r.check(deadline.Add(-time.Second)), "the deadline has not passed")
+	require.Empty(t, r.check(deadline.Add(-time.Second)), "reported before the deadline")
 	require.Len(t, r.check(deadline), 1)
 	r.addDisturbance("e", "kill", at, deadline)
-	require.Empty(t, r.check(deadline), "a killed process may be late")
+	require.Empty(t, r.check(deadline), "reported a killed process")
 
 	r = start()
 	r.observe("e", "s", observation{at.Add(time.Second), "1", 4})
 	require.Empty(t, r.check(deadline))
 	r.observe("e", "s", observation{at.Add(2 * time.Second), "2", 3})
-	require.Empty(t, r.check(deadline), "a new incarnation may start at a lower revision")
+	require.Empty(t, r.check(deadline), "reported a lower revision of a new incarnation")
 	r.observe("e", "s", observation{at.Add(3 * time.Second), "2", 2})
 	require.Len(t, r.check(deadline), 1)
 }
--- a/test/faults/checker_test.go
+++ b/test/faults/checker_test.go
@@ -11,8 +11,8 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-// leaveBound is how soon after a worker is visible as leaving it must no longer receive new
-// work (I7).
+// leaveBound is the longest time for which a worker may still receive new work after the instance list
+// shows it as leaving (I7).
 const leaveBound = 3 * time.Second
 
 // journals holds the records of the engines and plain backend servers, by worker ID.
@@ -38,24 +38,25 @@
 }
 
 // window is the period of a planned cell, in which only planned changes and graceful stops happen, or
-// of a disturbance.
+// of a disturbance. name is the name of the cell or the cause of the disturbance.
 type window struct {
-	cell     string
+	name     string
 	from, to time.Time
-	// lastFault is the end of the last unplanned cell before the window. Requests that started
-	// before it may have been affected by that cell.
-	lastFault time.Time
+	// lastFaultEnd is the end of the last unplanned cell before the window. Requests that started
+	// before it may have been affected by that cell. It is set for planned cells only.
+	lastFaultEnd time.Time
 }
 
-// covers reports whether the request ended within the window and started after the last fault.
+// covers reports whether the request ended within the window and started after the last unplanned cell ended.
 func (w window) covers(r *record) bool {
 	// A request that ends after the window may be affected by the next cell. If that cell is
 	// planned, the request is checked in its window.
-	return !r.ended.After(w.to) && r.ended.After(w.from) && !r.started.Before(w.lastFault)
+	return !r.ended.After(w.to) && r.ended.After(w.from) && !r.started.Before(w.lastFaultEnd)
 }
 
-// leavingPeriod is the period in which a worker was visible as leaving: from its listing plus the
-// lag of the instance list until its sidecar was restarted. A zero restarted means no end.
+// leavingPeriod is the period in which a worker was listed as leaving. It begins when the instance list shows
+// the worker as leaving, its lag included, and ends when the sidecar is restarted. restarted is zero if it
+// was not.
 type leavingPeriod struct {
 	worker           string
 	since, restarted time.Time
@@ -129,14 +130,14 @@
 		}
 		switch {
 		case r.mismatch != "":
-			c.addViolation("I4", "%s %s (%s) got a wrong answer: %s", r.kind, r.token, r.requestID, r.mismatch)
+			c.addViolation("I4", "%s %s (%s) got a wrong answer: %s", r.kind, r.operationID, r.requestID, r.mismatch)
 		case !finished[id]:
-			c.addViolation("I4", "%s %s is complete, but no backend server finished request %s", r.kind, r.token, id)
-		case r.kind == kindKeyed && keyedAnswers[r.token] != "" && keyedAnswers[r.token] != r.body:
-			c.addViolation("I4", "%s %s got two different answers", r.kind, r.token)
+			c.addViolation("I4", "%s %s is complete, but no backend server finished request %s", r.kind, r.operationID, id)
+		case r.kind == kindKeyed && keyedAnswers[r.operationID] != "" && keyedAnswers[r.operationID] != r.body:
+			c.addViolation("I4", "%s %s got two different answers", r.kind, r.operationID)
 		}
 		if r.kind == kindKeyed {
-			keyedAnswers[r.token] = r.body
+			keyedAnswers[r.operationID] = r.body
 		}
 	}
 }
@@ -168,7 +169,7 @@
 			continue
 		}
 		if worker := executedAt[r.requestID]; r.requestID != "" && worker != "" {
-			c.addViolation("I5", "%s %s (%s) was told not_run (%s: %s), but ran at %s", r.kind, r.token, r.requestID, r.reason, r.detail, worker)
+			c.addViolation("I5", "%s %s (%s) was told not_run (%s: %s), but ran at %s", r.kind, r.operationID, r.requestID, r.reason, r.detail, worker)
 		}
 	}
 }
@@ -179,14 +180,14 @@
 	executions := map[string][]string{}
 	for id, journal := range c.journals.backends {
 		for _, rec := range journal {
-			if token, ok := strings.CutPrefix(rec.Path, "/alerts/"); ok {
-				executions[token] = append(executions[token], id+" as "+rec.RequestID)
+			if operationID, ok := strings.CutPrefix(rec.Path, "/alerts/"); ok {
+				executions[operationID] = append(executions[operationID], id+" as "+rec.RequestID)
 			}
 		}
 	}
-	for token, at := range executions {
+	for operationID, at := range executions {
 		if len(at) > 1 {
-			c.addViolation("I6", "operation %s ran %d times: %s", token, len(at), strings.Join(at, ", "))
+			c.addViolation("I6", "operation %s ran %d times: %s", operationID, len(at), strings.Join(at, ", "))
 		}
 	}
 }
@@ -195,11 +196,11 @@
 // request (I2, I8).
 func (c *checker) checkInterruptions() {
 	verdicts := map[string]bool{}
-	firstSent := map[string]time.Time{} // start of the first request of each operation, by token
+	firstSent := map[string]time.Time{} // start of the first request of each operation, by operation ID
 	for i := range c.records {
 		r := &c.records[i]
-		if firstSent[r.token].IsZero() {
-			firstSent[r.token] = r.started
+		if firstSent[r.operationID].IsZero() {
+			firstSent[r.operationID] = r.started
 		}
 		if r.kind == kindVerdict {
 			verdicts[r.requestID] = true
@@ -208,8 +209,8 @@
 			continue
 		}
 		for _, w := range c.planned {
-			if w.covers(r) && !firstSent[r.token].Before(w.lastFault) {
-				c.addViolation("I8", "%s: %s %s (%s) through %s ended as %s: %s %s", w.cell, r.kind, r.token, r.requestID, r.entry, r.outcome, r.reason, r.detail)
+			if w.covers(r) && !firstSent[r.operationID].Before(w.lastFaultEnd) {
+				c.addViolation("I8", "%s: %s %s (%s) through %s ended as %s: %s %s", w.name, r.kind, r.operationID, r.requestID, r.entry, r.outcome, r.reason, r.detail)
 			}
 		}
 	}
@@ -220,7 +221,7 @@
 			}
 			for _, w := range c.planned {
 				if rec.At.After(w.from) && rec.At.Before(w.to) {
-					c.addViolation("I2", "%s: verdict %s was cut at engine %s: %s %s", w.cell, rec.RequestID, id, rec.Kind, rec.Detail)
+					c.addViolation("I2", "%s: verdict %s was cut at engine %s: %s %s", w.name, rec.RequestID, id, rec.Kind, rec.Detail)
 				}
 			}
 		}
--- a/test/faults/config_test.go
+++ b/test/faults/config_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// inForceBound is the time within which every process must use an accepted configuration (I9).
-	inForceBound         = 8 * time.Second
+	// configApplyBound is the time within which every process must use an accepted configuration (I9).
+	configApplyBound     = 8 * time.Second
 	revisionPollInterval = 250 * time.Millisecond
 	revisionCallTimeout  = time.Second
 	// observationSlack allows for the delay of the poll that observes the revision on a busy machine.
@@ -34,15 +34,16 @@
 	at       time.Time
 }
 
-// revisionTracker checks that the revisions reported by all processes advance in time (I9).
+// revisionTracker checks that the revision that a process reports never decreases within an incarnation, and
+// reaches each accepted revision within configApplyBound unless the process was disturbed (I9).
 type revisionTracker struct {
 	clients *rpc.Clients
 
 	mu       sync.Mutex
-	observed map[string][]observation // by process ID and service, separated by a space
+	observed map[string][]observation // by entry or worker ID and service, separated by a space
 	accepted []acceptedRevision
-	// disturbances holds, by process ID, the periods in which a process or the key-value service
-	// was disturbed. The empty ID stands for all processes.
+	// disturbances holds, by entry or worker ID, the periods in which a process was stopped, paused or cut
+	// off. The empty ID stands for all processes, for example while the key-value service is down or slow.
 	disturbances map[string][]window
 	regressions  []string
 }
@@ -51,6 +52,7 @@
 	return &revisionTracker{clients: c.Clients(), observed: map[string][]observation{}, disturbances: map[string][]window{}}
 }
 
+// run polls the revisions of all entries and workers until ctx ends.
 func (r *revisionTracker) run(ctx context.Context, c *testcluster.Cluster) {
 	var wg sync.WaitGroup
 	startPoller := func(poll func(context.Context)) {
@@ -108,12 +110,12 @@
 	r.accepted = append(r.accepted, acceptedRevision{service, revision, time.Now()})
 }
 
-// addDisturbance records that a process was down, paused or cut off. An empty process stands for all
-// processes.
-func (r *revisionTracker) addDisturbance(process, cell string, from, to time.Time) {
+// addDisturbance records that a process, given by its entry or worker ID, was down, paused or cut off. An
+// empty ID stands for all processes.
+func (r *revisionTracker) addDisturbance(process, cause string, from, to time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.disturbances[process] = append(r.disturbances[process], window{cell: cell, from: from, to: to})
+	r.disturbances[process] = append(r.disturbances[process], window{name: cause, from: from, to: to})
 }
 
 // check returns the violations so far: decreasing revisions, and accepted revisions that an
@@ -123,7 +125,7 @@
 	defer r.mu.Unlock()
 	violations := append([]string(nil), r.regressions...)
 	for _, a := range r.accepted {
-		deadline := a.at.Add(inForceBound + observationSlack)
+		deadline := a.at.Add(configApplyBound + observationSlack)
 		if now.Before(deadline) {
 			continue
 		}
@@ -133,7 +135,7 @@
 				continue
 			}
 			violations = append(violations, fmt.Sprintf("I9: %s did not have revision %d of %s within %s of %s",
-				process, a.revision, service, inForceBound, a.at.Format(time.RFC3339Nano)))
+				process, a.revision, service, configApplyBound, a.at.Format(time.RFC3339Nano)))
 		}
 	}
 	return violations
--- a/test/faults/faults_test.go
+++ b/test/faults/faults_test.go
@@ -1,4 +1,5 @@
-// Package faults_test tests the invariants of docs/design.md with real processes. Under continuous
+// Package faults_test tests the invariants of docs/design.md, which comments and messages call I1 to I9, with
+// real processes. Under continuous
 // load it kills, pauses, cuts off, stops and reconfigures them. An independent checker compares what
 // the callers received with the journals of the engines and plain backend servers.
 package faults_test
@@ -23,7 +24,7 @@
 
 var (
 	seedFlag   = flag.Uint64("seed", 0, "seed of the schedule; 0 takes one from the clock")
-	roundsFlag = flag.Int("rounds", 0, "rounds of the full matrix; 0 skips it")
+	roundsFlag = flag.Int("rounds", 0, "number of rounds, one cell each, of TestMatrix; 0 skips it")
 	cellsFlag  = flag.String("cells", "", "comma-separated cells to draw from; empty for all")
 	logsFlag   = flag.String("logs", "", "folder that keeps the processes' logs; empty for a temporary one")
 )
@@ -31,7 +32,8 @@
 // ciSeed makes the run in continuous integration repeatable.
 const ciSeed = 7
 
-// postSettleDelay keeps the load running after the cluster has settled, to catch delayed effects.
+// postSettleDelay is how long the load still runs after the cluster has settled, so that delayed effects are
+// seen.
 const postSettleDelay = time.Second
 
 // roundResult is the outcome of one round.
@@ -96,7 +98,7 @@
 	if h != nil {
 		t.Cleanup(func() {
 			if err := h.cluster.Stop(); err != nil {
-				t.Errorf("stop: %v", err)
+				t.Errorf("stop the cluster: %v", err)
 			}
 			if t.Failed() {
 				dumpLogs(t, logDir)
@@ -137,9 +139,9 @@
 	}
 	time.Sleep(postSettleDelay)
 	if c.planned {
-		h.planned = append(h.planned, window{c.name, start, time.Now(), h.lastFault})
+		h.planned = append(h.planned, window{c.name, start, time.Now(), h.lastFaultEnd})
 	} else {
-		h.lastFault = time.Now()
+		h.lastFaultEnd = time.Now()
 	}
 	res := roundResult{cell: c.name, violations: h.check(ctx, reported), elapsed: time.Since(start)}
 	if err != nil {
@@ -217,10 +219,10 @@
 }
 
 func dumpLogs(t *testing.T, dir string) {
-	const tail = 1500
+	const tailBytes = 1500
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, f := range files {
 		b, _ := os.ReadFile(f)
-		t.Logf("%s:\n%s", filepath.Base(f), b[max(0, len(b)-tail):])
+		t.Logf("%s:\n%s", filepath.Base(f), b[max(0, len(b)-tailBytes):])
 	}
 }
--- a/test/faults/harness_test.go
+++ b/test/faults/harness_test.go
@@ -51,8 +51,8 @@
 	version      int
 	planned      []window
 	leaving      []leavingPeriod
-	// lastFault is the end of the last unplanned cell.
-	lastFault time.Time
+	// lastFaultEnd is the end of the last unplanned cell.
+	lastFaultEnd time.Time
 }
 
 // startHarness builds the programs, starts the cluster and applies the documents. The harness is not
@@ -189,8 +189,9 @@
 	return matching[h.rng.IntN(len(matching))]
 }
 
-// randomModelWorker and randomPlainWorker return workers that the entries reach without a forwarder: a
-// sidecar recognises itself in the instance list by its own address, which the forwarder's replaces.
+// randomModelWorker and randomPlainWorker return workers that the entries reach without a forwarder. The
+// instance list shows a forwarded worker with the address of its forwarder. Its sidecar looks for its own
+// address, so it would not notice that it is listed as leaving.
 func (h *harness) randomModelWorker() *worker {
 	return h.pickWorker(func(w *worker) bool { return !w.Pool.Plain && w.Link == nil })
 }
--- a/test/faults/load_test.go
+++ b/test/faults/load_test.go
@@ -35,7 +35,8 @@
 	outcomeComplete = "complete"
 	outcomeNotRun   = "not_run"
 	outcomeUnknown  = "unknown"
-	// outcomeBroken means that the response ended without a final event or a typed error.
+	// outcomeBroken means that the connection failed, or that the response ended without a final event or a
+	// typed error.
 	outcomeBroken = "broken"
 	// outcomeUnsent means that the connection was refused.
 	outcomeUnsent = "unsent"
@@ -54,21 +55,22 @@
 
 // record describes one request as its caller saw it.
 type record struct {
-	kind, token, requestID, entry string
-	outcome, reason, detail       string
-	started, ended                time.Time
+	kind, operationID, requestID, entry string
+	outcome, reason, detail             string
+	started, ended                      time.Time
 	// mismatch describes how a complete answer differs from the expected one.
 	mismatch string
-	// answerID is the request ID in a plain answer, and body is the whole answer.
+	// answerID is the request ID in a plain answer, and body is the whole answer. A replayed answer has the
+	// ID of the request that ran.
 	answerID, body string
 }
 
 // loadGenerator runs closed-loop callers behind a simulated load balancer that follows the entries'
 // readiness checks.
 type loadGenerator struct {
-	cluster *testcluster.Cluster
-	client  *http.Client
-	tokens  atomic.Uint64
+	cluster       *testcluster.Cluster
+	client        *http.Client
+	lastOperation atomic.Uint64
 	// expectedDepartures computes the expected answer to a plain read.
 	expectedDepartures func(path string) string
 
@@ -88,20 +90,20 @@
 		wg.Go(func() { l.pollReadiness(ctx, e) })
 	}
 	groups := []struct {
-		n    int
-		call func(*rand.Rand, int)
+		callers int
+		call    func(*rand.Rand, int)
 	}{
-		// Shorter verdicts would all end while the weights are being loaded, and a model change that
-		// does not wait for running verdicts would go undetected.
+		// Verdicts have 150 tokens. Shorter ones would end while the weights are being loaded, and a
+		// model change that does not wait for running verdicts would go undetected.
 		{6, func(r *rand.Rand, i int) { l.sendCompletion(r, i, kindVerdict, 150) }},
 		{5, func(r *rand.Rand, i int) { l.sendCompletion(r, i, kindChat, 240) }},
 		{3, l.sendRead},
-		{3, func(r *rand.Rand, i int) { l.sendPlain(r, i, kindAck, http.MethodPost, l.newToken("ack", i), "") }},
+		{3, func(r *rand.Rand, i int) { l.sendPlain(r, i, kindAck, http.MethodPost, l.newOperationID("ack", i), "") }},
 		{4, l.sendKeyed},
 	}
 	caller := 0
 	for _, c := range groups {
-		for range c.n {
+		for range c.callers {
 			caller++
 			id := caller
 			r := rand.New(rand.NewPCG(seed, uint64(id)))
@@ -156,8 +158,8 @@
 	}
 }
 
-func (l *loadGenerator) newToken(kind string, caller int) string {
-	return fmt.Sprintf("%s-%d-%d", kind, caller, l.tokens.Add(1))
+func (l *loadGenerator) newOperationID(kind string, caller int) string {
+	return fmt.Sprintf("%s-%d-%d", kind, caller, l.lastOperation.Add(1))
 }
 
 func (l *loadGenerator) addRecord(rec record) {
@@ -177,7 +179,7 @@
 func newRequest(e *testcluster.Entry, caller int, method, path, body string) *http.Request {
 	req, err := http.NewRequest(method, "http://"+e.Address+path, strings.NewReader(body))
 	if err != nil {
-		panic(err) // the paths are constants and tokens
+		panic(err) // cannot happen: the paths consist of constants and operation IDs
 	}
 	req.Header.Set("Authorization", fmt.Sprintf("Bearer caller-%d", caller))
 	// Without GetBody, the HTTP client does not resend a request that must not be repeated.
@@ -187,12 +189,12 @@
 
 // sendCompletion sends one streamed completion request and checks its answer.
 func (l *loadGenerator) sendCompletion(r *rand.Rand, caller int, kind string, maxTokens int) {
-	token := l.newToken(kind, caller)
-	prompt := "request " + token + strings.Repeat(" stop and line", 1+r.IntN(100))
+	operationID := l.newOperationID(kind, caller)
+	prompt := "request " + operationID + strings.Repeat(" stop and line", 1+r.IntN(100))
 	genRequest := &external.GenerateRequest{Model: model, Prompt: prompt, MaxTokens: maxTokens, Seed: r.Uint64N(1 << 40)}
 	body, _ := json.Marshal(map[string]any{"model": model, "prompt": prompt, "max_tokens": maxTokens, "stream": true, "seed": genRequest.Seed})
 	e := l.pickEntry(r, nil)
-	rec := record{kind: kind, token: token, entry: e.ID, started: time.Now()}
+	rec := record{kind: kind, operationID: operationID, entry: e.ID, started: time.Now()}
 	defer func() { l.addRecord(rec) }()
 	req := newRequest(e, caller, http.MethodPost, "/v1/completions", string(body))
 	req.Header.Set("X-Quetzallug-Kind", kind)
@@ -215,7 +217,8 @@
 	}
 }
 
-// send returns the response, or nil if none arrived.
+// send returns the response, or nil if none arrived. It sets the request ID in rec or, if there is no
+// response, the outcome.
 func (l *loadGenerator) send(req *http.Request, rec *record) *http.Response {
 	resp, err := l.client.Do(req)
 	if err != nil {
@@ -285,28 +288,28 @@
 			finish = *f
 		}
 	}
-	rec.detail = fmt.Sprintf("stream ended without [DONE]: %v", s.Err())
+	rec.detail = fmt.Sprintf("stream ended without [DONE] (read error: %v)", s.Err())
 	return "", ""
 }
 
 func (l *loadGenerator) sendRead(r *rand.Rand, caller int) {
-	token := l.newToken("read", caller)
-	rec := l.doPlain(r, caller, kindRead, http.MethodGet, "/schedules/"+token, token, "", nil)
+	operationID := l.newOperationID("read", caller)
+	rec := l.doPlain(r, caller, kindRead, http.MethodGet, "/schedules/"+operationID, operationID, "", nil)
 	l.addRecord(rec)
 }
 
-func (l *loadGenerator) sendPlain(r *rand.Rand, caller int, kind, method, token, key string) {
-	l.addRecord(l.doPlain(r, caller, kind, method, "/alerts/"+token, token, key, nil))
+func (l *loadGenerator) sendPlain(r *rand.Rand, caller int, kind, method, operationID, key string) {
+	l.addRecord(l.doPlain(r, caller, kind, method, "/alerts/"+operationID, operationID, key, nil))
 }
 
 // sendKeyed acknowledges one alert. It retries through another entry until it gets a complete answer,
 // and sends some completed operations again.
 func (l *loadGenerator) sendKeyed(r *rand.Rand, caller int) {
-	token := l.newToken("keyed", caller)
+	operationID := l.newOperationID("keyed", caller)
 	var last *testcluster.Entry
 	for range maxKeyedAttempts {
 		e := l.pickEntry(r, last)
-		rec := l.doPlain(r, caller, kindKeyed, http.MethodPost, "/alerts/"+token, token, token, e)
+		rec := l.doPlain(r, caller, kindKeyed, http.MethodPost, "/alerts/"+operationID, operationID, operationID, e)
 		l.addRecord(rec)
 		last = e
 		if rec.outcome == outcomeComplete && r.Float64() >= replayProbability {
@@ -317,11 +320,11 @@
 }
 
 // doPlain sends one plain request to e, or to a random ready entry if e is nil.
-func (l *loadGenerator) doPlain(r *rand.Rand, caller int, kind, method, path, token, key string, e *testcluster.Entry) record {
+func (l *loadGenerator) doPlain(r *rand.Rand, caller int, kind, method, path, operationID, key string, e *testcluster.Entry) record {
 	if e == nil {
 		e = l.pickEntry(r, nil)
 	}
-	rec := record{kind: kind, token: token, entry: e.ID, started: time.Now()}
+	rec := record{kind: kind, operationID: operationID, entry: e.ID, started: time.Now()}
 	req := newRequest(e, caller, method, "/svc/"+plainService+path, "")
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
