--- a/test/path/apply_test.go
+++ b/test/path/apply_test.go
@@ -64,17 +64,17 @@
 	// Without the key-value service, a restarted process must get the accepted revision from its
 	// peers.
 	for _, p := range []*process{dep.entries[1].process, dep.workers[1].process} {
-		if f := p.docs.Snapshot()[llm]; f != nil && f.Revision < dep.highestAcceptedRevision() {
-			dep.recordRegression("%s started with revision %d after %d was in force", p.instance.ID, f.Revision, dep.highestAcceptedRevision())
+		if f := p.docs.Snapshot()[modelService]; f != nil && f.Revision < dep.highestAcceptedRevision() {
+			dep.recordRevisionDecrease("%s started with revision %d after %d was in force", p.instance.ID, f.Revision, dep.highestAcceptedRevision())
 		}
 	}
 	dep.store.Faults().Set(kv.FaultState{})
 }
 
-func (dep *deployment) recordRegression(format string, args ...any) {
+func (dep *deployment) recordRevisionDecrease(format string, args ...any) {
 	dep.mu.Lock()
 	defer dep.mu.Unlock()
-	dep.regressions = append(dep.regressions, fmt.Sprintf(format, args...))
+	dep.revisionDecreases = append(dep.revisionDecreases, fmt.Sprintf(format, args...))
 }
 
 // highestAcceptedRevision returns the highest revision whose acceptance was reported to an operator.
@@ -93,7 +93,7 @@
 func (dep *deployment) applyEdit(base uint64, queue int) {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		r, err := registry.Apply(ctx, dep.store, llm, base, documentBody(llm, queue), fmt.Sprint("operator-", queue))
+		r, err := registry.Apply(ctx, dep.store, modelService, base, documentBody(modelService, queue), fmt.Sprint("operator-", queue))
 		cancel()
 		var conflict *registry.ConflictError
 		switch {
@@ -101,9 +101,9 @@
 			dep.mu.Lock()
 			dep.acceptedEdits[r.Revision] = append(dep.acceptedEdits[r.Revision], queue)
 			dep.mu.Unlock()
-			if dep.duplicateClaims.Load() {
+			if dep.duplicateCommands.Load() {
 				// Repeats the accepted command with the same base revision.
-				_, _ = registry.Apply(context.Background(), dep.store, llm, base, documentBody(llm, queue), "again")
+				_, _ = registry.Apply(context.Background(), dep.store, modelService, base, documentBody(modelService, queue), "again")
 			}
 			return
 		case errors.As(err, &conflict):
@@ -117,7 +117,7 @@
 // revision was accepted for one edit only.
 func checkInForce(dep *deployment, s *script) (violations []string) {
 	time.Sleep(inForceBound)
-	r, err := registry.Get(context.Background(), dep.store, llm)
+	r, err := registry.Get(context.Background(), dep.store, modelService)
 	if err != nil {
 		return []string{"I9: " + err.Error()}
 	}
@@ -141,7 +141,7 @@
 		all = append(all, p.process)
 	}
 	for _, p := range all {
-		if f := p.docs.Snapshot()[llm]; f == nil || f.Revision != r.Revision || string(f.Body) != string(r.Body) {
+		if f := p.docs.Snapshot()[modelService]; f == nil || f.Revision != r.Revision || string(f.Body) != string(r.Body) {
 			violations = append(violations, fmt.Sprintf("I9: %s does not hold revision %d", p.instance.ID, r.Revision))
 		}
 	}
--- a/test/path/caller_test.go
+++ b/test/path/caller_test.go
@@ -20,7 +20,8 @@
 const (
 	callerTimeout = 60 * time.Second
 	answerTokens  = 16
-	// remotePrefillTokens is the shortest prompt that is prefilled on another engine.
+	// remotePrefillTokens is the length, in tokens, from which a repeatable request's prompt is
+	// prefilled on another engine.
 	remotePrefillTokens = 100
 )
 
@@ -29,8 +30,9 @@
 	kind   string // request kind, as the document declares it
 	stream bool
 	key    string
-	// n makes the prompts and paths of different requests distinct.
-	n int
+	// number tells requests apart: it is part of the prompt or path, and the seed. checkServing uses
+	// numbers from 100.
+	number int
 	// remotePrefill makes the prompt long enough to be prefilled on another engine.
 	remotePrefill bool
 }
@@ -48,42 +50,42 @@
 	if r.remotePrefill {
 		words = 2 * remotePrefillTokens
 	}
-	return strings.Repeat(fmt.Sprint("stop", r.n, " "), words)
+	return strings.Repeat(fmt.Sprint("stop", r.number, " "), words)
 }
 
 func (r callerRequest) path() string {
 	if r.kind == "schedule-read" {
-		return fmt.Sprint("/stops/", r.n)
+		return fmt.Sprint("/stops/", r.number)
 	}
-	return fmt.Sprint("/alerts/", r.n)
+	return fmt.Sprint("/alerts/", r.number)
 }
 
 // observation is what a caller received.
 type observation struct {
 	callerRequest
-	entry  string
-	id     string // request ID, empty if no response arrived
-	status int
+	entry     string
+	requestID string // empty if no response arrived
+	status    int
 	// complete is true if the response was marked as complete.
 	complete bool
-	// outcome is the type of the error body, empty if none arrived.
-	outcome, code string
-	text          string
-	err           error
-	body          []byte
+	// errorType and errorCode are the type and code in the error body, empty if none arrived.
+	errorType, errorCode string
+	text                 string
+	err                  error
+	body                 []byte
 }
 
 func (o *observation) String() string {
-	return fmt.Sprintf("%s n=%d key=%q via %s: id %s, status %d, complete %t, outcome %q (%s), error %v", o.kind, o.n, o.key, o.entry, o.id, o.status, o.complete, o.outcome, o.code, o.err)
+	return fmt.Sprintf("%s n=%d key=%q via %s: id %s, status %d, complete %t, outcome %q (%s), error %v", o.kind, o.number, o.key, o.entry, o.requestID, o.status, o.complete, o.errorType, o.errorCode, o.err)
 }
 
-// send makes one call through an entry, or through the next one if it is out of rotation, and
-// records the result.
-func (dep *deployment) send(i int, r callerRequest) *observation {
+// send makes one call through the entry with the given index, or through the next one if that is
+// out of rotation, and records and returns the observation.
+func (dep *deployment) send(entryIndex int, r callerRequest) *observation {
 	dep.mu.Lock()
-	p := dep.entries[i]
+	p := dep.entries[entryIndex]
 	if p.outOfRotation {
-		p = dep.entries[(i+1)%len(dep.entries)]
+		p = dep.entries[(entryIndex+1)%len(dep.entries)]
 	}
 	dep.mu.Unlock()
 	o := &observation{callerRequest: r, entry: p.instance.ID}
@@ -94,22 +96,23 @@
 	return o
 }
 
-// sendWithRetries sends a request up to four times until it gets a complete answer, each time
-// through the next entry, as a caller behind a load balancer does. It repeats only requests that
-// are repeatable, have an idempotency key or were answered with not_run.
-func (dep *deployment) sendWithRetries(i int, r callerRequest) *observation {
-	o := dep.send(i, r)
-	for n := 1; n < 4 && !o.complete && (r.repeatable() || r.key != "" || o.outcome == "not_run"); n++ {
+// sendWithRetries sends a request up to four times until it gets a complete answer, first through
+// the entry with the given index and then through the next ones, as a caller behind a load balancer
+// does. It repeats only requests that are repeatable, have an idempotency key or were answered with
+// not_run.
+func (dep *deployment) sendWithRetries(entryIndex int, r callerRequest) *observation {
+	o := dep.send(entryIndex, r)
+	for n := 1; n < 4 && !o.complete && (r.repeatable() || r.key != "" || o.errorType == "not_run"); n++ {
 		time.Sleep(time.Second)
-		o = dep.send((i+n)%len(dep.entries), r)
+		o = dep.send((entryIndex+n)%len(dep.entries), r)
 	}
 	return o
 }
 
 func (dep *deployment) exchange(o *observation, base string) {
-	method, url, body := http.MethodPost, base+"/svc/"+api+o.path(), fmt.Sprint("body ", o.n)
+	method, url, body := http.MethodPost, base+"/svc/"+plainService+o.path(), fmt.Sprint("body ", o.number)
 	if o.isModel() {
-		b, _ := json.Marshal(map[string]any{"model": model, "prompt": o.prompt(), "max_tokens": answerTokens, "stream": o.stream, "seed": o.n})
+		b, _ := json.Marshal(map[string]any{"model": model, "prompt": o.prompt(), "max_tokens": answerTokens, "stream": o.stream, "seed": o.number})
 		url, body = base+"/v1/completions", string(b)
 	} else if o.kind == "schedule-read" {
 		method = http.MethodGet
@@ -131,7 +134,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	o.id, o.status = resp.Header.Get("X-Request-Id"), resp.StatusCode
+	o.requestID, o.status = resp.Header.Get("X-Request-Id"), resp.StatusCode
 	if resp.Header.Get("Content-Type") == "text/event-stream" {
 		o.readEvents(resp.Body)
 		return
@@ -156,7 +159,7 @@
 func (o *observation) readError(b []byte) {
 	var e struct{ Error struct{ Type, Code string } }
 	if o.err = json.Unmarshal(b, &e); o.err == nil {
-		o.outcome, o.code = e.Error.Type, e.Error.Code
+		o.errorType, o.errorCode = e.Error.Type, e.Error.Code
 	}
 }
 
@@ -192,11 +195,11 @@
 	worker string
 }
 
-// name identifies one incarnation of a worker.
-func (p *workerProcess) name() string { return p.instance.ID + "#" + p.incarnation }
+// incarnationName returns the instance ID and the incarnation, joined by #.
+func (p *workerProcess) incarnationName() string { return p.instance.ID + "#" + p.incarnation }
 
-// drainPeriod is a period in which a worker must not begin new work. A zero end means that the
-// drain goes on.
+// drainPeriod is a period in which a worker must not begin new work. A zero until means that
+// the drain goes on.
 type drainPeriod struct {
 	worker      string
 	from, until time.Time
@@ -207,7 +210,7 @@
 	defer dep.mu.Unlock()
 	key := fmt.Sprintf("%s/%d", r.GetRequestId(), r.GetAttempt())
 	if _, ok := dep.firstArrivals[key]; !ok {
-		dep.firstArrivals[key] = arrival{time.Now(), p.name()}
+		dep.firstArrivals[key] = arrival{time.Now(), p.incarnationName()}
 	}
 	if r.GetRepeatable() && r.GetIncarnation() == "" {
 		dep.withoutIncarnation[key] = true
@@ -215,15 +218,16 @@
 	dep.delivered[p.slot] = append(dep.delivered[p.slot], proto.CloneOf(r))
 }
 
-// run is one request that a backend server began.
+// run is one request that an engine accepted or a backend server executed.
 type run struct {
-	id, attempt, key string
-	slot             int
-	at               time.Time
-	isGet            bool
+	// attempt is the request ID and the attempt number, joined by a slash; empty for a backend server.
+	requestID, attempt, key string
+	slot                    int
+	at                      time.Time
+	isGet                   bool
 }
 
-// runs returns the requests in the journals of all backend servers.
+// runs returns the requests in the journals of all engines and backend servers.
 func (dep *deployment) runs() []run {
 	var all []run
 	for _, p := range dep.workers {
@@ -231,28 +235,28 @@
 			for _, r := range p.engine.Journal() {
 				if r.Kind == engine.RequestQueued {
 					id, _, _ := strings.Cut(r.RequestID, "/")
-					all = append(all, run{id: id, attempt: r.RequestID, slot: p.slot, at: r.At})
+					all = append(all, run{requestID: id, attempt: r.RequestID, slot: p.slot, at: r.At})
 				}
 			}
 			continue
 		}
 		for _, r := range p.plain.Journal() {
-			all = append(all, run{id: r.RequestID, key: r.IdempotencyKey, slot: p.slot, at: r.At, isGet: r.Method == http.MethodGet})
+			all = append(all, run{requestID: r.RequestID, key: r.IdempotencyKey, slot: p.slot, at: r.At, isGet: r.Method == http.MethodGet})
 		}
 	}
 	return all
 }
 
-// check compares what callers received with what the backend servers ran, and returns the
-// violated invariants.
+// check compares what callers received with what the engines and backend servers ran, and
+// returns the violated invariants.
 func (dep *deployment) check() []string {
 	dep.mu.Lock()
 	defer dep.mu.Unlock()
-	violations := append([]string(nil), dep.regressions...)
+	violations := append([]string(nil), dep.revisionDecreases...)
 	fail := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	byID, byKey, byAttempt := map[string]int{}, map[string]int{}, map[string]int{}
 	for _, r := range dep.runs() {
-		byID[r.id]++
+		byID[r.requestID]++
 		if r.key != "" && !r.isGet {
 			byKey[r.key]++
 		}
@@ -297,15 +301,17 @@
 	return violations
 }
 
-func (o *observation) check(runs map[string]int) (violations []string) {
+// check returns the invariants that the observation violates, given the number of runs by request
+// ID.
+func (o *observation) check(runCounts map[string]int) (violations []string) {
 	fail := func(format string, args ...any) {
 		violations = append(violations, fmt.Sprintf(format, args...)+": "+o.String())
 	}
-	if o.outcome == "not_run" && o.id != "" && runs[o.id] > 0 {
+	if o.errorType == "not_run" && o.requestID != "" && runCounts[o.requestID] > 0 {
 		fail("I5: reported as not_run, but ran")
 	}
-	if !o.repeatable() && runs[o.id] > 1 {
-		fail("I6: ran %d times", runs[o.id])
+	if !o.repeatable() && runCounts[o.requestID] > 1 {
+		fail("I6: ran %d times", runCounts[o.requestID])
 	}
 	if !o.complete {
 		if o.isModel() && !strings.HasPrefix(o.expectedText(), o.text) {
@@ -325,15 +331,15 @@
 		fail("I4: body is not an answer: %v", err)
 	case a.Path != o.path() || a.IdempotencyKey != o.key:
 		fail("I4: answer %s belongs to another request", o.body)
-	case o.key == "" && a.RequestID != o.id:
+	case o.key == "" && a.RequestID != o.requestID:
 		fail("I4: answer belongs to request %s", a.RequestID)
-	case runs[a.RequestID] == 0:
+	case runCounts[a.RequestID] == 0:
 		fail("I4: answer belongs to request %s, which never ran", a.RequestID)
 	}
 	return violations
 }
 
 func (o *observation) expectedText() string {
-	text, _, _ := engine.Answer(&external.GenerateRequest{Model: model, Prompt: o.prompt(), MaxTokens: answerTokens, Seed: uint64(o.n)})
+	text, _, _ := engine.Answer(&external.GenerateRequest{Model: model, Prompt: o.prompt(), MaxTokens: answerTokens, Seed: uint64(o.number)})
 	return text
 }
--- a/test/path/deployment_test.go
+++ b/test/path/deployment_test.go
@@ -1,6 +1,21 @@
 // Package path tests the request path under injected faults in virtual time: entries, sidecars,
 // stand-in engines and backend servers run in one synctest bubble, connected by an in-memory
 // network.
+//
+// Violations name the invariants that they break:
+//
+//   - I2: no order cuts off a request, conflicts with another order or is stale when it starts, and
+//     no drain without a disruptive fault makes an engine cut a request off.
+//   - I4: an answer that is marked complete is whole and belongs to its request, a partial text is a
+//     prefix of the answer, repeated requests with one idempotency key get the same answer, and an
+//     engine runs an attempt that names an incarnation at most once.
+//   - I5: a request that is reported as not run has not run.
+//   - I6: a request that must not be repeated runs at most once, also under one idempotency key.
+//   - I7: a worker begins no request that arrives while it drains.
+//   - I8: a drain interrupts no request under the faults in nonDisruptiveFaults.
+//   - I9: an accepted edit is kept, only one edit is accepted per revision, the accepted revision is
+//     in force in every process within inForceBound, and no process goes back to an older revision.
+//     Messages on a process that goes back carry no number.
 package path
 
 import (
@@ -40,22 +55,23 @@
 )
 
 const (
-	cluster    = "halte"
-	dataCentre = "midrand"
-	llm        = "halte-llm"
-	api        = "halte-api"
-	model      = "halte-verdict"
+	cluster      = "halte"
+	dataCentre   = "midrand"
+	modelService = "halte-llm"
+	plainService = "halte-api"
+	model        = "halte-verdict"
 	// retriesPerSecond is high, so that the retry budget, which has its own tests, does not run out
 	// while a fault lasts.
 	retriesPerSecond = 50
-	// statePoll is the interval at which a sidecar reads the state of its engine.
+	// statePollInterval is the interval at which a sidecar reads the state of its engine.
 	statePollInterval = 500 * time.Millisecond
-	// probeTick is longer than in the daemon: at 100 ms, probes took a fifth of the tests' time.
+	// probeTick is the interval at which due probes are sent. It is longer than in the daemon: at
+	// 100 ms, probes took a fifth of the tests' time.
 	probeTick = 400 * time.Millisecond
 )
 
 var documents = map[string]string{
-	llm: `service: halte-llm
+	modelService: `service: halte-llm
 type: model
 data_centres: [midrand]
 models: [{name: halte-verdict, version: "1", weights_mib: 1}]
@@ -66,7 +82,7 @@
   - {name: chat, rank: 2, repeatable: true, interruptible: true, deadlines: {first_token: 730ms, between_tokens: 71ms, total: 20s}}
 limits: {queue: %d}
 `,
-	api: `service: halte-api
+	plainService: `service: halte-api
 type: plain
 data_centres: [midrand]
 pools: [{data_centre: midrand, workers: 3}]
@@ -94,9 +110,9 @@
 	log   logrus.FieldLogger
 	// onStep is called at each step of the protocols.
 	onStep func(event)
-	// duplicateClaims repeats each claim, completion and release 2 ms later, and each accepted edit
+	// duplicateCommands repeats each claim, completion and release 2 ms later, and each accepted edit
 	// at once.
-	duplicateClaims atomic.Bool
+	duplicateCommands atomic.Bool
 	// replaying is true while callers repeat requests that have been answered.
 	replaying atomic.Bool
 	// twoOperators lets two operators edit one document at the same time.
@@ -110,21 +126,25 @@
 	workers   []*workerProcess
 	processes []*process
 	calls     []*observation
-	// firstArrivals holds the first arrival at a worker, by request ID and attempt.
+	// firstArrivals holds the first arrival at a worker, by request ID and attempt, joined by a
+	// slash.
 	firstArrivals map[string]arrival
 	drains        []drainPeriod
 	// delivered holds the requests that arrived at the worker in each slot.
 	delivered map[int][]*v1.ExecuteRequest
-	// withoutIncarnation holds the attempts that named no incarnation, which only repeatable requests
-	// may do. The same engine may run them more than once.
+	// withoutIncarnation holds the attempts that named no incarnation, by request ID and attempt,
+	// joined by a slash. Only repeatable requests may do so. The same engine may run them more than
+	// once.
 	withoutIncarnation map[string]bool
 	// acceptedEdits holds the edits whose acceptance was reported to an operator, by revision. An edit
 	// is identified by its queue limit.
 	acceptedEdits map[uint64][]int
-	regressions   []string
+	// revisionDecreases holds one message for each time that a process went back to an older revision.
+	revisionDecreases []string
 }
 
-// event is the occurrence of a protocol step, reported before the step takes effect.
+// event is the occurrence of a protocol step. Most steps are reported before they take effect;
+// drain steps other than drainEntry are reported when the drain has begun.
 type event struct {
 	step    string
 	entry   *entryProcess
@@ -132,7 +152,7 @@
 	request string
 	attempt uint32
 	// sender is set at the steps of frames only.
-	sender *sender
+	sender *faultySender
 }
 
 // process is the common part of an entry and a sidecar.
@@ -168,10 +188,11 @@
 	faults  messageFaults
 }
 
-type config struct{ entries, engines, plains int }
+// processCounts holds how many processes of each kind a deployment has.
+type processCounts struct{ entries, engines, backends int }
 
-// newDeployment starts a deployment and waits until it serves.
-func newDeployment(t *testing.T, c config) *deployment {
+// newDeployment starts a deployment and gives it 5 s to become ready.
+func newDeployment(t *testing.T, c processCounts) *deployment {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	dep := &deployment{
@@ -193,7 +214,7 @@
 		dep.entries = append(dep.entries, nil)
 		dep.startEntry(i)
 	}
-	for i := range c.engines + c.plains {
+	for i := range c.engines + c.backends {
 		p := &workerProcess{slot: i}
 		if i < c.engines {
 			// At 2 ms per step a request takes some tens of milliseconds.
@@ -216,7 +237,8 @@
 	return dep
 }
 
-// stop ends all processes and waits until the bubble has no goroutines left.
+// stop ends the faults of the network and the key-value service, kills all processes, waits for
+// their goroutines and gives the others a minute to end.
 func (dep *deployment) stop() {
 	dep.store.Faults().Set(kv.FaultState{})
 	dep.net.Heal()
@@ -276,7 +298,7 @@
 		for name, f := range p.docs.Snapshot() {
 			if f.Revision < seen[name] {
 				p.dep.mu.Lock()
-				p.dep.regressions = append(p.dep.regressions, fmt.Sprintf("%s: %s went back from revision %d to %d", p.instance.ID, name, seen[name], f.Revision))
+				p.dep.revisionDecreases = append(p.dep.revisionDecreases, fmt.Sprintf("%s: %s went back from revision %d to %d", p.instance.ID, name, seen[name], f.Revision))
 				p.dep.mu.Unlock()
 			}
 			seen[name] = f.Revision
@@ -364,9 +386,9 @@
 	dep.mu.Lock()
 	old := dep.workers[i]
 	dep.mu.Unlock()
-	service := llm
+	service := modelService
 	if old.plain != nil {
-		service = api
+		service = plainService
 	}
 	addr := fmt.Sprintf("10.0.1.%d:1", i)
 	p := &workerProcess{process: dep.newProcess(fmt.Sprint("worker-", i), external.RoleSidecar, service, addr), slot: i, engine: old.engine, plain: old.plain}
@@ -385,7 +407,7 @@
 	require.NoError(dep.t, err)
 	mux := http.NewServeMux()
 	mux.Handle(quetzallugv1connect.NewWorkerServiceHandler(
-		&faultyService{sidecar.NewService(p.sidecar, nil, llm+"."+dataCentre, dep.log), p}, rpc.WorkerOptions()...))
+		&faultyService{sidecar.NewService(p.sidecar, nil, modelService+"."+dataCentre, dep.log), p}, rpc.WorkerOptions()...))
 	p.serve(rpc.NewServer(mux), addr)
 	p.background(func(ctx context.Context) {
 		for ctx.Err() == nil {
@@ -399,24 +421,25 @@
 	dep.publish(p.instance)
 }
 
-func (dep *deployment) setStepHook(f func(event)) {
+func (dep *deployment) setOnStep(f func(event)) {
 	dep.mu.Lock()
 	defer dep.mu.Unlock()
 	dep.onStep = f
 }
 
-// reachStep reports a step to the hook, and then blocks while the process of the event is frozen.
+// reachStep reports a step to onStep, and then blocks while the reporting process (the entry if set,
+// else the worker) is frozen.
 func (dep *deployment) reachStep(e event) {
 	dep.mu.Lock()
 	f := dep.onStep
 	dep.mu.Unlock()
 	f(e)
-	self := e.worker
+	w := e.worker
 	switch {
 	case e.entry != nil:
 		dep.net.Stand(e.entry.host)
-	case self != nil:
-		dep.net.Stand(self.host)
+	case w != nil:
+		dep.net.Stand(w.host)
 	}
 }
 
--- a/test/path/drain_test.go
+++ b/test/path/drain_test.go
@@ -26,8 +26,9 @@
 const (
 	lameDuck     = time.Second
 	drainTimeout = 30 * time.Second
-	// leavingPoll is the interval at which a sidecar reads the instance list. leavingBound is the
-	// time within which it must refuse new work once the list names it as leaving (invariant I7).
+	// leavingPoll is the interval at which drainLeaving reads the instance list for a sidecar.
+	// leavingBound is the time within which the sidecar must refuse new work once the list names it
+	// as leaving (invariant I7).
 	leavingPoll  = 200 * time.Millisecond
 	leavingBound = 3 * time.Second
 )
@@ -40,11 +41,11 @@
 
 // runDrain drains a process in the middle of an answer, while callers continue to send requests.
 func runDrain(dep *deployment, step string) {
-	previousHook := dep.onStep
+	previousOnStep := dep.onStep
 	var once sync.Once
 	var drained sync.WaitGroup
-	dep.setStepHook(func(e event) {
-		previousHook(e)
+	dep.setOnStep(func(e event) {
+		previousOnStep(e)
 		if e.step == "middle of the stream" {
 			once.Do(func() {
 				dep.mu.Lock()
@@ -56,8 +57,8 @@
 	})
 	sendTraffic := func(n int) {
 		dep.sendConcurrently(
-			callerRequest{kind: "arrival-verdict", stream: true, n: n}, callerRequest{kind: "arrival-verdict", n: n + 1}, callerRequest{kind: "order", stream: true, n: n + 2},
-			callerRequest{kind: "alert-acknowledgement", n: n + 3}, callerRequest{kind: "schedule-read", n: n + 4}, callerRequest{kind: "chat", stream: true, n: n + 5},
+			callerRequest{kind: "arrival-verdict", stream: true, number: n}, callerRequest{kind: "arrival-verdict", number: n + 1}, callerRequest{kind: "order", stream: true, number: n + 2},
+			callerRequest{kind: "alert-acknowledgement", number: n + 3}, callerRequest{kind: "schedule-read", number: n + 4}, callerRequest{kind: "chat", stream: true, number: n + 5},
 		)
 	}
 	var wg sync.WaitGroup
@@ -72,31 +73,31 @@
 }
 
 func (dep *deployment) drain(step string, en *entryProcess, p *workerProcess) {
-	onBegin := func() { dep.reachStep(event{step: step, entry: en, worker: p}) }
+	reportBegin := func() { dep.reachStep(event{step: step, entry: en, worker: p}) }
 	switch step {
 	case drainOrder:
-		dep.drainForOrder(p, onBegin)
+		dep.drainForOrder(p, reportBegin)
 	case drainLeaving:
-		dep.drainLeaving(p, onBegin)
+		dep.drainLeaving(p, reportBegin)
 	case drainSidecar:
 		p.sidecar.Leave()
 		dep.recordDrain(p, time.Now())
-		onBegin()
+		reportBegin()
 		dep.sendLate(p)
 		dep.stopSidecar(p)
 	case drainEntry:
-		onBegin()
+		reportBegin()
 		dep.stopEntry(en)
 	}
 }
 
 // drainForOrder drains an engine and then applies an order to it, as the order executor does.
-func (dep *deployment) drainForOrder(p *workerProcess, onBegin func()) {
+func (dep *deployment) drainForOrder(p *workerProcess, reportBegin func()) {
 	ctx, cancel := context.WithTimeout(p.host.Ctx, drainTimeout)
 	defer cancel()
 	_ = p.sidecar.BeginDrain(ctx)
 	dep.recordDrain(p, time.Now())
-	onBegin()
+	reportBegin()
 	dep.sendLate(p)
 	defer p.sidecar.EndDrain()
 	defer dep.endDrain(p)
@@ -105,14 +106,15 @@
 	}
 }
 
-// drainLeaving marks the worker as leaving in the platform's instance list. As in the daemon, the
-// sidecar reads this from the list and drains.
-func (dep *deployment) drainLeaving(p *workerProcess, onBegin func()) {
+// drainLeaving marks the worker as leaving in the platform's instance list. In place of
+// the daemon, it then polls the list every leavingPoll and makes the sidecar leave once the list says
+// so.
+func (dep *deployment) drainLeaving(p *workerProcess, reportBegin func()) {
 	in := p.instance
 	in.State = external.InstanceLeaving
 	dep.publish(in)
 	dep.recordDrain(p, time.Now().Add(leavingBound))
-	onBegin()
+	reportBegin()
 	for left := false; !left && p.host.Ctx.Err() == nil; {
 		pause.For(p.host.Ctx, leavingPoll)
 		s, err := dep.list.Instances(p.host.Ctx, 0)
@@ -130,11 +132,11 @@
 func (dep *deployment) sendLate(p *workerProcess) {
 	time.Sleep(time.Millisecond)
 	r := &v1.ExecuteRequest{
-		Cluster: cluster, RequestId: "late-" + p.incarnation, Attempt: 1, Service: llm, Kind: "chat", Incarnation: p.incarnation, RemainingMs: 1000,
+		Cluster: cluster, RequestId: "late-" + p.incarnation, Attempt: 1, Service: modelService, Kind: "chat", Incarnation: p.incarnation, RemainingMs: 1000,
 		Repeatable: true, Request: &v1.ExecuteRequest_Model{Model: &v1.ModelRequest{Model: model, Prompt: "late", PromptTokens: 1, MaxTokens: 1}},
 	}
 	dep.recordArrival(p, r)
-	p.done.Go(func() { _ = p.sidecar.Execute(p.host.Ctx, r, discard{}) })
+	p.done.Go(func() { _ = p.sidecar.Execute(p.host.Ctx, r, discardFrames{}) })
 }
 
 // stopSidecar finishes the graceful shutdown of a sidecar that has left, and starts another process
@@ -177,7 +179,7 @@
 func (dep *deployment) recordDrain(p *workerProcess, from time.Time) {
 	dep.mu.Lock()
 	defer dep.mu.Unlock()
-	dep.drains = append(dep.drains, drainPeriod{worker: p.name(), from: from})
+	dep.drains = append(dep.drains, drainPeriod{worker: p.incarnationName(), from: from})
 }
 
 // endDrain records the end of a worker's drain: it takes work again or is replaced.
@@ -185,7 +187,7 @@
 	dep.mu.Lock()
 	defer dep.mu.Unlock()
 	for i := range dep.drains {
-		if d := &dep.drains[i]; d.worker == p.name() && d.until.IsZero() {
+		if d := &dep.drains[i]; d.worker == p.incarnationName() && d.until.IsZero() {
 			d.until = time.Now()
 		}
 	}
@@ -198,7 +200,8 @@
 		return nil
 	}
 	for _, o := range dep.calls {
-		if o.n < 100 && !o.complete && o.outcome != "not_run" {
+		// Numbers from 100 belong to checkServing.
+		if o.number < 100 && !o.complete && o.errorType != "not_run" {
 			violations = append(violations, "I8: a drain interrupted "+o.String())
 		}
 	}
@@ -227,7 +230,7 @@
 		c := p.cell(step, noFault)
 		r.Declare(c)
 		r.Run(t, c, func(t *testing.T) {
-			requireNoViolations(t, p.runCell(t, &script{step: step, faults: c.Faults, on: targetWorker}))
+			requireNoViolations(t, p.runCell(t, &script{step: step, faults: c.Faults, target: targetWorker}))
 		})
 	}
 }
--- a/test/path/faults_test.go
+++ b/test/path/faults_test.go
@@ -31,12 +31,15 @@
 var allFaults = []string{processKilled, processPaused, cutEntryToSidecar, cutSidecarToEntry, responseLost, duplicateDelivery, framesReordered, framesLost, foreignFrame, restartedAndRedelivered, kvDown, kvSlow, engineCrash, staleList, loadReportsLost}
 
 const (
-	restartTime = 2 * time.Second
+	// restartDelay is the time until a killed process or crashed engine starts again. It is also the
+	// time from the restart of a sidecar to the redelivery of its requests.
+	restartDelay = 2 * time.Second
 	// pauseTime exceeds the deadlines of all kinds except chat, and every timeout between processes.
-	pauseTime   = 12 * time.Second
-	cutTime     = 10 * time.Second
-	outageTime  = 6 * time.Second
-	messageTime = 5 * time.Second
+	pauseTime  = 12 * time.Second
+	cutTime    = 10 * time.Second
+	outageTime = 6 * time.Second
+	// messageFaultTime is how long faults of messages last.
+	messageFaultTime = 5 * time.Second
 	// settleTime covers the longest fault, a second fault and the back-off of health probes.
 	settleTime = 30 * time.Second
 )
@@ -66,7 +69,7 @@
 }
 
 // inject applies a fault to the processes of an event.
-func (dep *deployment) inject(fault string, on faultTarget, e event) {
+func (dep *deployment) inject(fault string, target faultTarget, e event) {
 	e = dep.resolve(e, "")
 	en, wk := e.entry, e.worker
 	dep.mu.Lock()
@@ -77,10 +80,10 @@
 	dep.mu.Unlock()
 	switch fault {
 	case processKilled:
-		dep.injectKill(on, en, wk)
+		dep.injectKill(target, en, wk)
 	case processPaused:
 		h := wk.host
-		if on == targetEntry {
+		if target == targetEntry {
 			h = en.host
 		}
 		dep.net.Freeze(h, true)
@@ -99,7 +102,7 @@
 		dep.store.Faults().Set(kv.FaultState{SlowMS: 800})
 		dep.runAfter(outageTime, func() { dep.store.Faults().Set(kv.FaultState{}) })
 	case engineCrash:
-		dep.injectCrash(wk)
+		dep.injectEngineCrash(wk)
 	case restartedAndRedelivered:
 		dep.injectRedelivery(wk, workers)
 	case concurrentOperators:
@@ -111,18 +114,18 @@
 	}
 }
 
-func (dep *deployment) injectKill(on faultTarget, en *entryProcess, wk *workerProcess) {
-	if on == targetEntry {
+func (dep *deployment) injectKill(target faultTarget, en *entryProcess, wk *workerProcess) {
+	if target == targetEntry {
 		en.kill()
-		dep.runAfter(restartTime, func() { dep.startEntry(int(en.instance.ID[len(en.instance.ID)-1] - '0')) })
+		dep.runAfter(restartDelay, func() { dep.startEntry(int(en.instance.ID[len(en.instance.ID)-1] - '0')) })
 		return
 	}
 	wk.kill()
-	dep.runAfter(restartTime, func() { dep.startWorker(wk.slot) })
+	dep.runAfter(restartDelay, func() { dep.startWorker(wk.slot) })
 }
 
-// injectRedelivery restarts all sidecars of a service after the request has run, and delivers the
-// requests that each of them had received to its new incarnation.
+// injectRedelivery kills and restarts all sidecars of a service 20 ms later, and after restartDelay
+// delivers to each new incarnation all requests that its slot has received.
 func (dep *deployment) injectRedelivery(wk *workerProcess, workers []*workerProcess) {
 	for _, p := range workers {
 		if p.instance.Service != wk.instance.Service {
@@ -131,29 +134,31 @@
 		dep.runAfter(20*time.Millisecond, func() {
 			p.kill()
 			dep.startWorker(p.slot)
-			time.Sleep(restartTime)
+			time.Sleep(restartDelay)
 			dep.mu.Lock()
 			next, requests := dep.workers[p.slot], dep.delivered[p.slot]
 			dep.mu.Unlock()
 			for _, r := range requests {
-				_ = next.sidecar.Execute(next.host.Ctx, r, discard{})
+				_ = next.sidecar.Execute(next.host.Ctx, r, discardFrames{})
 			}
 		})
 	}
 }
 
-func (dep *deployment) injectCrash(wk *workerProcess) {
+// injectEngineCrash crashes the engine and restarts it after restartDelay. A backend server loses its
+// next response instead.
+func (dep *deployment) injectEngineCrash(wk *workerProcess) {
 	if wk.engine == nil {
 		wk.plain.SetFaults(backend.Faults{LoseResponse: 1})
-		dep.runAfter(messageTime, func() { wk.plain.SetFaults(backend.Faults{}) })
+		dep.runAfter(messageFaultTime, func() { wk.plain.SetFaults(backend.Faults{}) })
 		return
 	}
 	wk.engine.Crash()
-	dep.runAfter(restartTime, func() { wk.engine.Restart(initialConfig) })
+	dep.runAfter(restartDelay, func() { wk.engine.Restart(initialConfig) })
 }
 
-// injectStaleList replaces a sidecar while the instance list still names the old one as live: its
-// process is gone and its address belongs to a new incarnation.
+// injectStaleList replaces the process of a sidecar at once, under the same ID and address, while
+// changes of the instance list are delayed by cutTime.
 func (dep *deployment) injectStaleList(wk *workerProcess) {
 	dep.list.SetLag(cutTime)
 	wk.kill()
@@ -161,8 +166,9 @@
 	dep.runAfter(cutTime, func() { dep.list.SetLag(200 * time.Millisecond) })
 }
 
-// injectMessages applies a fault to the messages of a sidecar, to its key-value service calls or to
-// claims.
+// injectMessages applies a fault to the messages of a sidecar. The fault responseLost also hits
+// the next key-value write of any process, duplicateDelivery also repeats claims and edits, and
+// loadReportsLost affects all workers.
 func (dep *deployment) injectMessages(fault string, wk *workerProcess, workers []*workerProcess) {
 	m := &wk.faults
 	switch fault {
@@ -172,7 +178,7 @@
 	case duplicateDelivery:
 		m.duplicateRequest.Store(true)
 		m.duplicateFrames.Store(true)
-		dep.duplicateClaims.Store(true)
+		dep.duplicateCommands.Store(true)
 	case framesReordered:
 		m.reorder.Store(true)
 	case framesLost:
@@ -184,14 +190,14 @@
 			p.faults.loseReports.Store(true)
 		}
 	}
-	dep.runAfter(messageTime, func() {
+	dep.runAfter(messageFaultTime, func() {
 		m.loseAnswers.Store(false)
 		m.duplicateRequest.Store(false)
 		m.duplicateFrames.Store(false)
 		m.reorder.Store(false)
 		m.loseFrames.Store(false)
 		m.foreignFrames.Store(false)
-		dep.duplicateClaims.Store(false)
+		dep.duplicateCommands.Store(false)
 		for _, p := range workers {
 			p.faults.loseReports.Store(false)
 		}
@@ -203,7 +209,7 @@
 type script struct {
 	step   string
 	faults []string
-	on     faultTarget
+	target faultTarget
 	// delay is the time from the beginning of the step to the first fault.
 	delay time.Duration
 	// service, if set, restricts the step to the workers of one service.
@@ -215,7 +221,7 @@
 	injected bool
 }
 
-func (s *script) hook(dep *deployment) func(event) {
+func (s *script) onStep(dep *deployment) func(event) {
 	return func(e event) {
 		if s.onEvent != nil {
 			s.onEvent(dep, e)
@@ -228,11 +234,11 @@
 			e := dep.resolve(e, s.service)
 			for i, f := range s.faults {
 				if i == 0 && s.delay == 0 {
-					dep.inject(f, s.on, e)
+					dep.inject(f, s.target, e)
 					continue
 				}
 				dep.runAfter(s.delay+time.Duration(i)*time.Second, func() {
-					dep.inject(f, s.on, dep.resolve(e, s.service))
+					dep.inject(f, s.target, dep.resolve(e, s.service))
 				})
 			}
 		})
@@ -258,13 +264,13 @@
 	return e
 }
 
-// crashOnce crashes the engine in the middle of the first streamed answer, so that the answer must
-// be resumed on another engine.
-func crashOnce() func(dep *deployment, e event) {
+// newCrashOnce returns an onEvent function that crashes the engine of the first answer to reach its
+// middle frame, so that the answer must be resumed on another engine.
+func newCrashOnce() func(dep *deployment, e event) {
 	var once sync.Once
 	return func(dep *deployment, e event) {
 		if e.step == "middle of the stream" && e.attempt == 1 {
-			once.Do(func() { dep.injectCrash(e.worker) })
+			once.Do(func() { dep.injectEngineCrash(e.worker) })
 		}
 	}
 }
--- a/test/path/hosts_test.go
+++ b/test/path/hosts_test.go
@@ -26,9 +26,10 @@
 	p *process
 }
 
-// call runs f as a call that the process makes. It blocks while the process is frozen, and fails
-// once it has been killed.
-func call[T any](ctx context.Context, p *process, f func(ctx context.Context) (T, error)) (T, error) {
+// callAs runs f as a call that the process makes. It blocks while the process is frozen, and returns
+// ErrUnavailable if the process was killed or ctx ended before f ran, and ErrOutcomeUnknown if the
+// process was killed during f.
+func callAs[T any](ctx context.Context, p *process, f func(ctx context.Context) (T, error)) (T, error) {
 	var zero T
 	if err := p.dep.net.Awake(ctx, p.host); err != nil {
 		return zero, external.ErrUnavailable
@@ -44,20 +45,20 @@
 }
 
 func (k *processKV) Get(ctx context.Context, key string) (external.Entry, error) {
-	return call(ctx, k.p, func(ctx context.Context) (external.Entry, error) { return k.KV.Get(ctx, key) })
+	return callAs(ctx, k.p, func(ctx context.Context) (external.Entry, error) { return k.KV.Get(ctx, key) })
 }
 
 func (k *processKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, l external.LeaseID) (uint64, error) {
-	return call(ctx, k.p, func(ctx context.Context) (uint64, error) { return k.KV.CompareAndSwap(ctx, key, expected, value, l) })
+	return callAs(ctx, k.p, func(ctx context.Context) (uint64, error) { return k.KV.CompareAndSwap(ctx, key, expected, value, l) })
 }
 
 func (k *processKV) Delete(ctx context.Context, key string, expected uint64) error {
-	_, err := call(ctx, k.p, func(ctx context.Context) (int, error) { return 0, k.KV.Delete(ctx, key, expected) })
+	_, err := callAs(ctx, k.p, func(ctx context.Context) (int, error) { return 0, k.KV.Delete(ctx, key, expected) })
 	return err
 }
 
 func (k *processKV) List(ctx context.Context, prefix string) (all []external.Entry, rev uint64, err error) {
-	rev, err = call(ctx, k.p, func(ctx context.Context) (uint64, error) {
+	rev, err = callAs(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.List(ctx, prefix)
 		return rev, err
 	})
@@ -65,7 +66,7 @@
 }
 
 func (k *processKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.Event, rev uint64, err error) {
-	rev, err = call(ctx, k.p, func(ctx context.Context) (uint64, error) {
+	rev, err = callAs(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.Watch(ctx, prefix, after)
 		return rev, err
 	})
@@ -133,7 +134,7 @@
 
 func (b *processBackend) Do(ctx context.Context, r *external.PlainRequest) (*external.PlainResponse, error) {
 	b.p.dep.reachStep(event{step: "run", worker: b.p, request: r.RequestID})
-	return call(ctx, b.p.process, func(ctx context.Context) (*external.PlainResponse, error) { return b.Server.Do(ctx, r) })
+	return callAs(ctx, b.p.process, func(ctx context.Context) (*external.PlainResponse, error) { return b.Server.Do(ctx, r) })
 }
 
 // messageFaults holds the active faults of a sidecar's messages.
@@ -161,10 +162,10 @@
 	}
 	if s.p.faults.duplicateRequest.Load() {
 		// The first copy runs and its response is dropped; the second one is answered.
-		s.p.done.Go(func() { _ = s.p.sidecar.Execute(s.p.host.Ctx, proto.CloneOf(r.Msg), discard{}) })
+		s.p.done.Go(func() { _ = s.p.sidecar.Execute(s.p.host.Ctx, proto.CloneOf(r.Msg), discardFrames{}) })
 		time.Sleep(time.Millisecond)
 	}
-	return s.p.sidecar.Execute(ctx, r.Msg, &sender{out: out, p: s.p})
+	return s.p.sidecar.Execute(ctx, r.Msg, &faultySender{out: out, p: s.p})
 }
 
 func (s *faultyService) Prefill(ctx context.Context, r *connect.Request[v1.PrefillRequest], out *connect.ServerStream[v1.PrefillChunk]) error {
@@ -187,16 +188,16 @@
 	return s.Service.Probe(ctx, r)
 }
 
-type discard struct{}
+type discardFrames struct{}
 
-func (discard) Send(*v1.Frame) error { return nil }
+func (discardFrames) Send(*v1.Frame) error { return nil }
 
 type discardChunks struct{}
 
 func (discardChunks) Send(*v1.PrefillChunk) error { return nil }
 
-// sender passes on the frames of an attempt and applies the active message faults.
-type sender struct {
+// faultySender passes on the frames of an attempt and applies the active message faults.
+type faultySender struct {
 	out  sidecar.Sender
 	p    *workerProcess
 	sent int
@@ -206,7 +207,7 @@
 // middleFrame is the index of a frame in the middle of an answer of answerTokens tokens.
 const middleFrame = 6
 
-func (s *sender) Send(f *v1.Frame) error {
+func (s *faultySender) Send(f *v1.Frame) error {
 	s.reportSteps(f)
 	m := &s.p.faults
 	if m.loseAnswers.Load() {
@@ -244,10 +245,10 @@
 	}
 	if m.duplicateFrames.Load() {
 		if f.GetFinal() == nil {
-			// Adds a stray frame of another attempt.
-			late := proto.CloneOf(f)
-			late.Attempt, late.Data = f.GetAttempt()+1, []byte(" late")
-			if err := s.out.Send(late); err != nil {
+			// Sends a frame of the next attempt first.
+			otherAttempt := proto.CloneOf(f)
+			otherAttempt.Attempt, otherAttempt.Data = f.GetAttempt()+1, []byte(" late")
+			if err := s.out.Send(otherAttempt); err != nil {
 				return err
 			}
 		}
@@ -258,7 +259,7 @@
 	return s.out.Send(f)
 }
 
-func (s *sender) reportSteps(f *v1.Frame) {
+func (s *faultySender) reportSteps(f *v1.Frame) {
 	steps := []string{}
 	switch {
 	case f.GetFinal() != nil && f.GetFinal().GetOutcome() == v1.Outcome_OUTCOME_COMPLETE:
--- a/test/path/matrix_test.go
+++ b/test/path/matrix_test.go
@@ -15,11 +15,11 @@
 // protocol is one table of the fault matrix: the steps at which each fault is injected, and the
 // traffic that makes them occur.
 type protocol struct {
-	name, invariant string
-	steps           []string
-	service         string
-	config          config
-	run             func(dep *deployment, step string)
+	name, invariants string
+	steps            []string
+	service          string
+	counts           processCounts
+	run              func(dep *deployment, step string)
 	// newOnEvent, if set, returns the onEvent of a script.
 	newOnEvent func() func(*deployment, event)
 	// checkAfter, if set, returns further violations at the end of a run.
@@ -39,9 +39,9 @@
 func runStreams(remotePrefill bool) func(*deployment, string) {
 	return func(dep *deployment, _ string) {
 		dep.sendConcurrently(
-			callerRequest{kind: "arrival-verdict", stream: true, n: 1, remotePrefill: remotePrefill}, callerRequest{kind: "chat", stream: true, n: 2, remotePrefill: remotePrefill},
-			callerRequest{kind: "arrival-verdict", n: 3, remotePrefill: remotePrefill}, callerRequest{kind: "order", stream: true, n: 4},
-			callerRequest{kind: "schedule-read", n: 5}, callerRequest{kind: "alert-acknowledgement", n: 6}, callerRequest{kind: "alert-acknowledgement", n: 7, key: "k7"},
+			callerRequest{kind: "arrival-verdict", stream: true, number: 1, remotePrefill: remotePrefill}, callerRequest{kind: "chat", stream: true, number: 2, remotePrefill: remotePrefill},
+			callerRequest{kind: "arrival-verdict", number: 3, remotePrefill: remotePrefill}, callerRequest{kind: "order", stream: true, number: 4},
+			callerRequest{kind: "schedule-read", number: 5}, callerRequest{kind: "alert-acknowledgement", number: 6}, callerRequest{kind: "alert-acknowledgement", number: 7, key: "k7"},
 		)
 	}
 }
@@ -51,13 +51,13 @@
 const refusedAttempts = 10_000
 
 func runKeyed(dep *deployment, step string) {
-	r := callerRequest{kind: "alert-acknowledgement", n: 1, key: "k1"}
+	r := callerRequest{kind: "alert-acknowledgement", number: 1, key: "k1"}
 	if step == "release" {
 		for _, p := range dep.allWorkers() {
 			p.faults.refuse.Store(refusedAttempts)
 		}
 	}
-	dep.sendConcurrently(r, r, callerRequest{kind: "alert-acknowledgement", n: 2, key: "k2"})
+	dep.sendConcurrently(r, r, callerRequest{kind: "alert-acknowledgement", number: 2, key: "k2"})
 	for _, p := range dep.allWorkers() {
 		p.faults.refuse.Store(0)
 	}
@@ -70,46 +70,46 @@
 
 func runUnkeyed(dep *deployment, _ string) {
 	dep.sendConcurrently(
-		callerRequest{kind: "alert-acknowledgement", n: 1}, callerRequest{kind: "alert-acknowledgement", n: 2},
-		callerRequest{kind: "order", n: 3}, callerRequest{kind: "schedule-read", n: 4},
+		callerRequest{kind: "alert-acknowledgement", number: 1}, callerRequest{kind: "alert-acknowledgement", number: 2},
+		callerRequest{kind: "order", number: 3}, callerRequest{kind: "schedule-read", number: 4},
 	)
 }
 
-var standardConfig = config{entries: 2, engines: 3, plains: 2}
+var standardCounts = processCounts{entries: 2, engines: 3, backends: 2}
 
 var protocols = []protocol{
 	{
-		name: "streamed request", invariant: "I4, I5, I6", config: standardConfig, run: runStreams(false),
+		name: "streamed request", invariants: "I4, I5, I6", counts: standardCounts, run: runStreams(false),
 		steps: []string{"admit", "route", "connect", "first frame", "middle of the stream", "final frame"},
 	},
 	{
-		name: "resume", invariant: "I4, I5", config: standardConfig, run: runStreams(false), newOnEvent: crashOnce,
+		name: "resume", invariants: "I4, I5", counts: standardCounts, run: runStreams(false), newOnEvent: newCrashOnce,
 		steps: []string{"pick another engine", "prefill again", "continue at offset", "final after resume"},
 	},
 	{
-		name: "prefill on another engine", invariant: "I4, I5", config: standardConfig, run: runStreams(true),
+		name: "prefill on another engine", invariants: "I4, I5", counts: standardCounts, run: runStreams(true),
 		steps: []string{"fetch", "import", "decode"},
 	},
 	{
-		name: "keyed request", invariant: "I5, I6", config: config{entries: 2, plains: 2, engines: 1}, run: runKeyed, service: api,
+		name: "keyed request", invariants: "I5, I6", counts: processCounts{entries: 2, backends: 2, engines: 1}, run: runKeyed, service: plainService,
 		steps: []string{"claim", "connect", "run", "complete", "replay", "release"},
 	},
 	{
-		name: "unkeyed unrepeatable request", invariant: "I5, I6", config: config{entries: 2, plains: 2, engines: 1}, run: runUnkeyed, service: api,
+		name: "unkeyed unrepeatable request", invariants: "I5, I6", counts: processCounts{entries: 2, backends: 2, engines: 1}, run: runUnkeyed, service: plainService,
 		steps: []string{"route", "connect", "run", "answer"},
 	},
 	{
-		name: "drain", invariant: "I2, I7, I8", config: config{entries: 2, engines: 3, plains: 2}, run: runDrain, checkAfter: checkDrain,
+		name: "drain", invariants: "I2, I7, I8", counts: processCounts{entries: 2, engines: 3, backends: 2}, run: runDrain, checkAfter: checkDrain,
 		steps: []string{drainOrder, drainLeaving, drainSidecar, drainEntry},
 	},
 	{
-		name: "apply", invariant: "I9", config: config{entries: 3, engines: 1, plains: 1}, run: runApply, checkAfter: checkInForce,
+		name: "apply", invariants: "I9", counts: processCounts{entries: 3, engines: 1, backends: 1}, run: runApply, checkAfter: checkInForce,
 		steps: []string{applyWrite, applySpread, applyRestart},
 	},
 }
 
-// stepNames maps protocol/step to the step's name in the matrix where it differs from the event's
-// step, which another protocol also uses.
+// stepNames holds the name of a step in the matrix, by protocol/step, where it is not the step of the
+// event.
 var stepNames = map[string]string{"keyed request/connect": "dispatch"}
 
 // stepsBeforeFrames are the steps before the first frame of an attempt.
@@ -136,7 +136,7 @@
 	if s, ok := stepNames[p.name+"/"+step]; ok {
 		name = s
 	}
-	return faultmatrix.Cell{Protocol: p.name, Step: name, Faults: faults, Invariant: p.invariant}
+	return faultmatrix.Cell{Protocol: p.name, Step: name, Faults: faults, Invariant: p.invariants}
 }
 
 // faults returns the faults that are injected at each step of the protocol.
@@ -147,8 +147,8 @@
 	return allFaults
 }
 
-// delays returns the times after the beginning of a step at which a fault is injected. Faults that
-// last longer than a step are injected at its beginning only.
+// delays returns the times after the beginning of a step at which a fault is injected. Kills,
+// pauses, cuts, lost responses and engine crashes are also injected 1 ms after the beginning.
 func delays(fault string) []time.Duration {
 	if slices.Contains([]string{processKilled, processPaused, cutEntryToSidecar, cutSidecarToEntry, responseLost, engineCrash}, fault) {
 		return []time.Duration{0, time.Millisecond}
@@ -160,13 +160,13 @@
 // violations.
 func (p *protocol) runCell(t *testing.T, s *script) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
-		dep := newDeployment(t, p.config)
+		dep := newDeployment(t, p.counts)
 		defer dep.stop()
 		s.service = p.service
 		if p.newOnEvent != nil {
 			s.onEvent = p.newOnEvent()
 		}
-		dep.setStepHook(s.hook(dep))
+		dep.setOnStep(s.onStep(dep))
 		p.run(dep, s.step)
 		time.Sleep(settleTime)
 		violations = append(dep.check(), dep.checkServing(p)...)
@@ -180,7 +180,7 @@
 			for _, o := range dep.calls {
 				violations = append(violations, "  call: "+o.String())
 			}
-			violations = append(violations, fmt.Sprintf("%s, %v on %s, delay %s", s.step, s.faults, s.on, s.delay))
+			violations = append(violations, fmt.Sprintf("%s, %v on %s, delay %s", s.step, s.faults, s.target, s.delay))
 		}
 	})
 	return violations
@@ -191,7 +191,7 @@
 func (dep *deployment) checkServing(p *protocol) (violations []string) {
 	for i := range dep.entries {
 		for n, r := range []callerRequest{{kind: "arrival-verdict", stream: true}, {kind: "schedule-read"}, {kind: "alert-acknowledgement", key: "after"}} {
-			r.n = 100 + 10*i + n
+			r.number = 100 + 10*i + n
 			if r.key != "" {
 				r.key = fmt.Sprint("after-", i)
 			}
@@ -220,9 +220,9 @@
 					continue
 				}
 				r.Run(t, c, func(t *testing.T) {
-					for _, on := range targets(f) {
+					for _, target := range targets(f) {
 						for _, delay := range delays(f) {
-							requireNoViolations(t, p.runCell(t, &script{step: step, faults: []string{f}, on: on, delay: delay}))
+							requireNoViolations(t, p.runCell(t, &script{step: step, faults: []string{f}, target: target, delay: delay}))
 						}
 					}
 				})
@@ -252,9 +252,9 @@
 			for j, second := range pairFaults {
 				c := p.cell(step, first, second)
 				r.Declare(c)
-				on := []faultTarget{targetEntry, targetWorker}[(i+j)%2]
+				target := []faultTarget{targetEntry, targetWorker}[(i+j)%2]
 				r.Run(t, c, func(t *testing.T) {
-					requireNoViolations(t, p.runCell(t, &script{step: step, faults: []string{first, second}, on: on}))
+					requireNoViolations(t, p.runCell(t, &script{step: step, faults: []string{first, second}, target: target}))
 				})
 			}
 		}
--- a/test/path/steps_test.go
+++ b/test/path/steps_test.go
@@ -56,8 +56,9 @@
 	k.p.dep.reachStep(event{step: "connect", entry: k.p, worker: k.p.dep.workerByID(w.Instance), request: r.RequestID, attempt: uint32(len(r.Tried)) + 1})
 }
 
-// wantsRemotePrefill reports whether the prompt of a request is prefilled on another engine. The
-// length of the prompt decides; the policy that decides in production has its own tests.
+// wantsRemotePrefill reports whether the prompt of a request is prefilled on another engine. It is if
+// the request is repeatable and its prompt has at least remotePrefillTokens tokens; the policy that
+// decides in production has its own tests.
 func (dep *deployment) wantsRemotePrefill(r entry.PickRequest) bool {
 	return r.Repeatable && r.PromptTokens >= remotePrefillTokens
 }
@@ -87,7 +88,7 @@
 		step = "replay"
 	}
 	c.p.dep.reachStep(event{step: step, entry: c.p, request: r.RequestID})
-	if c.p.dep.duplicateClaims.Load() {
+	if c.p.dep.duplicateCommands.Load() {
 		c.p.background(func(ctx context.Context) {
 			pause.For(ctx, 2*time.Millisecond)
 			c.Router.Do(ctx, r)
