--- a/order/attempt.go
+++ b/order/attempt.go
@@ -159,18 +159,18 @@
 		return err
 	}
 	if current.version != v.version {
-		return fmt.Errorf("record version %d, expected %d: %w", current.version, v.version, ErrConflict)
+		return ErrConflict
 	}
 	if !pool.Current(v.Fence, pool.Fence.Holder) {
-		return fmt.Errorf("pool is not held under fence %d (pool fence %d, holder key present: %t): %w", v.Fence, pool.Fence.Fence, pool.Present, ErrStaleFence)
+		return fmt.Errorf("order fence %d, pool fence %d, held %t: %w", v.Fence, pool.Fence.Fence, pool.Present, ErrStaleFence)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if v.Fence != e.highestFence {
-		return fmt.Errorf("engine sealed under fence %d, order has fence %d: %w", e.highestFence, v.Fence, ErrConflict)
+		return ErrConflict
 	}
 	if age := time.Since(began); age > EffectBound {
-		return fmt.Errorf("%v since the reads began, at most %v allowed: %w", age, EffectBound, ErrTooSlow)
+		return fmt.Errorf("%v after the read, at most %v: %w", age, EffectBound, ErrTooSlow)
 	}
 	e.executingOrder = v.Number
 	return nil
@@ -188,7 +188,7 @@
 	e.unrecordedOutcome = &outcome{number: v.Number, event: event}
 	e.cfg.Log.WithFields(logrus.Fields{
 		"engine": e.cfg.Engine, "fence": v.Fence, "order": v.Number, "role": v.Config.Role, "outcome": fmt.Sprintf("%T", event),
-	}).Info("order ended")
+	}).Info("order executed")
 	return nil
 }
 
--- a/order/errors.go
+++ b/order/errors.go
@@ -36,7 +36,7 @@
 	ErrForgedFence = errors.New("pool record does not confirm the fence number and holder")
 	// ErrTooSlow means that the order would be applied more than EffectBound after the start of the
 	// reads that allow it.
-	ErrTooSlow = errors.New("authorising read is too old")
+	ErrTooSlow = errors.New("read before effect is too old")
 	// ErrEngine means that the engine's state cannot be read, or that it keeps changing.
 	ErrEngine = errors.New("engine state is not established")
 	// ErrDrain means that the engine could not be drained: either the drain could not begin, or
@@ -50,7 +50,7 @@
 var (
 	// ErrConflict means that another process changed the record, or that a new planner sealed the
 	// engine.
-	ErrConflict = errors.New("order record or seal was changed by another process")
+	ErrConflict = errors.New("order record was changed by another process")
 	// ErrStore means that the record or the pool state could not be read or written. A write may
 	// have taken effect.
 	ErrStore = errors.New("order record cannot be read or written")
--- a/order/planner.go
+++ b/order/planner.go
@@ -103,7 +103,7 @@
 			return n, err
 		}
 	}
-	return versionedRecord{}, fmt.Errorf("adopt %q: %d attempts: %w", s.key, maxAdoptAttempts, ErrConflict)
+	return versionedRecord{}, ErrConflict
 }
 
 // Issue records a new order for an engine and notifies its sidecar. If the notice is lost, the
