--- a/internal/cli/explainlogs.go
+++ b/internal/cli/explainlogs.go
@@ -50,7 +50,7 @@
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no log line about request %q in %s", id, strings.Join(files, ", "))
+		return fmt.Errorf("no line about request %q in %s", id, strings.Join(files, ", "))
 	}
 	slices.SortStableFunc(lines, func(x, y logLine) int { return strings.Compare(x.Time, y.Time) })
 	t := &table{header: []string{"TIME", "INSTANCE", "LINE", "RESULT", "CAUSE", "SERVER", "READER", "CHOICE"}}
@@ -108,20 +108,20 @@
 	}
 	last := slices.IndexFunc(lines, func(l logLine) bool { return l.Message == "request" })
 	if last < 0 {
-		b.WriteString("There is no final line about the request: the gateway process ended, or the line was left out.")
+		b.WriteString("The request has no last line: its process ended, or the line was left out.")
 		return b.String()
 	}
 	l := lines[last]
 	switch l.Outcome {
 	case "answered":
-		fmt.Fprintf(&b, "%s answered by %s: first part after %d ms (expected %d ms), complete after %d ms.", l.Request, orNone(l.Server), l.FirstMS, l.ExpectedMS, l.ElapsedMS)
+		fmt.Fprintf(&b, "%s answered by %s: the first part after %d ms (expected %d ms), the whole after %d ms.", l.Request, orNone(l.Server), l.FirstMS, l.ExpectedMS, l.ElapsedMS)
 	case "refused":
 		fmt.Fprintf(&b, "%s refused after %d ms because of %s: it did not run. ", l.Request, l.ElapsedMS, orNone(l.Cause))
 		if l.Cause == "overload" {
-			fmt.Fprintf(&b, "Its first part was expected after %d ms, with %d uncached prompt tokens at %s.", l.ExpectedMS, l.UncachedTokens, orNone(strings.Trim(l.Reader+" "+l.Server, " ")))
+			fmt.Fprintf(&b, "Its first part was expected after %d ms, with %d prompt tokens to read at %s.", l.ExpectedMS, l.UncachedTokens, orNone(strings.Trim(l.Reader+" "+l.Server, " ")))
 		}
 	case "failed":
-		fmt.Fprintf(&b, "%s was answered with an error by backend server %s (%s) after %d ms.", l.Request, orNone(l.Server), orNone(l.Cause), l.ElapsedMS)
+		fmt.Fprintf(&b, "%s got the backend server's own failure from %s (%s) after %d ms.", l.Request, orNone(l.Server), orNone(l.Cause), l.ElapsedMS)
 	default:
 		fmt.Fprintf(&b, "%s ended as %s after %d ms and %d events (%s); it may have run on %d backend servers.", l.Request, l.Outcome, l.ElapsedMS, l.Events, orNone(l.Cause), l.Runs)
 	}
--- a/internal/cli/explainlogs_test.go
+++ b/internal/cli/explainlogs_test.go
@@ -23,8 +23,8 @@
 	file := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(file, []byte(gatewayLog), 0o600))
 	for id, want := range map[string]string{
-		"r1": "r1 refused after 0 ms because of overload: it did not run. Its first part was expected after 189 ms, with 15173 uncached prompt tokens at i-p i-d.",
-		"r2": "An attempt at i-d of service llm ended after 3 ms as not_run (server_full). r2 answered by i-e: first part after 1070 ms (expected 59 ms), complete after 1079 ms.",
+		"r1": "r1 refused after 0 ms because of overload: it did not run. Its first part was expected after 189 ms, with 15173 prompt tokens to read at i-p i-d.",
+		"r2": "An attempt at i-d of service llm ended after 3 ms as not_run (server_full). r2 answered by i-e: the first part after 1070 ms (expected 59 ms), the whole after 1079 ms.",
 		"r3": "r3 ended as broken after 90 ms and 3 events (stream_broken: EOF); it may have run on 1 backend servers.",
 	} {
 		r := runCLI(t, "", "explain", id, "--logs", file)
