--- a/internal/gatewaybench/report.go
+++ b/internal/gatewaybench/report.go
@@ -214,8 +214,8 @@
 		values[[2]string{r.Day, r.Policy}] = 100 * r.Worth
 	}
 	p := plot.New()
-	p.Title.Text = rows[0].Deployment + ": worth earned, mean over seeds"
-	p.Y.Label.Text = "% of the worth offered"
+	p.Title.Text = rows[0].Deployment + ": worth that callers got, mean of the seeds"
+	p.Y.Label.Text = "% of the requests' worth"
 	p.Y.Min, p.Y.Max = 0, 150 // room for the legend
 	p.Legend.Top = true
 	const width = 8
