--- a/dissemination/property_test.go
+++ b/dissemination/property_test.go
@@ -27,7 +27,7 @@
 	pause  time.Duration
 }
 
-var actions = []string{"apply", "apply", "kill", "restart", "restart", "hang", "wake", "cut off", "reconnect", "down", "up", "slow", "publish", "offer old"}
+var actions = []string{"apply", "apply", "kill", "restart", "restart", "hang", "wake", "cut off", "reconnect", "down", "up", "slow", "publish", "old peer"}
 
 // Guards against a revision that decreases in any process, and against processes that do not converge
 // after any sequence of kills, restarts, pauses, partitions and outages.
@@ -108,7 +108,7 @@
 			}
 		}
 		f.publish(live)
-	case "offer old": // as from a peer that is behind, or a malicious one
+	case "old peer": // as from a peer that is behind, or a malicious one
 		p.store.Offer(testDocument(max(*revision, 2)-1), testDocument(1))
 	}
 }
