--- a/admission/admission.go
+++ b/admission/admission.go
@@ -30,7 +30,7 @@
 	DefaultYieldStep        = 0.15
 	DefaultMinYieldPressure = 0.4
 	DefaultGuaranteedShare  = 0.05
-	DefaultSlack            = 1.0
+	DefaultTargetShare      = 1.0
 	DefaultMaxCallers       = 32_768
 )
 
@@ -51,9 +51,9 @@
 	// GuaranteedShare is the number of requests of a rank that may run above the rank's maximum
 	// pressure, per admitted request of a higher rank. Starvable requests have no guarantee.
 	GuaranteedShare float64
-	// Slack is the fraction of a latency target, or of the time to the deadline, that the expected
+	// TargetShare is the fraction of a latency target, or of the time to the deadline, that the expected
 	// time may reach. Above it the request is refused as Late.
-	Slack float64
+	TargetShare float64
 	// Callers holds the limits of each caller.
 	Callers CallerLimits
 	// MaxCallers is the maximum number of callers that are tracked one by one. It bounds memory.
@@ -76,8 +76,8 @@
 	if c.GuaranteedShare <= 0 {
 		c.GuaranteedShare = DefaultGuaranteedShare
 	}
-	if c.Slack <= 0 {
-		c.Slack = DefaultSlack
+	if c.TargetShare <= 0 {
+		c.TargetShare = DefaultTargetShare
 	}
 	if c.MaxCallers <= 0 {
 		c.MaxCallers = DefaultMaxCallers
@@ -221,13 +221,13 @@
 func (c *Controller) checkTiming(r *Request, e *Expectation, now time.Time) (Decision, bool) {
 	excess := time.Duration(0)
 	if r.FirstToken > 0 {
-		excess = max(excess, r.Waited+e.FirstToken-scale(r.FirstToken, c.cfg.Slack))
+		excess = max(excess, r.Waited+e.FirstToken-scale(r.FirstToken, c.cfg.TargetShare))
 	}
 	if r.BetweenTokens > 0 {
-		excess = max(excess, e.BetweenTokens-scale(r.BetweenTokens, c.cfg.Slack))
+		excess = max(excess, e.BetweenTokens-scale(r.BetweenTokens, c.cfg.TargetShare))
 	}
 	if !r.Deadline.IsZero() {
-		excess = max(excess, e.Total-scale(r.Deadline.Sub(now), c.cfg.Slack))
+		excess = max(excess, e.Total-scale(r.Deadline.Sub(now), c.cfg.TargetShare))
 	}
 	if excess > 0 {
 		return Decision{Reason: Late, RetryAfter: retryAfter(excess)}, false
--- a/cmd/quetzallug-standin/commands.go
+++ b/cmd/quetzallug-standin/commands.go
@@ -117,7 +117,7 @@
 	f := cmd.Flags()
 	f.String("name", "engine", "name, from which the start ID is derived")
 	f.Uint64("seed", 1, "seed of start IDs and cache event gaps")
-	f.String("role", string(external.RoleMixed), "role at the first start: prefill, decode or mixed")
+	f.String("role", string(external.EngineRoleMixed), "role at the first start: prefill, decode or mixed")
 	// In the environment variables of the next two flags, list items are separated by spaces.
 	f.StringSlice("model", nil, "model loaded at the first start, as name or name@version; repeatable")
 	f.StringSlice("adapter", nil, "adapter loaded at the first start, as name or name@version; repeatable")
@@ -131,9 +131,9 @@
 }
 
 func engineConfig(v *viper.Viper) (engine.Config, error) {
-	role := external.Role(v.GetString("role"))
+	role := external.EngineRole(v.GetString("role"))
 	switch role {
-	case external.RolePrefill, external.RoleDecode, external.RoleMixed:
+	case external.EngineRolePrefill, external.EngineRoleDecode, external.EngineRoleMixed:
 	default:
 		return engine.Config{}, fmt.Errorf("role %q is not prefill, decode or mixed", role)
 	}
--- a/cmd/quetzallugd/dev.go
+++ b/cmd/quetzallugd/dev.go
@@ -26,7 +26,7 @@
 			return runDev(cmd)
 		},
 	}
-	settings.AddEntry(cmd.Flags())
+	settings.AddEntryFlags(cmd.Flags())
 	cmd.Flags().String("example", "transport", "example deployment: transport or irrigation")
 	return cmd
 }
@@ -96,7 +96,7 @@
 // sidecarDefaults returns the default settings of a sidecar.
 func sidecarDefaults() (*settings.Sidecar, error) {
 	flags := pflag.NewFlagSet("sidecar", pflag.ContinueOnError)
-	settings.AddSidecar(flags)
+	settings.AddSidecarFlags(flags)
 	cmd := &cobra.Command{}
 	cmd.Flags().AddFlagSet(flags)
 	return settings.SidecarValues(cmd)
--- a/cmd/quetzallugd/gateway.go
+++ b/cmd/quetzallugd/gateway.go
@@ -31,6 +31,6 @@
 			return run(app.Gateway(s, log, out.Dropped), log)
 		},
 	}
-	settings.AddGateway(cmd.Flags())
+	settings.AddGatewayFlags(cmd.Flags())
 	return cmd
 }
--- a/cmd/quetzallugd/main.go
+++ b/cmd/quetzallugd/main.go
@@ -60,7 +60,7 @@
 			return run(app.Entry(s, log), log)
 		},
 	}
-	settings.AddEntry(cmd.Flags())
+	settings.AddEntryFlags(cmd.Flags())
 	return cmd
 }
 
@@ -81,7 +81,7 @@
 			return run(app.Sidecar(s, log), log)
 		},
 	}
-	settings.AddSidecar(cmd.Flags())
+	settings.AddSidecarFlags(cmd.Flags())
 	return cmd
 }
 
--- a/cmd/quetzallugd/settings.go
+++ b/cmd/quetzallugd/settings.go
@@ -26,7 +26,7 @@
 			return err
 		},
 	}
-	settings.AddEntry(entry.Flags())
+	settings.AddEntryFlags(entry.Flags())
 	sidecar := &cobra.Command{
 		Use: "sidecar", Short: "Print the settings of a sidecar", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -38,7 +38,7 @@
 			return err
 		},
 	}
-	settings.AddSidecar(sidecar.Flags())
+	settings.AddSidecarFlags(sidecar.Flags())
 	gateway := &cobra.Command{
 		Use: "gateway", Short: "Print the settings of a gateway", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -49,7 +49,7 @@
 			return err
 		},
 	}
-	settings.AddGateway(gateway.Flags())
+	settings.AddGatewayFlags(gateway.Flags())
 	cmd.AddCommand(entry, sidecar, gateway)
 	return cmd
 }
--- a/dissemination/agent.go
+++ b/dissemination/agent.go
@@ -91,7 +91,7 @@
 // read. For a known revision it costs one map look-up.
 func (a *Agent) Observe(service string, revision uint64) {
 	state := a.cfg.Store.Snapshot()[service]
-	if state != nil && revision <= state.Highest() || state == nil && revision == 0 {
+	if state != nil && revision <= state.HighestRevision() || state == nil && revision == 0 {
 		return
 	}
 	a.poller.observe(service, revision)
--- a/dissemination/fleet_test.go
+++ b/dissemination/fleet_test.go
@@ -121,12 +121,12 @@
 	for {
 		changed := p.store.Changed()
 		if s := p.store.Snapshot()[testService]; s != nil {
-			if s.Revision < active || s.Highest() < highest || s.Highest() < s.Revision {
+			if s.Revision < active || s.HighestRevision() < highest || s.HighestRevision() < s.Revision {
 				p.fleet.mu.Lock()
-				p.fleet.revisionErr = fmt.Errorf("%s went from %d (highest %d) to %d (highest %d)", p.inst.ID, active, highest, s.Revision, s.Highest())
+				p.fleet.revisionErr = fmt.Errorf("%s went from %d (highest %d) to %d (highest %d)", p.inst.ID, active, highest, s.Revision, s.HighestRevision())
 				p.fleet.mu.Unlock()
 			}
-			active, highest = s.Revision, s.Highest()
+			active, highest = s.Revision, s.HighestRevision()
 		}
 		select {
 		case <-p.ctx.Done():
@@ -256,21 +256,21 @@
 	return nil
 }
 
-func (k *procKV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (k *procKV) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	if err := k.reach(ctx); err != nil {
-		return external.Entry{}, err
+		return external.KVEntry{}, err
 	}
 	return k.Store.Get(ctx, key)
 }
 
-func (k *procKV) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
+func (k *procKV) List(ctx context.Context, prefix string) ([]external.KVEntry, uint64, error) {
 	if err := k.reach(ctx); err != nil {
 		return nil, 0, err
 	}
 	return k.Store.List(ctx, prefix)
 }
 
-func (k *procKV) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
+func (k *procKV) Watch(ctx context.Context, prefix string, after uint64) ([]external.KVEvent, uint64, error) {
 	if err := k.reach(ctx); err != nil {
 		return nil, 0, err
 	}
--- a/dissemination/kvwatcher.go
+++ b/dissemination/kvwatcher.go
@@ -78,7 +78,7 @@
 	}
 	var docs []Document
 	for _, e := range events {
-		if d, ok := decodeEntry(e.Entry, w.log); ok {
+		if d, ok := decodeEntry(e.KVEntry, w.log); ok {
 			docs = append(docs, d)
 		}
 	}
@@ -130,11 +130,11 @@
 // decodeEntry returns the document in a record. It returns false for an invalid record, which it logs,
 // and for a removed key: a service is deleted by a tombstone record with a higher revision, not by
 // removing its key.
-func decodeEntry(e external.Entry, log func(error)) (Document, bool) {
+func decodeEntry(e external.KVEntry, log func(error)) (Document, bool) {
 	if len(e.Value) == 0 {
 		return Document{}, false
 	}
-	r, err := registry.FromEntry(e)
+	r, err := registry.DecodeEntry(e)
 	if err != nil {
 		log(err)
 		return Document{}, false
--- a/dissemination/property_test.go
+++ b/dissemination/property_test.go
@@ -145,8 +145,8 @@
 				valid = max(valid, d.Revision)
 			}
 			got := s.Snapshot()[testService]
-			if got.Revision != valid || got.Highest() != seen || s.Revisions()[testService] != seen {
-				rt.Fatalf("active %d, highest %d; want %d and %d", got.Revision, got.Highest(), valid, seen)
+			if got.Revision != valid || got.HighestRevision() != seen || s.Revisions()[testService] != seen {
+				rt.Fatalf("active %d, highest %d; want %d and %d", got.Revision, got.HighestRevision(), valid, seen)
 			}
 			if got.Revision != 0 && got.Deleted == (got.Parsed != nil) {
 				rt.Fatal("a deleted service has a parsed document, or an existing one has none")
@@ -159,16 +159,16 @@
 // version from serving, also after that process restarts.
 func TestInvalidDocument(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var refusals []Refusal
-		s := NewStore(func(r Refusal) { refusals = append(refusals, r) })
+		var rejections []Rejection
+		s := NewStore(func(r Rejection) { rejections = append(rejections, r) })
 		unparsable := Document{Service: testService, Revision: 5, Body: []byte("colour: red")}
 		s.Offer(unparsable, testDocument(4))
 		got := s.Snapshot().Service(testService)
 		require.NotNil(t, got, "the valid document stays active")
 		require.EqualValues(t, 4, got.Revision)
 		require.NotNil(t, got.Parsed)
-		require.NotEmpty(t, document.Faults(got.RefusedError))
-		require.Len(t, refusals, 1)
+		require.NotEmpty(t, document.AsErrors(got.RefusedError))
+		require.Len(t, rejections, 1)
 		require.Equal(t, []Document{testDocument(4), unparsable}, s.NewerThan(nil), "both are sent to peers")
 		require.Empty(t, s.NewerThan(s.Revisions()))
 
@@ -229,15 +229,15 @@
 
 // Guards against two different documents with the same revision that are not reported.
 func TestDivergentDocumentsAreReported(t *testing.T) {
-	var refusals []Refusal
-	s := NewStore(func(r Refusal) { refusals = append(refusals, r) })
+	var rejections []Rejection
+	s := NewStore(func(r Rejection) { rejections = append(rejections, r) })
 	other := testDocument(1)
 	other.Body = testBody(99)
 	s.Offer(testDocument(1))
 	s.Offer(testDocument(1))
-	require.Empty(t, refusals)
+	require.Empty(t, rejections)
 	s.Offer(other)
-	require.ErrorIs(t, refusals[0].Err, errConflictingDocuments)
+	require.ErrorIs(t, rejections[0].Err, errConflictingDocuments)
 	require.Equal(t, testDocument(1).Body, s.Snapshot()[testService].Body)
 }
 
--- a/dissemination/store.go
+++ b/dissemination/store.go
@@ -42,8 +42,8 @@
 	RefusedError error
 }
 
-// Highest returns the highest revision seen.
-func (s *ServiceState) Highest() uint64 {
+// HighestRevision returns the highest revision seen.
+func (s *ServiceState) HighestRevision() uint64 {
 	if s.Refused != nil {
 		return s.Refused.Revision
 	}
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// Refusal reports a document that a Store refused: it cannot be parsed, or differs from the active one
+// Rejection reports a document that a Store refused: it cannot be parsed, or differs from the active one
 // with the same revision.
-type Refusal struct {
+type Rejection struct {
 	Service  string
 	Revision uint64
 	Err      error
@@ -84,13 +84,13 @@
 	// directly or through its source.
 	inContact bool
 	changed   chan struct{}
-	onRefused []func(Refusal)
+	onRefused []func(Rejection)
 	ready     chan struct{}
 }
 
 // NewStore returns an empty store. It reports each refused document to the given functions. They
 // are called with the store's lock held, so they must not call the store.
-func NewStore(onRefused ...func(Refusal)) *Store {
+func NewStore(onRefused ...func(Rejection)) *Store {
 	s := &Store{changed: make(chan struct{}), ready: make(chan struct{}), onRefused: onRefused}
 	s.snapshot.Store(&Snapshot{})
 	return s
@@ -158,7 +158,7 @@
 		}
 		return state
 	}
-	if d.Revision <= old.Highest() {
+	if d.Revision <= old.HighestRevision() {
 		return nil
 	}
 	s.reportRefused(d, err)
@@ -191,7 +191,7 @@
 
 func (s *Store) reportRefused(d Document, err error) {
 	for _, report := range s.onRefused {
-		report(Refusal{Service: d.Service, Revision: d.Revision, Err: err})
+		report(Rejection{Service: d.Service, Revision: d.Revision, Err: err})
 	}
 }
 
@@ -246,7 +246,7 @@
 func (s *Store) Revisions() map[string]uint64 {
 	have := map[string]uint64{}
 	for name, state := range s.Snapshot() {
-		have[name] = state.Highest()
+		have[name] = state.HighestRevision()
 	}
 	return have
 }
@@ -257,7 +257,7 @@
 	have := map[string]uint64{}
 	for name, state := range s.Snapshot() {
 		if state.hasActive() {
-			have[name] = state.Highest()
+			have[name] = state.HighestRevision()
 		}
 	}
 	return have
--- a/document/document_test.go
+++ b/document/document_test.go
@@ -151,7 +151,7 @@
 	body := strings.NewReplacer("workers: 1", "workers: x", "rank: 1", "rank: -1", "type: model", "type: m").Replace(validDocument)
 	_, err := document.Parse([]byte(body))
 	var lines []int
-	for _, e := range document.Faults(err) {
+	for _, e := range document.AsErrors(err) {
 		lines = append(lines, e.Line)
 	}
 	require.Equal(t, []int{2, 8, 12}, lines)
@@ -203,7 +203,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := document.Parse(bytes.Clone(body))
 		if err != nil {
-			require.NotEmpty(t, document.Faults(err), "untyped error %v", err)
+			require.NotEmpty(t, document.AsErrors(err), "untyped error %v", err)
 			return
 		}
 		require.NoError(t, s.Validate())
--- a/document/errors.go
+++ b/document/errors.go
@@ -55,8 +55,8 @@
 	return out
 }
 
-// Faults returns the document errors that err wraps, or nil if there are none.
-func Faults(err error) Errors {
+// AsErrors returns the document errors that err wraps, or nil if there are none.
+func AsErrors(err error) Errors {
 	var es Errors
 	if errors.As(err, &es) {
 		return es
--- a/document/parse.go
+++ b/document/parse.go
@@ -57,7 +57,7 @@
 			err = v.errs.sortAndTruncate()
 		}
 	}
-	for _, e := range append(Faults(err), warnings...) {
+	for _, e := range append(AsErrors(err), warnings...) {
 		e.File = file
 	}
 	if err != nil {
--- a/document/registry/record.go
+++ b/document/registry/record.go
@@ -125,8 +125,8 @@
 	return r.WriteID == id || slices.ContainsFunc(r.Recent, func(w Write) bool { return w.WriteID == id })
 }
 
-// FromEntry decodes the record in an entry of the key-value service.
-func FromEntry(e external.Entry) (Record, error) { return Decode(e.Key, e.Value) }
+// DecodeEntry decodes the record in an entry of the key-value service.
+func DecodeEntry(e external.KVEntry) (Record, error) { return Decode(e.Key, e.Value) }
 
 // ServiceOf returns the service name in a key under ConfigPrefix, and whether it is valid.
 func ServiceOf(key string) (string, bool) {
--- a/document/registry/registry.go
+++ b/document/registry/registry.go
@@ -21,25 +21,25 @@
 type ConflictError struct {
 	Service string
 	Base    uint64
-	// Winner is the current record in the key-value service, which may be a tombstone. If the record is
-	// missing or invalid, Winner has no write ID, and its revision is the latest in the history, or 0 if
+	// Current is the current record in the key-value service, which may be a tombstone. If the record is
+	// missing or invalid, Current has no write ID, and its revision is the latest in the history, or 0 if
 	// there is none.
-	Winner Record
+	Current Record
 	// Diff is the unified diff from the current body to the rejected one.
 	Diff string
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	if e.Winner.Revision == 0 {
+	if e.Current.Revision == 0 {
 		return fmt.Sprintf("service %q does not exist; its base revision is 0, not %d", e.Service, e.Base)
 	}
-	if e.Winner.WriteID == "" {
+	if e.Current.WriteID == "" {
 		return fmt.Sprintf("service %q has no valid record; its last known revision is %d, not base revision %d",
-			e.Service, e.Winner.Revision, e.Base)
+			e.Service, e.Current.Revision, e.Base)
 	}
 	return fmt.Sprintf("service %q is at revision %d by %q, not at base revision %d",
-		e.Service, e.Winner.Revision, e.Winner.Author, e.Base)
+		e.Service, e.Current.Revision, e.Current.Author, e.Base)
 }
 
 // OutcomeUnknownError is returned if a write was sent but its result could not be determined. The
@@ -133,7 +133,7 @@
 func readCurrent(ctx context.Context, kv external.KV, service string) (Record, uint64, error) {
 	e, err := kv.Get(ctx, ConfigKey(service))
 	if err == nil {
-		if r, err := FromEntry(e); err == nil {
+		if r, err := DecodeEntry(e); err == nil {
 			return r, e.Version, nil
 		}
 	} else if !errors.Is(err, external.ErrNotFound) {
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	return &ConflictError{Service: next.Service, Base: base, Winner: *current, Diff: diff}
+	return &ConflictError{Service: next.Service, Base: base, Current: *current, Diff: diff}
 }
 
 // writeRecord writes the record and returns a ConflictError if another write came first. If the
@@ -217,7 +217,7 @@
 			err = resolveConflict(ctx, kv, next, base)
 			var c *ConflictError
 			// After HistoryLength further revisions, Recent may no longer include this write.
-			if err == nil || errors.As(err, &c) && c.Winner.Revision < next.Revision+HistoryLength {
+			if err == nil || errors.As(err, &c) && c.Current.Revision < next.Revision+HistoryLength {
 				return err
 			}
 		}
@@ -254,7 +254,7 @@
 	if err != nil {
 		return Record{}, fmt.Errorf("read service %q: %w", service, err)
 	}
-	return FromEntry(e)
+	return DecodeEntry(e)
 }
 
 // List returns the current valid records and one error for each invalid record.
@@ -266,7 +266,7 @@
 	var records []Record
 	var invalid []error
 	for _, e := range entries {
-		r, err := FromEntry(e)
+		r, err := DecodeEntry(e)
 		if err != nil {
 			invalid = append(invalid, err)
 			continue
@@ -289,7 +289,7 @@
 	var records []Record
 	for i := len(entries) - 1; i >= 0 && len(records) < HistoryLength; i-- {
 		// Invalid entries are treated as missing.
-		if r, err := FromEntry(entries[i]); err == nil && strings.HasPrefix(entries[i].Key, HistoryPrefix) {
+		if r, err := DecodeEntry(entries[i]); err == nil && strings.HasPrefix(entries[i].Key, HistoryPrefix) {
 			records = append(records, r)
 		}
 	}
--- a/document/registry/registry_test.go
+++ b/document/registry/registry_test.go
@@ -58,9 +58,9 @@
 func TestApplyValidatesFirst(t *testing.T) {
 	s := kv.NewStore(kv.Limits{})
 	_, err := registry.Apply(t.Context(), s, service, 0, documentWithRank(0), "ada")
-	require.NotEmpty(t, document.Faults(err))
+	require.NotEmpty(t, document.AsErrors(err))
 	_, err = registry.Apply(t.Context(), s, "oracolo", 0, documentWithRank(1), "ada")
-	require.NotEmpty(t, document.Faults(err))
+	require.NotEmpty(t, document.AsErrors(err))
 	require.Zero(t, s.Calls().Writes)
 }
 
@@ -72,8 +72,8 @@
 	_, err := registry.Apply(t.Context(), s, service, 1, documentWithRank(3), "eva")
 	var c *registry.ConflictError
 	require.ErrorAs(t, err, &c)
-	require.EqualValues(t, 2, c.Winner.Revision)
-	require.Equal(t, "ada", c.Winner.Author)
+	require.EqualValues(t, 2, c.Current.Revision)
+	require.Equal(t, "ada", c.Current.Author)
 	require.Contains(t, c.Diff, "-kinds: [{name: other, rank: 2")
 	require.Contains(t, c.Diff, "+kinds: [{name: other, rank: 3")
 	require.EqualValues(t, 2, apply(t, s, 2, 2).Revision, "an equal body must not create a revision")
@@ -251,9 +251,9 @@
 	return f.KV.CompareAndSwap(ctx, key, expected, value, lease)
 }
 
-func (f *flakyKV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (f *flakyKV) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	if f.randomPercent() < 10 {
-		return external.Entry{}, external.ErrUnavailable
+		return external.KVEntry{}, external.ErrUnavailable
 	}
 	return f.KV.Get(ctx, key)
 }
@@ -296,7 +296,7 @@
 					accepted[r.Revision], base = r.WriteID, r.Revision
 				case errors.As(err, &c):
 					rejectedAuthors[fmt.Sprintf("w%d-%d", w, i)] = true
-					base = c.Winner.Revision
+					base = c.Current.Revision
 				}
 				mu.Unlock()
 			}
--- a/entry/admit.go
+++ b/entry/admit.go
@@ -98,9 +98,9 @@
 	refused[r.Kind.Name] = w
 }
 
-// Refused returns the work that this entry has refused for a service since the process started, by
+// RefusedWork returns the work that this entry has refused for a service since the process started, by
 // kind.
-func (a *Admission) Refused(service string) map[string]placement.KindWork {
+func (a *Admission) RefusedWork(service string) map[string]placement.KindWork {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if s := a.services[service]; s != nil {
--- a/entry/admit_test.go
+++ b/entry/admit_test.go
@@ -25,7 +25,7 @@
 		ID: "w", Role: external.RoleSidecar, Service: "m", DataCentre: "d", Address: "127.0.0.1:1", State: external.InstanceLive,
 	}}})
 	f := entry.NewFleet("c", "d", view, rpc.NewClients(rpc.ClientConfig{}), 1)
-	f.Report(&v1.LoadReport{
+	f.ApplyReport(&v1.LoadReport{
 		Instance: "w", Incarnation: "i", Sequence: 1, Role: "mixed", Models: []string{"m"}, FreePieces: 512, TotalPieces: 512,
 	}, now)
 	return f
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -143,8 +143,8 @@
 
 // RetryBudget limits retries to a fraction of the new requests.
 type RetryBudget interface {
-	// Fresh counts a new request.
-	Fresh(now time.Time)
+	// RecordFirstAttempt counts a new request.
+	RecordFirstAttempt(now time.Time)
 	// Take reports whether the budget allows a retry, and counts it if so.
 	Take(now time.Time) bool
 	// Backoff returns the wait before a retry. The first retry is number 1. The wait is at least
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -103,7 +103,7 @@
 	if f.viewVersion != snapshot.Version {
 		f.viewVersion = snapshot.Version
 		clear(f.services)
-		f.tracker.SetRouters(entriesPerWorker(snapshot))
+		f.tracker.SetRouterCount(entriesPerWorker(snapshot))
 	}
 	return f.buildLocked(name, snapshot)
 }
@@ -153,7 +153,7 @@
 // draining, because its models are unknown. It becomes usable with its first report, which comes from
 // a refresh or from another entry.
 func (f *Fleet) routingWorker(m membership.Member) routing.Worker {
-	w := routing.Worker{ID: m.ID, DataCentre: m.DataCentre, Role: external.RoleMixed, Load: f.tracker.Worker(m.ID)}
+	w := routing.Worker{ID: m.ID, DataCentre: m.DataCentre, Role: external.EngineRoleMixed, Load: f.tracker.Worker(m.ID)}
 	r := f.reports[m.ID]
 	if r == nil {
 		w.Draining = true
@@ -162,7 +162,7 @@
 	w.Draining = r.GetDraining() || hasNoModels(r)
 	w.Models = r.GetModels()
 	if r.GetRole() != "" {
-		w.Role = external.Role(r.GetRole())
+		w.Role = external.EngineRole(r.GetRole())
 	}
 	return w
 }
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -35,14 +35,14 @@
 	Claims once.Claimer
 	// Workers returns the status of all workers that this process knows.
 	Workers func() []*v1.WorkerStatus
-	// Pools returns the names of the pools whose lease this process holds.
-	Pools     func() []string
+	// HeldPools returns the names of the pools whose lease this process holds.
+	HeldPools func() []string
 	Decisions *DecisionLog
 }
 
 // NewPeer returns the peer service of an entry with the given dependencies.
 func NewPeer(cfg Config, o PeerOptions) *Peer {
-	return &Peer{cfg: cfg, store: o.Store, claims: o.Claims, workers: o.Workers, heldPools: o.Pools, decisions: o.Decisions}
+	return &Peer{cfg: cfg, store: o.Store, claims: o.Claims, workers: o.Workers, heldPools: o.HeldPools, decisions: o.Decisions}
 }
 
 // FetchDocuments implements PeerService.
--- a/entry/picker.go
+++ b/entry/picker.go
@@ -19,7 +19,7 @@
 	if d.Decode == nil {
 		return Worker{}, "", fmt.Errorf("%w: %d considered", errNoWorker, d.Considered)
 	}
-	s.router.Sent(&q, &d, time.Now())
+	s.router.RecordSent(&q, &d, time.Now())
 	w := s.target(d.Decode)
 	// With a separate prefill worker, a refusal by the decode worker leaves the outcome unknown, because
 	// the prompt may have run. A non-repeatable request could then not be retried.
@@ -69,12 +69,12 @@
 func (f *Fleet) Sent(w Worker, p PickRequest) {
 	now := time.Now()
 	decode, prefill := attemptWork(w, p)
-	t := f.tracker.Worker(w.Instance).Sent(decode, now)
+	t := f.tracker.Worker(w.Instance).RecordSent(decode, now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.tickets[ticketKey{w.Instance, p.RequestID}] = t
 	if w.Prefill != nil {
-		f.tickets[ticketKey{w.Prefill.Instance, p.RequestID}] = f.tracker.Worker(w.Prefill.Instance).Sent(prefill, now)
+		f.tickets[ticketKey{w.Prefill.Instance, p.RequestID}] = f.tracker.Worker(w.Prefill.Instance).RecordSent(prefill, now)
 	}
 }
 
@@ -93,21 +93,21 @@
 	now := time.Now()
 	worker := f.tracker.Worker(w.Instance)
 	ticket := f.removeTicket(w.Instance, p.RequestID)
-	worker.Finished(ticket, now)
+	worker.RecordFinished(ticket, now)
 	if w.Prefill != nil {
 		// A separate prefill worker determined the time to the first token.
 		worker, ticket = f.tracker.Worker(w.Prefill.Instance), f.removeTicket(w.Prefill.Instance, p.RequestID)
-		worker.Finished(ticket, now)
+		worker.RecordFinished(ticket, now)
 	}
 	if r.Tokens > 0 {
 		// The attempt started at now-r.Elapsed, and its first token arrived r.FirstToken later.
-		worker.FirstToken(ticket, now.Add(r.FirstToken-r.Elapsed))
+		worker.ObserveFirstToken(ticket, now.Add(r.FirstToken-r.Elapsed))
 	}
 	if r.Tokens > 1 && r.FirstToken > 0 {
-		f.tracker.Worker(w.Instance).BetweenTokens((r.Elapsed-r.FirstToken)/time.Duration(r.Tokens-1), now)
+		f.tracker.Worker(w.Instance).ObserveBetweenTokens((r.Elapsed-r.FirstToken)/time.Duration(r.Tokens-1), now)
 	}
 	if r.Load != nil {
-		f.Report(r.Load, now)
+		f.ApplyReport(r.Load, now)
 	}
 	f.view.Observe(now, evidence(w, r, now))
 }
@@ -120,11 +120,11 @@
 	}
 	switch {
 	case r.ConnectionRefused:
-		e.Kind = membership.Refused
+		e.Kind = membership.ConnectionRefused
 	case (r.TimedOut || r.ConnectionBroken) && r.Tokens == 0:
 		// A connection that breaks before the first frame does not show that the worker is alive:
 		// another process may accept connections at its address.
-		e.Kind = membership.Silent
+		e.Kind = membership.TimedOut
 	case r.Load.GetDraining():
 		e.Kind = membership.Draining
 	}
--- a/entry/pools.go
+++ b/entry/pools.go
@@ -7,8 +7,8 @@
 	"github.com/quetzallug/quetzallug/document"
 )
 
-// Pools returns the sorted names of the pools of all model services.
-func Pools(services []*document.Service) []string {
+// PoolNames returns the sorted names of the pools of all model services.
+func PoolNames(services []*document.Service) []string {
 	var names []string
 	for _, s := range services {
 		if s.Type != document.TypeModel {
--- a/entry/refresh.go
+++ b/entry/refresh.go
@@ -83,7 +83,7 @@
 	var all []candidate
 	f.mu.RLock()
 	for _, m := range f.view.Snapshot().Members {
-		if m.Role != external.RoleSidecar || m.View == membership.StateEjected {
+		if m.Role != external.RoleSidecar || m.DerivedState == membership.StateEjected {
 			continue
 		}
 		r := f.reports[m.ID]
@@ -111,7 +111,7 @@
 	unreported := 0
 	f.mu.RLock()
 	for _, m := range snapshot.Members {
-		if m.Role == external.RoleSidecar && m.View == membership.StateLive && f.reports[m.ID] == nil {
+		if m.Role == external.RoleSidecar && m.DerivedState == membership.StateLive && f.reports[m.ID] == nil {
 			unreported++
 		}
 	}
@@ -141,7 +141,7 @@
 			continue
 		}
 		r.AgeMs = max(r.GetAgeMs(), uint32(maxReportAgeReady.Milliseconds()))
-		f.Report(r, now)
+		f.ApplyReport(r, now)
 		f.mu.Lock()
 		f.reportedAt[m.ID] = now.Add(-maxReportAgeReady)
 		f.mu.Unlock()
--- a/entry/refresh_test.go
+++ b/entry/refresh_test.go
@@ -60,7 +60,7 @@
 	workers[3].Address = "10.9.9.9:1"
 	workers = append(workers, &v1.WorkerStatus{Instance: "unknown"})
 	peer := NewPeer(Config{}, PeerOptions{
-		Store: dissemination.NewStore(nil), Workers: func() []*v1.WorkerStatus { return workers }, Pools: func() []string { return nil },
+		Store: dissemination.NewStore(nil), Workers: func() []*v1.WorkerStatus { return workers }, HeldPools: func() []string { return nil },
 	})
 	mux := http.NewServeMux()
 	mux.Handle(quetzallugv1connect.NewPeerServiceHandler(peer, rpc.PeerOptions()...))
@@ -72,7 +72,7 @@
 
 	f := newTestFleet(t, l.Addr().String())
 	own := workerStatus(5, 4).GetLoad()
-	f.Report(own, time.Now())
+	f.ApplyReport(own, time.Now())
 	peers := f.reportSources()
 	require.Len(t, peers, 1)
 	f.fetchPeerReports(t.Context(), peers[0])
@@ -90,11 +90,11 @@
 	f := newTestFleet(t, "127.0.0.1:1")
 	now := time.Now()
 	for i := range fleetSize {
-		f.Report(workerStatus(i, 1).GetLoad(), now.Add(-time.Duration(90+i)*time.Second))
+		f.ApplyReport(workerStatus(i, 1).GetLoad(), now.Add(-time.Duration(90+i)*time.Second))
 	}
 	draining := workerStatus(8, 2).GetLoad()
 	draining.Draining = true
-	f.Report(draining, now.Add(-20*time.Second))
+	f.ApplyReport(draining, now.Add(-20*time.Second))
 	due := f.dueForRefresh(now)
 	require.Len(t, due, maxRefreshProbes)
 	assert.Equal(t, "w8", due[0].ID)
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -39,7 +39,7 @@
 
 func (tokenEngine) State(context.Context) (external.EngineState, error) {
 	return external.EngineState{Config: external.EngineConfig{
-		Role: external.RoleMixed, Models: []external.ModelVersion{{Name: benchModel}},
+		Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: benchModel}},
 	}}, nil
 }
 
@@ -103,7 +103,7 @@
 // serveWorker starts a sidecar with a tokenEngine and returns its address.
 func serveWorker(b *testing.B, docs fixedDocument, m *telemetry.Metrics, log logrus.FieldLogger) string {
 	sc, err := sidecar.New(sidecar.Config{
-		Cluster: "bench", Instance: "w0", Service: benchService, Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
+		Cluster: "bench", Instance: "w0", Service: benchService, Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultAttemptTableSettings(),
 	}, tokenEngine{}, nil, docs, m, log)
 	require.NoError(b, err)
 	require.NoError(b, sc.RefreshState(b.Context()))
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -18,10 +18,10 @@
 	"github.com/quetzallug/quetzallug/routing"
 )
 
-// Report applies a load report. A report that arrives out of order does not replace a newer one of
+// ApplyReport applies a load report. A report that arrives out of order does not replace a newer one of
 // the same incarnation. If the role, the models or the drain state of the worker has changed, the
 // workers of all services are discarded and built again when they are needed.
-func (f *Fleet) Report(r *v1.LoadReport, now time.Time) {
+func (f *Fleet) ApplyReport(r *v1.LoadReport, now time.Time) {
 	f.tracker.Worker(r.GetInstance()).Observe(load.Report{
 		Sequence: r.GetSequence(), Age: time.Duration(r.GetAgeMs()) * time.Millisecond,
 		Load: external.EngineLoad{
@@ -40,7 +40,7 @@
 	f.reports[r.GetInstance()] = r
 	f.reportedAt[r.GetInstance()] = now
 	if r.GetRole() != "" {
-		f.tracker.Worker(r.GetInstance()).SetRole(external.Role(r.GetRole()))
+		f.tracker.Worker(r.GetInstance()).SetRole(external.EngineRole(r.GetRole()))
 	}
 	if old == nil || old.GetRole() != r.GetRole() || old.GetDraining() != r.GetDraining() || !slices.Equal(old.GetModels(), r.GetModels()) {
 		clear(f.services)
@@ -71,14 +71,14 @@
 	}
 	for _, s := range f.services {
 		if w := s.candidates.Worker(r.GetInstance()); w != nil {
-			s.router.CacheEvents(w, fresh, now)
+			s.router.ObserveCacheEvents(w, fresh, now)
 		}
 	}
 }
 
-// Reported returns true if every service in the membership list has a worker with a report. The
-// router chooses no worker of a service without reports. Reported is false while the list is empty.
-func (f *Fleet) Reported() bool {
+// AllServicesReported returns true if every service in the membership list has a worker with a report. The
+// router chooses no worker of a service without reports. It returns false while the list is empty.
+func (f *Fleet) AllServicesReported() bool {
 	snapshot := f.view.Snapshot()
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -140,7 +140,7 @@
 	if r.GetInstance() != m.ID {
 		return membership.ProbeResult{}, fmt.Errorf("probe of address %s was answered by instance %q", m.Address, r.GetInstance())
 	}
-	f.Report(r, time.Now())
+	f.ApplyReport(r, time.Now())
 	return membership.ProbeResult{Incarnation: r.GetIncarnation(), Draining: r.GetDraining()}, nil
 }
 
@@ -195,7 +195,7 @@
 			continue
 		}
 		w := &v1.WorkerStatus{
-			Instance: m.ID, Address: m.Address, Service: m.Service, DataCentre: m.DataCentre, State: string(m.View),
+			Instance: m.ID, Address: m.Address, Service: m.Service, DataCentre: m.DataCentre, State: string(m.DerivedState),
 		}
 		if r := f.reports[m.ID]; r != nil {
 			w.Load = proto.CloneOf(r)
--- a/entry/run.go
+++ b/entry/run.go
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	r := &runner{Entry: e, call: c, out: out, assembler: stream.NewAssembler(c.id)}
-	e.budget.Fresh(time.Now())
+	e.budget.RecordFirstAttempt(time.Now())
 	for {
 		final, err := r.step(ctx)
 		if final != nil || err != nil {
--- a/entry/run_internal_test.go
+++ b/entry/run_internal_test.go
@@ -74,7 +74,7 @@
 // exhaustedBudget allows no retries.
 type exhaustedBudget struct{}
 
-func (exhaustedBudget) Fresh(time.Time)                                      {}
+func (exhaustedBudget) RecordFirstAttempt(time.Time)                         {}
 func (exhaustedBudget) Take(time.Time) bool                                  { return false }
 func (exhaustedBudget) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
 
@@ -166,22 +166,22 @@
 	require.False(t, hasNoModels(&v1.LoadReport{Plain: true}))
 }
 
-// Reported must be false until each service has a report. Otherwise an entry accepts requests right
+// AllServicesReported must be false until each service has a report. Otherwise an entry accepts requests right
 // after its start and refuses them all, because no worker has reported yet.
 func TestReportedNeedsEachService(t *testing.T) {
 	view, err := membership.NewView(membership.DefaultSettings(), rand.New(rand.NewPCG(1, 2)))
 	require.NoError(t, err)
 	f := NewFleet("c", "d", view, rpc.NewClients(rpc.ClientConfig{}), 1)
-	require.False(t, f.Reported(), "the membership list has not been read")
+	require.False(t, f.AllServicesReported(), "the membership list has not been read")
 	sidecar := func(id, service string) external.Instance {
 		return external.Instance{ID: id, Role: external.RoleSidecar, Service: service, Address: "127.0.0.1:1", State: external.InstanceLive}
 	}
 	now := time.Now()
 	view.ApplyList(now, external.InstanceSnapshot{Version: 1, Instances: []external.Instance{sidecar("a", "s"), sidecar("b", "s"), sidecar("c", "t")}})
-	f.Report(&v1.LoadReport{Instance: "a"}, now)
-	require.False(t, f.Reported(), "service t has no report")
-	f.Report(&v1.LoadReport{Instance: "c"}, now)
-	require.True(t, f.Reported())
+	f.ApplyReport(&v1.LoadReport{Instance: "a"}, now)
+	require.False(t, f.AllServicesReported(), "service t has no report")
+	f.ApplyReport(&v1.LoadReport{Instance: "c"}, now)
+	require.True(t, f.AllServicesReported())
 }
 
 // A connection that breaks before the first frame must not count as an answer of the worker. If
@@ -210,7 +210,7 @@
 	res := classifyFailure(t.Context(), err, time.Now())
 	require.Equal(t, v1.Outcome_OUTCOME_UNKNOWN, res.Outcome)
 	w := Worker{Instance: "w", Address: l.Addr().String()}
-	require.Equal(t, membership.Silent, evidence(w, res, time.Now()).Kind)
+	require.Equal(t, membership.TimedOut, evidence(w, res, time.Now()).Kind)
 	res.Tokens = 1
 	require.Equal(t, membership.Answered, evidence(w, res, time.Now()).Kind, "a frame has arrived")
 }
@@ -243,8 +243,8 @@
 	view.Observe(now, membership.Evidence{ID: "a", Kind: membership.Draining, Address: address, Incarnation: "1", Started: now})
 	m, ok := view.Snapshot().Member("a")
 	require.True(t, ok)
-	require.Equal(t, membership.StateLeaving, m.View)
+	require.Equal(t, membership.StateLeaving, m.DerivedState)
 	f.refresh(t.Context(), m)
 	m, _ = view.Snapshot().Member("a")
-	require.Equal(t, membership.StateLive, m.View)
+	require.Equal(t, membership.StateLive, m.DerivedState)
 }
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -127,7 +127,7 @@
 // unlimitedBudget allows all retries, so that tests reach the limit of attempts.
 type unlimitedBudget struct{}
 
-func (unlimitedBudget) Fresh(time.Time)                                      {}
+func (unlimitedBudget) RecordFirstAttempt(time.Time)                         {}
 func (unlimitedBudget) Take(time.Time) bool                                  { return true }
 func (unlimitedBudget) Backoff(int, time.Duration, *rand.Rand) time.Duration { return 0 }
 
--- a/external/engine.go
+++ b/external/engine.go
@@ -24,14 +24,14 @@
 	ErrEngineFailed = errors.New("engine failed")
 )
 
-// Role determines which phases of inference an engine performs.
-type Role string
+// EngineRole determines which phases of inference an engine performs.
+type EngineRole string
 
 // Roles of engines. A mixed engine performs both prefill and decode.
 const (
-	RolePrefill Role = "prefill"
-	RoleDecode  Role = "decode"
-	RoleMixed   Role = "mixed"
+	EngineRolePrefill EngineRole = "prefill"
+	EngineRoleDecode  EngineRole = "decode"
+	EngineRoleMixed   EngineRole = "mixed"
 )
 
 // GenerateRequest is a request to an engine to generate tokens.
@@ -82,7 +82,7 @@
 
 // EngineConfig is the part of an engine's configuration that an order sets.
 type EngineConfig struct {
-	Role     Role           `json:"role"`
+	Role     EngineRole     `json:"role"`
 	Models   []ModelVersion `json:"models"`
 	Adapters []ModelVersion `json:"adapters,omitempty"`
 }
--- a/external/enginewire/enginewire.go
+++ b/external/enginewire/enginewire.go
@@ -14,25 +14,25 @@
 // failed call returns a status other than 200 and an error code.
 const (
 	PathGenerate = "/generate"    // POST external.GenerateRequest
-	PathCancel   = "/cancel"      // POST Cancel
+	PathCancel   = "/cancel"      // POST RequestRef
 	PathState    = "/state"       // GET, returns external.EngineState
 	PathApply    = "/apply"       // POST external.EngineOrder
 	PathLoad     = "/load"        // GET, returns external.EngineLoad
 	PathEvents   = "/cacheevents" // GET ?after=sequence, returns []external.CacheEvent
-	PathExport   = "/kv/export"   // POST Cancel, returns Blob
-	PathImport   = "/kv/import"   // POST Blob, returns Handle
+	PathExport   = "/kv/export"   // POST RequestRef, returns KVCache
+	PathImport   = "/kv/import"   // POST KVCache, returns Handle
 )
 
 // DataPrefix is the start of each line that contains an event.
 const DataPrefix = "data: "
 
-// Cancel identifies the request that is to be cancelled or whose KV cache is to be exported.
-type Cancel struct {
+// RequestRef identifies the request that is to be cancelled or whose KV cache is to be exported.
+type RequestRef struct {
 	RequestID string `json:"request_id"`
 }
 
-// Blob is an exported KV cache.
-type Blob struct {
+// KVCache is an exported KV cache.
+type KVCache struct {
 	Data []byte `json:"data"`
 }
 
--- a/external/enginewire/prefix.go
+++ b/external/enginewire/prefix.go
@@ -6,9 +6,9 @@
 // prompt as one token, so for them a block is BlockTokens words.
 const BlockTokens = 256
 
-// NewAnswerDigest returns the xxhash64 digest with which every hash of a prompt or answer for a model
+// NewModelDigest returns the xxhash64 digest with which every hash of a prompt or answer for a model
 // and adapter starts. The model, NUL, the adapter and NUL have been written to it.
-func NewAnswerDigest(model, adapter string) *xxhash.Digest {
+func NewModelDigest(model, adapter string) *xxhash.Digest {
 	d := xxhash.New()
 	_, _ = d.WriteString(model)
 	_, _ = d.WriteString("\x00")
@@ -22,7 +22,7 @@
 // NUL, the adapter, NUL and the bytes of the prompt up to the end of the prefix's last word. Cache
 // events identify prefixes by these hashes.
 func AppendPrefixHashes(dst []uint64, model, adapter, prompt string, limit int) []uint64 {
-	d := NewAnswerDigest(model, adapter)
+	d := NewModelDigest(model, adapter)
 	words, hashedTo := 0, 0
 	for i := 0; i < len(prompt) && limit > 0; i++ {
 		wordEnds := !isSpace(prompt[i]) && (i+1 == len(prompt) || isSpace(prompt[i+1]))
--- a/external/external.go
+++ b/external/external.go
@@ -30,8 +30,8 @@
 // LeaseID identifies a lease of the key-value service. Zero means no lease.
 type LeaseID uint64
 
-// Entry is a key with its value and versions.
-type Entry struct {
+// KVEntry is a key with its value and versions.
+type KVEntry struct {
 	Key string
 	// Version is the number of writes to the key since it was created, so it is 1 after the first one.
 	Version uint64
@@ -40,19 +40,19 @@
 	Value    []byte
 }
 
-// Event is a change to a key. If Deleted is true, the entry has no value, Revision is the revision of the
+// KVEvent is a change to a key. If Deleted is true, the entry has no value, Revision is the revision of the
 // deletion, and Version has no meaning.
-type Event struct {
-	Entry
+type KVEvent struct {
+	KVEntry
 	Deleted bool
 }
 
 // KV is a client of the platform's key-value service.
 type KV interface {
 	// Get returns the entry of a key, or ErrNotFound if the key does not exist.
-	Get(ctx context.Context, key string) (Entry, error)
+	Get(ctx context.Context, key string) (KVEntry, error)
 	// List returns the entries whose keys start with prefix, in key order, and the store revision.
-	List(ctx context.Context, prefix string) ([]Entry, uint64, error)
+	List(ctx context.Context, prefix string) ([]KVEntry, uint64, error)
 	// CompareAndSwap writes value if the key's version equals expected, and returns the new version.
 	// An expected version of 0 means that the key must not exist. If lease is not 0, the key is deleted
 	// when the lease ends.
@@ -62,7 +62,7 @@
 	// Watch blocks until a key that starts with prefix changes after the given store revision, or
 	// until the service's own time limit for watches. It returns the events, and the revision to pass
 	// to the next call. It returns ErrCompacted if events after the given revision have been discarded.
-	Watch(ctx context.Context, prefix string, after uint64) ([]Event, uint64, error)
+	Watch(ctx context.Context, prefix string, after uint64) ([]KVEvent, uint64, error)
 	// GrantLease creates a lease.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive renews a lease for its full time to live. It returns ErrLeaseExpired if the lease no
--- a/external/instancewire/instancewire.go
+++ b/external/instancewire/instancewire.go
@@ -7,8 +7,8 @@
 const (
 	PathList     = "/instances"          // GET ?after=version&epoch=epoch, returns List
 	PathRegister = "/instances/register" // POST Registration
-	PathLeave    = "/instances/leave"    // POST Leave
-	PathRemove   = "/instances/remove"   // POST Leave
+	PathLeave    = "/instances/leave"    // POST InstanceRef
+	PathRemove   = "/instances/remove"   // POST InstanceRef
 )
 
 // List is the whole instance list, or the changes since a version. The service returns changes only if
@@ -32,7 +32,7 @@
 	TTLMS    int64             `json:"ttl_ms,omitempty"`
 }
 
-// Leave identifies the instance that is to be marked as leaving or removed.
-type Leave struct {
+// InstanceRef identifies the instance that is to be marked as leaving or removed.
+type InstanceRef struct {
 	ID string `json:"id"`
 }
--- a/external/kvbudget/kvbudget.go
+++ b/external/kvbudget/kvbudget.go
@@ -53,15 +53,15 @@
 }
 
 // Get implements external.KV.
-func (k *KV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (k *KV) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	if err := k.waitAndCount(ctx, OpGet); err != nil {
-		return external.Entry{}, err
+		return external.KVEntry{}, err
 	}
 	return k.kv.Get(ctx, key)
 }
 
 // List implements external.KV.
-func (k *KV) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
+func (k *KV) List(ctx context.Context, prefix string) ([]external.KVEntry, uint64, error) {
 	if err := k.waitAndCount(ctx, OpList); err != nil {
 		return nil, 0, err
 	}
@@ -85,7 +85,7 @@
 }
 
 // Watch implements external.KV.
-func (k *KV) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
+func (k *KV) Watch(ctx context.Context, prefix string, after uint64) ([]external.KVEvent, uint64, error) {
 	if err := k.waitAndCount(ctx, OpWatch); err != nil {
 		return nil, after, err
 	}
--- a/external/kvwire/kvwire.go
+++ b/external/kvwire/kvwire.go
@@ -33,12 +33,12 @@
 
 // Response is the response body of every call. Error is an error code, empty for a successful call.
 type Response struct {
-	Error    string           `json:"error,omitempty"`
-	Entries  []external.Entry `json:"entries,omitempty"`
-	Events   []external.Event `json:"events,omitempty"`
-	Revision uint64           `json:"revision,omitempty"`
-	Version  uint64           `json:"version,omitempty"`
-	Lease    external.LeaseID `json:"lease,omitempty"`
+	Error    string             `json:"error,omitempty"`
+	Entries  []external.KVEntry `json:"entries,omitempty"`
+	Events   []external.KVEvent `json:"events,omitempty"`
+	Revision uint64             `json:"revision,omitempty"`
+	Version  uint64             `json:"version,omitempty"`
+	Lease    external.LeaseID   `json:"lease,omitempty"`
 }
 
 // codes maps error codes to errors and back.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -76,7 +76,7 @@
 	case m.NotRun || m.AddressReused:
 		return a.handleRefusal(resp, m)
 	case resp.StatusCode/100 == 2:
-		if !m.Signed || resp.Header.Get("Content-Encoding") != "" {
+		if !m.FromServer || resp.Header.Get("Content-Encoding") != "" {
 			return a.failUnknown("not_a_servers_answer")
 		}
 		// The backend server has fetched the prompt.
@@ -183,7 +183,7 @@
 	case a.q.r.Context().Err() != nil:
 		a.q.finish(outcomeGone, "")
 		return resultFinished
-	case err != nil || len(body) > maxResponseBody || !m.Signed:
+	case err != nil || len(body) > maxResponseBody || !m.FromServer:
 		return a.failUnknown(fmt.Sprintf("status_%d_not_whole", resp.StatusCode))
 	}
 	full := &response{resp.StatusCode, resp.Header, body}
--- a/gateway/caller.go
+++ b/gateway/caller.go
@@ -21,5 +21,5 @@
 func callerDisconnected(r *http.Request) bool {
 	ctx := r.Context()
 	c, ok := ctx.Value(callerConnKey{}).(net.Conn)
-	return ctx.Err() != nil || ok && upstream.Ended(c)
+	return ctx.Err() != nil || ok && upstream.PeerClosed(c)
 }
--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -28,7 +28,7 @@
 func (plainCodec) Answer(received http.Header) http.Header { return received }
 
 func (plainCodec) ResponseMetadata(int, http.Header) ResponseMetadata {
-	return ResponseMetadata{Signed: true}
+	return ResponseMetadata{FromServer: true}
 }
 
 type noMetrics struct{ Metrics }
@@ -60,7 +60,7 @@
 		Name: "r", Host: "a", Prefix: "/", Timeout: time.Second, MaxAttempts: 1, Shares: []route.Share{{Service: "s", Weight: 1}},
 	}}, []*route.Service{{Name: "s"}}, route.Limits{})
 	require.NoError(t, err)
-	tables := &route.Holder{}
+	tables := &route.ActiveTable{}
 	tables.Offer(table)
 	roster := NewRoster()
 	roster.Replace([]Registration{{ID: "i", Service: "s", Address: backend.Addr().String(), Slots: 4}}, time.Now())
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -76,7 +76,7 @@
 type prefillEstimator struct {
 	mu sync.Mutex
 	// secondsPerToken is the time to prefill one prompt token, by role.
-	secondsPerToken map[external.Role]float64
+	secondsPerToken map[external.EngineRole]float64
 	// meanUncached is the mean number of uncached prompt tokens per request.
 	meanUncached float64
 }
@@ -96,26 +96,26 @@
 )
 
 func newPrefillEstimator() *prefillEstimator {
-	return &prefillEstimator{secondsPerToken: map[external.Role]float64{}, meanUncached: initialMeanUncached}
+	return &prefillEstimator{secondsPerToken: map[external.EngineRole]float64{}, meanUncached: initialMeanUncached}
 }
 
 // estimates returns the current estimates. secondsPerToken gives the prefill estimate for
-// RolePrefill and the decode estimate for every other role.
-func (p *prefillEstimator) estimates() (secondsPerToken func(external.Role) float64, meanUncached float64) {
+// EngineRolePrefill and the decode estimate for every other role.
+func (p *prefillEstimator) estimates() (secondsPerToken func(external.EngineRole) float64, meanUncached float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	prefill, decode := p.roleEstimate(external.RolePrefill), p.roleEstimate(external.RoleDecode)
-	return func(r external.Role) float64 {
-		if r == external.RolePrefill {
+	prefill, decode := p.roleEstimate(external.EngineRolePrefill), p.roleEstimate(external.EngineRoleDecode)
+	return func(r external.EngineRole) float64 {
+		if r == external.EngineRolePrefill {
 			return prefill
 		}
 		return decode
 	}, p.meanUncached
 }
 
-// roleEstimate returns the seconds per token of a role, which is RolePrefill or RoleDecode. The
+// roleEstimate returns the seconds per token of a role, which is EngineRolePrefill or EngineRoleDecode. The
 // caller must hold p.mu.
-func (p *prefillEstimator) roleEstimate(r external.Role) float64 {
+func (p *prefillEstimator) roleEstimate(r external.EngineRole) float64 {
 	if v, ok := p.secondsPerToken[r]; ok {
 		return v
 	}
@@ -124,9 +124,9 @@
 
 // observe updates the estimates with a prompt of which the given number of uncached tokens was
 // prefilled after tokensAhead queued ones.
-func (p *prefillEstimator) observe(r external.Role, tokens, tokensAhead float64, elapsed time.Duration) {
-	if r != external.RolePrefill {
-		r = external.RoleDecode
+func (p *prefillEstimator) observe(r external.EngineRole, tokens, tokensAhead float64, elapsed time.Duration) {
+	if r != external.EngineRolePrefill {
+		r = external.EngineRoleDecode
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +161,7 @@
 func chooseLeastLoaded(servers []*Server, views []view, dataCentre string, random Random) choice {
 	best, cost := -1, math.Inf(1)
 	for i, s := range servers {
-		if s.Role == external.RolePrefill {
+		if s.Role == external.EngineRolePrefill {
 			continue // cannot generate answers
 		}
 		c := (float64(views[i].inFlight+views[i].otherRequests) + 0.5) / float64(max(s.Slots, 1))
@@ -207,7 +207,7 @@
 
 // choosePrompt returns the servers with the lowest cost: the expected time to the first event, plus
 // a weight for prefill work and penalties for failures and other data centres.
-func choosePrompt(servers []*Server, views []view, cachedTokens []float64, p *promptRequest, secondsPerToken func(external.Role) float64, meanUncached float64, selector *decodeSelector) choice {
+func choosePrompt(servers []*Server, views []view, cachedTokens []float64, p *promptRequest, secondsPerToken func(external.EngineRole) float64, meanUncached float64, selector *decodeSelector) choice {
 	if selector.best(p.dataCentre) < 0 {
 		return choice{reason: reasonNoServer}
 	}
@@ -222,7 +222,7 @@
 		c := choice{server: s, uncachedTokens: uncachedTokens, reason: reasonOneServer}
 		timeToFirst := wait + prefillTime
 		penalty := v.failureRate * failurePenalty.Seconds()
-		if s.Role == external.RolePrefill {
+		if s.Role == external.EngineRolePrefill {
 			if uncachedTokens < shortPromptTokens && float64(p.metadata.PromptTokens) < 2*shortPromptTokens {
 				continue
 			}
@@ -238,7 +238,7 @@
 		if s.DataCentre != p.dataCentre {
 			penalty += crossDataCentreTransferCost.Seconds() / 3
 		}
-		if s.Role == external.RoleDecode {
+		if s.Role == external.EngineRoleDecode {
 			penalty += (decodePrefillWeight - prefillWeight) * prefillTime
 		}
 		if total := timeToFirst + (prefillWeight-1)*prefillTime + penalty; total < cost {
@@ -299,7 +299,7 @@
 	d.scans++
 	best, cost := -1, math.Inf(1)
 	for i, s := range d.servers {
-		if s.Role == external.RolePrefill {
+		if s.Role == external.EngineRolePrefill {
 			continue
 		}
 		c := decodeCost(s, d.views[i], promptDataCentre) + d.views[i].transferExcess + d.random()*delayPerRequest.Seconds()
@@ -351,9 +351,9 @@
 func affinityServers(servers []*Server, key uint64) [len(affinityCredit)]int {
 	first, second := -1, -1
 	var top, next uint64
-	prefill := slices.ContainsFunc(servers, func(s *Server) bool { return s.Role == external.RolePrefill })
+	prefill := slices.ContainsFunc(servers, func(s *Server) bool { return s.Role == external.EngineRolePrefill })
 	for i, s := range servers {
-		if prefill && s.Role != external.RolePrefill {
+		if prefill && s.Role != external.EngineRolePrefill {
 			continue
 		}
 		score := splitmix.Mix(s.key ^ key)
--- a/gateway/decider.go
+++ b/gateway/decider.go
@@ -27,14 +27,14 @@
 	return &Decider{dataCentre: dataCentre, roster: r, prefixes: newPrefixTable(), random: random, prefillEstimators: make(map[string]*prefillEstimator), refusalCounters: make(map[string]*refusalCounter)}
 }
 
-// Query is a request for which backend servers are to be selected.
-type Query struct {
+// SelectionRequest is a request for which backend servers are to be selected.
+type SelectionRequest struct {
 	Route    *route.Route
 	Service  string
 	Metadata *RequestMetadata
 	// Deadline is the earlier of the caller's and the route's deadline.
 	Deadline time.Time
-	// prefixKeys holds the keys of the prompt's prefixes; set by Prepare.
+	// prefixKeys holds the keys of the prompt's prefixes; set by ComputePrefixKeys.
 	prefixKeys []uint64
 	// tried lists the backend servers that must not be chosen again.
 	tried []*serverState
@@ -42,18 +42,18 @@
 	prefillServer *Server
 }
 
-// Prepare computes the prefix keys. It must be called after Route and Metadata are set.
-func (q *Query) Prepare() {
-	if q.Route.Prompt {
+// ComputePrefixKeys computes the prefix keys. It must be called after Route and Metadata are set.
+func (q *SelectionRequest) ComputePrefixKeys() {
+	if q.Route.DeclaresPrompt {
 		q.prefixKeys = prefixKeys(q.Metadata.Parts)
 	}
 }
 
 // Exclude excludes a backend server from further choices for this request.
-func (q *Query) Exclude(s *Server) { q.tried = append(q.tried, s.state) }
+func (q *SelectionRequest) Exclude(s *Server) { q.tried = append(q.tried, s.state) }
 
 // SetPrefillServer sets the backend server that has prefilled the prompt.
-func (q *Query) SetPrefillServer(s *Server) { q.prefillServer = s }
+func (q *SelectionRequest) SetPrefillServer(s *Server) { q.prefillServer = s }
 
 // Choice is the result of Decide.
 type Choice struct {
@@ -73,7 +73,7 @@
 
 // Decide selects the backend servers for a request that was not sent yet or whose prompt is
 // prefilled. It may advise refusing a request that was not sent yet.
-func (d *Decider) Decide(q *Query, now time.Time) Choice {
+func (d *Decider) Decide(q *SelectionRequest, now time.Time) Choice {
 	c := d.choose(q, now)
 	out := Choice{PrefillServer: c.prefillServer, Server: c.server, UncachedTokens: c.uncachedTokens, TimeToFirst: c.timeToFirst}
 	if q.prefillServer == nil && !d.admit(q, &c, now) {
@@ -84,7 +84,7 @@
 
 // RecordSent records that a request was sent to a backend server, which has to prefill uncachedTokens
 // tokens of its prompt.
-func (d *Decider) RecordSent(q *Query, s *Server, uncachedTokens float64, now time.Time) {
+func (d *Decider) RecordSent(q *SelectionRequest, s *Server, uncachedTokens float64, now time.Time) {
 	s.recordSent(uncachedTokens, now)
 	d.prefixes.record(q.prefixKeys, s.key, now)
 }
@@ -95,7 +95,7 @@
 
 // RecordPrefilled records that a prompt was prefilled. tokensAhead is the number of tokens that were
 // queued before it at sentAt.
-func (d *Decider) RecordPrefilled(q *Query, s *Server, uncachedTokens, tokensAhead float64, sentAt, now time.Time) {
+func (d *Decider) RecordPrefilled(q *SelectionRequest, s *Server, uncachedTokens, tokensAhead float64, sentAt, now time.Time) {
 	s.subtractPendingTokens(uncachedTokens)
 	d.prefillEstimator(q.Service).observe(s.Role, uncachedTokens, tokensAhead, now.Sub(sentAt))
 }
@@ -133,7 +133,7 @@
 func (d *Decider) RecordRefusal(s *Server, now time.Time) { s.recordRefusal(now) }
 
 // choose selects the backend servers for the next attempt.
-func (d *Decider) choose(q *Query, now time.Time) choice {
+func (d *Decider) choose(q *SelectionRequest, now time.Time) choice {
 	all := d.roster.Servers(q.Service)
 	if c := d.chooseFrom(q, now, all, false); c.server != nil {
 		return c
@@ -143,9 +143,9 @@
 
 // chooseFrom selects among the usable backend servers that were not tried, or among all that were
 // not tried if includeUnusable is set.
-func (d *Decider) chooseFrom(q *Query, now time.Time, all []*Server, includeUnusable bool) choice {
+func (d *Decider) chooseFrom(q *SelectionRequest, now time.Time, all []*Server, includeUnusable bool) choice {
 	servers, views := candidates(all, q.tried, now, includeUnusable)
-	if !q.Route.Prompt || len(q.Metadata.Parts) == 0 {
+	if !q.Route.DeclaresPrompt || len(q.Metadata.Parts) == 0 {
 		return chooseLeastLoaded(servers, views, d.dataCentre, d.random)
 	}
 	selector := newDecodeSelector(servers, views, d.dataCentre, d.random)
@@ -174,13 +174,13 @@
 
 // admit reports whether a request that was not sent yet should be served. The refused fraction of
 // the requests with long uncached prompts measures the degree of overload.
-func (d *Decider) admit(q *Query, c *choice, now time.Time) bool {
+func (d *Decider) admit(q *SelectionRequest, c *choice, now time.Time) bool {
 	if c.server == nil {
 		return true
 	}
 	r := d.refusalCounter(q.Service)
 	late := shouldRefuse(q, c, r.fraction(now), now)
-	if q.Route.Prompt && c.uncachedTokens >= shortPromptTokens {
+	if q.Route.DeclaresPrompt && c.uncachedTokens >= shortPromptTokens {
 		r.record(late, now)
 	}
 	return !late
@@ -245,8 +245,8 @@
 // shouldRefuse reports whether a request that was not sent yet should be refused: because its answer
 // would start so late that serving it delays requests that can still meet their target, or because
 // its answer would be long and the engine is nearly full.
-func shouldRefuse(q *Query, c *choice, refusedFraction float64, now time.Time) bool {
-	if !q.Route.Prompt || q.Route.Target <= 0 {
+func shouldRefuse(q *SelectionRequest, c *choice, refusedFraction float64, now time.Time) bool {
+	if !q.Route.DeclaresPrompt || q.Route.TargetLatency <= 0 {
 		return false
 	}
 	if c.timeToFirst > q.Deadline.Sub(now) {
@@ -260,7 +260,7 @@
 		return false
 	}
 	allowance := sizeAllowance * min(1, refusedFraction/fullAllowanceFraction)
-	return c.timeToFirst-time.Duration(allowance*float64(c.excessPrefill)) > time.Duration(lateFactor*float64(q.Route.Target))
+	return c.timeToFirst-time.Duration(allowance*float64(c.excessPrefill)) > time.Duration(lateFactor*float64(q.Route.TargetLatency))
 }
 
 const (
--- a/gateway/feed.go
+++ b/gateway/feed.go
@@ -52,13 +52,13 @@
 // StoreWatcher keeps the route table and the roster up to date from the store.
 type StoreWatcher struct {
 	source Source
-	tables *route.Holder
+	tables *route.ActiveTable
 	roster *Roster
 	log    logrus.FieldLogger
 }
 
 // NewStoreWatcher returns a StoreWatcher.
-func NewStoreWatcher(s Source, t *route.Holder, r *Roster, log logrus.FieldLogger) *StoreWatcher {
+func NewStoreWatcher(s Source, t *route.ActiveTable, r *Roster, log logrus.FieldLogger) *StoreWatcher {
 	return &StoreWatcher{source: s, tables: t, roster: r, log: log}
 }
 
@@ -113,7 +113,7 @@
 		return 0, err
 	}
 	for _, e := range config {
-		f.applyConfig(external.Event{Entry: e})
+		f.applyConfig(external.KVEvent{KVEntry: e})
 	}
 	servers, _, err := f.source.List(ctx, f.source.ServersPrefix())
 	if err != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (f *StoreWatcher) applyConfig(e external.Event) {
+func (f *StoreWatcher) applyConfig(e external.KVEvent) {
 	if e.Key != f.source.ConfigKey() {
 		return
 	}
@@ -167,7 +167,7 @@
 	}
 }
 
-func (f *StoreWatcher) replaceServers(entries []external.Entry) {
+func (f *StoreWatcher) replaceServers(entries []external.KVEntry) {
 	regs := make([]Registration, 0, len(entries))
 	for _, e := range entries {
 		if reg, ok := f.decodeRegistration(e); ok {
@@ -178,7 +178,7 @@
 	f.log.WithFields(logrus.Fields{"registered": len(regs), "entries": len(entries)}).Info("backend servers listed")
 }
 
-func (f *StoreWatcher) decodeRegistration(e external.Entry) (Registration, bool) {
+func (f *StoreWatcher) decodeRegistration(e external.KVEntry) (Registration, bool) {
 	reg, err := f.source.Registration(e.Key, e.Value)
 	if err != nil {
 		f.log.WithError(err).WithField("key", e.Key).Warn("registration names no backend server")
@@ -187,7 +187,7 @@
 }
 
 // applyEvents applies the events of one watch response.
-func (f *StoreWatcher) applyEvents(events []external.Event) {
+func (f *StoreWatcher) applyEvents(events []external.KVEvent) {
 	var changes []Change
 	var revisions []uint64
 	for _, e := range events {
@@ -197,7 +197,7 @@
 		case strings.HasPrefix(e.Key, f.source.ServersPrefix()):
 			c := Change{ID: f.source.RegistrationID(e.Key)}
 			if !e.Deleted {
-				if reg, ok := f.decodeRegistration(e.Entry); ok {
+				if reg, ok := f.decodeRegistration(e.KVEntry); ok {
 					c.Registration = &reg
 				}
 			}
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -124,7 +124,7 @@
 		return
 	}
 	q.metadata = g.codec.RequestMetadata(r)
-	q.service = q.route.Service(q.metadata.ID)
+	q.service = q.route.SelectService(q.metadata.ID)
 	q.deadline = q.started.Add(q.route.Timeout)
 	if q.metadata.Remaining > 0 && q.metadata.Remaining < q.route.Timeout {
 		q.deadline = q.started.Add(q.metadata.Remaining)
@@ -132,7 +132,7 @@
 	if !q.readBody(table.Limits.MaxBodyBytes) {
 		return
 	}
-	if q.route.Prompt {
+	if q.route.DeclaresPrompt {
 		q.prefixKeys = prefixKeys(q.metadata.Parts)
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
@@ -140,7 +140,7 @@
 	q.ctx = ctx
 	defer q.releasePrefills(context.WithoutCancel(ctx))
 	_ = http.NewResponseController(w).SetWriteDeadline(q.deadline.Add(writeGrace))
-	g.retryBudget(q.service).Fresh(q.started)
+	g.retryBudget(q.service).RecordFirstAttempt(q.started)
 	q.serve()
 }
 
@@ -204,14 +204,14 @@
 			q.giveUp(q.cause)
 			return
 		}
-		query := q.query()
-		c := q.g.decider.choose(query, now)
+		selection := q.selectionRequest()
+		c := q.g.decider.choose(selection, now)
 		q.lastChoice = c
 		if c.server == nil {
 			q.giveUp(q.joinCause(c.reason))
 			return
 		}
-		if q.sends == 0 && !q.g.decider.admit(query, &c, now) {
+		if q.sends == 0 && !q.g.decider.admit(selection, &c, now) {
 			q.refuse("overload", q.g.decider.retryAfter(q.deadline, now))
 			return
 		}
@@ -244,8 +244,8 @@
 	return q.cause + "," + reason
 }
 
-func (q *request) query() *Query {
-	out := &Query{Route: q.route, Service: q.service, Metadata: &q.metadata, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
+func (q *request) selectionRequest() *SelectionRequest {
+	out := &SelectionRequest{Route: q.route, Service: q.service, Metadata: &q.metadata, Deadline: q.deadline, prefixKeys: q.prefixKeys, tried: q.tried}
 	if q.prefillSource != "" {
 		out.prefillServer = q.prefillServer
 	}
@@ -270,7 +270,7 @@
 // attempt makes one attempt: it has the prompt prefilled, if the choice says so, and sends the
 // request to the chosen backend server.
 func (q *request) attempt(c *choice, now time.Time) attemptResult {
-	s := &ForwardedRequest{Server: c.server, Priority: q.route.Priority, After: q.lastReceivedEventID()}
+	s := &ForwardedRequest{Server: c.server, Priority: q.route.Priority, LastEventID: q.lastReceivedEventID()}
 	if c.prefillServer != nil {
 		q.prefills++
 		source, res, ok := q.prefill(c)
@@ -282,10 +282,10 @@
 		}
 		q.prefillSource, q.prefillServer = source, c.prefillServer
 	}
-	s.Source = q.prefillSource
+	s.PrefillSource = q.prefillSource
 	q.tried = append(q.tried, c.server.state)
 	uncachedTokens := c.uncachedTokens
-	if s.Source != "" {
+	if s.PrefillSource != "" {
 		uncachedTokens = 0
 	}
 	v := c.server.view(now)
@@ -294,7 +294,7 @@
 	c.server.recordSent(uncachedTokens, sentAt)
 	q.g.decider.prefixes.record(q.prefixKeys, c.server.key, sentAt)
 	a := &attempt{q: q, server: c.server, forwarded: s, uncachedTokens: uncachedTokens, tokensAhead: tokensAhead, sentAt: sentAt}
-	if s.Source != "" {
+	if s.PrefillSource != "" {
 		a.transferFrom, a.expectedDelay = q.prefillServer, delay
 	}
 	res := a.sendAndRecord()
@@ -311,19 +311,19 @@
 
 // recordPromptTokens records the origin of the prompt's tokens as expected by the choice.
 func (q *request) recordPromptTokens(c *choice) {
-	if !q.route.Prompt {
+	if !q.route.DeclaresPrompt {
 		return
 	}
 	total := float64(q.metadata.PromptTokens)
 	if c.reason == reasonAlreadyPrefilled {
-		q.g.metrics.Prompt(q.service, PromptTokens{Transferred: total})
+		q.g.metrics.PromptTokens(q.service, PromptTokens{Transferred: total})
 		return
 	}
 	p := PromptTokens{Cached: max(0, total-c.uncachedTokens), Prefilled: min(total, c.uncachedTokens)}
 	if c.prefillServer != nil {
 		p.Transferred = total
 	}
-	q.g.metrics.Prompt(q.service, p)
+	q.g.metrics.PromptTokens(q.service, p)
 }
 
 // lastReceivedEventID returns the ID of the last event that the caller has received, or an empty
@@ -332,7 +332,7 @@
 	if q.lastEventID != "" {
 		return q.lastEventID
 	}
-	return q.metadata.After
+	return q.metadata.LastEventID
 }
 
 // giveUp ends a request that was not answered. It panics with http.ErrAbortHandler if a part of the
@@ -395,7 +395,7 @@
 	f := logrus.Fields{
 		"request": q.metadata.ID, "route": q.route.Name, "service": q.service, "config": q.configVersion, "attempt": q.sends + q.connectFailures + 1,
 		"result": res.String(), "cause": q.cause, "took_ms": time.Since(sentAt).Milliseconds(), "choice": c.reason,
-		"events": q.events, "left_ms": time.Until(q.deadline).Milliseconds(), "budget_left": int(q.g.retryBudget(q.service).Left(time.Now())),
+		"events": q.events, "left_ms": time.Until(q.deadline).Milliseconds(), "budget_left": int(q.g.retryBudget(q.service).Remaining(time.Now())),
 	}
 	if c.server != nil {
 		f["server"] = c.server.ID
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,8 +33,8 @@
 	OutputTokens int
 	// Parts lists the sections of the prompt in order. The last one is specific to this request.
 	Parts []PromptPart
-	// After is the ID of the last event that the caller received, if it resumes a stream.
-	After string
+	// LastEventID is the ID of the last event that the caller received, if it resumes a stream.
+	LastEventID string
 }
 
 // ForwardedRequest holds what the gateway adds to a request that it forwards to a backend server.
@@ -45,12 +45,12 @@
 	Priority int
 	// Prefill asks the backend server only to prefill the prompt, without generating an answer.
 	Prefill bool
-	// Source is <address>/<handle> of the prefilled prompt: the address of the backend server that
+	// PrefillSource is <address>/<handle> of the prefilled prompt: the address of the backend server that
 	// prefilled it and the handle of the result there. It is empty if the prompt was not prefilled
 	// elsewhere.
-	Source string
-	// After is the ID of the event after which the stream resumes.
-	After string
+	PrefillSource string
+	// LastEventID is the ID of the event after which the stream resumes.
+	LastEventID string
 }
 
 // Load is the load that a backend server reports with a response. Running counts the requests in
@@ -63,9 +63,9 @@
 type ResponseMetadata struct {
 	// ID is the ID of the request that the response answers; empty if the response has none.
 	ID string
-	// Signed is true if the response carries the header with which backend servers mark their own
+	// FromServer is true if the response carries the header with which backend servers mark their own
 	// responses. Its value is not verified.
-	Signed bool
+	FromServer bool
 	// NotRun is true if the backend server guarantees that it did not run the request.
 	NotRun bool
 	// AddressReused is true if the address now belongs to another backend server.
@@ -110,7 +110,7 @@
 type Gateway struct {
 	cfg     Config
 	codec   Codec
-	tables  *route.Holder
+	tables  *route.ActiveTable
 	roster  *Roster
 	pool    *upstream.Pool
 	decider *Decider
@@ -118,7 +118,7 @@
 	log     logrus.FieldLogger
 
 	mu           sync.Mutex
-	retryBudgets map[string]*retry.Window
+	retryBudgets map[string]*retry.WindowBudget
 }
 
 // Metrics records request metrics.
@@ -133,8 +133,8 @@
 	EventGap(service string, d time.Duration)
 	// Attempt records the result of sending a request to one backend server.
 	Attempt(service, outcome string)
-	// Prompt records the origin of the tokens of a prompt.
-	Prompt(service string, p PromptTokens)
+	// PromptTokens records the origin of the tokens of a prompt.
+	PromptTokens(service string, p PromptTokens)
 	// RoleOrder records the outcome of an order to change to a role.
 	RoleOrder(service, role, outcome string)
 }
@@ -149,10 +149,10 @@
 }
 
 // New returns a Gateway.
-func New(cfg Config, codec Codec, tables *route.Holder, roster *Roster, pool *upstream.Pool, m Metrics, log logrus.FieldLogger) *Gateway {
+func New(cfg Config, codec Codec, tables *route.ActiveTable, roster *Roster, pool *upstream.Pool, m Metrics, log logrus.FieldLogger) *Gateway {
 	return &Gateway{
 		cfg: cfg, codec: codec, tables: tables, roster: roster, pool: pool, decider: NewDecider(cfg.DataCentre, roster, rand.Float64),
-		metrics: m, log: log, retryBudgets: make(map[string]*retry.Window),
+		metrics: m, log: log, retryBudgets: make(map[string]*retry.WindowBudget),
 	}
 }
 
@@ -172,12 +172,12 @@
 // not when they arrive here, and for counts lost in a restart.
 const retryBudgetFraction = 0.9
 
-func (g *Gateway) retryBudget(service string) *retry.Window {
+func (g *Gateway) retryBudget(service string) *retry.WindowBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.retryBudgets[service]
 	if b == nil {
-		b = retry.NewWindow(g.cfg.RetryWindow, retryBudgetFraction*g.cfg.RetryShare, g.cfg.RetrySlack)
+		b = retry.NewWindowBudget(g.cfg.RetryWindow, retryBudgetFraction*g.cfg.RetryShare, g.cfg.RetrySlack)
 		g.retryBudgets[service] = b
 	}
 	return b
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Unix(1000, 0)
 
-func newServer(id string, role external.Role) *Server {
+func newServer(id string, role external.EngineRole) *Server {
 	return makeServer(Registration{ID: id, Service: "s", Address: id + ":1", DataCentre: "z", Slots: 10, Role: role}, &serverState{})
 }
 
@@ -45,8 +45,8 @@
 	return choosePrompt(servers, vs, make([]float64, len(servers)), p, secondsPerToken, 3000, newDecodeSelector(servers, vs, p.dataCentre, rand.Float64))
 }
 
-func secondsPerToken(r external.Role) float64 {
-	if r == external.RolePrefill {
+func secondsPerToken(r external.EngineRole) float64 {
+	if r == external.EngineRolePrefill {
 		return 4e-6
 	}
 	return 8e-6
@@ -54,7 +54,7 @@
 
 // Guards against gateway instances that send the same prefix to different engines.
 func TestInstancesAgreeOnAffinityServers(t *testing.T) {
-	servers := []*Server{newServer("a", external.RolePrefill), newServer("b", external.RolePrefill), newServer("c", external.RolePrefill), newServer("d", external.RoleDecode)}
+	servers := []*Server{newServer("a", external.EngineRolePrefill), newServer("b", external.EngineRolePrefill), newServer("c", external.EngineRolePrefill), newServer("d", external.EngineRoleDecode)}
 	reversed := []*Server{servers[3], servers[2], servers[1], servers[0]}
 	count := map[string]int{}
 	for i := range 300 {
@@ -73,7 +73,7 @@
 
 // Guards against requests that queue for a busy affinity server while another engine is idle.
 func TestBusyAffinityServersAreAvoided(t *testing.T) {
-	servers := []*Server{newServer("a", external.RolePrefill), newServer("b", external.RolePrefill), newServer("d", external.RoleDecode)}
+	servers := []*Server{newServer("a", external.EngineRolePrefill), newServer("b", external.EngineRolePrefill), newServer("d", external.EngineRoleDecode)}
 	p := newPromptRequest(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
 	require.NotNil(t, c.prefillServer)
@@ -87,7 +87,7 @@
 // Guards against short prompts that are transferred between engines, which costs more than it
 // saves.
 func TestShortPromptsStayOnOneEngine(t *testing.T) {
-	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)}
+	servers := []*Server{newServer("a", external.EngineRolePrefill), newServer("d", external.EngineRoleDecode), newServer("e", external.EngineRoleDecode)}
 	servers[1].recordSent(0, start)
 	c := choose(servers, newPromptRequest(PromptPart{1, 80}, PromptPart{2, 140}))
 	require.Nil(t, c.prefillServer)
@@ -96,13 +96,13 @@
 
 // Guards against requests sent to engines that cannot generate.
 func TestNoDecodeEngineIsNoServer(t *testing.T) {
-	servers := []*Server{newServer("a", external.RolePrefill)}
+	servers := []*Server{newServer("a", external.EngineRolePrefill)}
 	require.Nil(t, choose(servers, newPromptRequest(PromptPart{1, 5000}, PromptPart{2, 10})).server)
 }
 
 // Guards against requests without prompt parts being sent to prefill engines.
 func TestPlainRequestsAvoidPrefillEngines(t *testing.T) {
-	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode)}
+	servers := []*Server{newServer("a", external.EngineRolePrefill), newServer("d", external.EngineRoleDecode)}
 	servers[1].recordSent(0, start)
 	require.Equal(t, "d", chooseLeastLoaded(servers, views(servers), "z", rand.Float64).server.ID)
 	require.Nil(t, chooseLeastLoaded(servers[:1], views(servers[:1]), "z", rand.Float64).server)
@@ -111,7 +111,7 @@
 // Guards against a backend server that fails requests although it reports good health, and keeps
 // getting its full share of them.
 func TestFailingServersGetFewer(t *testing.T) {
-	servers := []*Server{newServer("a", external.RoleMixed), newServer("b", external.RoleMixed)}
+	servers := []*Server{newServer("a", external.EngineRoleMixed), newServer("b", external.EngineRoleMixed)}
 	for range 5 {
 		servers[0].recordResult(1, start)
 	}
@@ -128,7 +128,7 @@
 
 // Guards against an unresponsive backend server that keeps getting requests until they time out.
 func TestSilentServersGetNothingMore(t *testing.T) {
-	servers := []*Server{newServer("a", external.RoleMixed), newServer("b", external.RoleMixed)}
+	servers := []*Server{newServer("a", external.EngineRoleMixed), newServer("b", external.EngineRoleMixed)}
 	servers[0].recordSent(0, start)
 	usable, _ := candidates(servers, nil, start.Add(silenceTimeout+time.Millisecond), false)
 	require.Len(t, usable, 1)
@@ -164,10 +164,10 @@
 	engines := func(prefill, decode int) []*Server {
 		var out []*Server
 		for i := range prefill {
-			out = append(out, newServer(fmt.Sprintf("p%d", i), external.RolePrefill))
+			out = append(out, newServer(fmt.Sprintf("p%d", i), external.EngineRolePrefill))
 		}
 		for i := range decode {
-			out = append(out, newServer(fmt.Sprintf("d%d", i), external.RoleDecode))
+			out = append(out, newServer(fmt.Sprintf("d%d", i), external.EngineRoleDecode))
 		}
 		return out
 	}
@@ -186,7 +186,7 @@
 	t.Run("orders that do not show yet count", func(t *testing.T) {
 		rp, servers := newPlan(), engines(3, 8)
 		for _, e := range servers[3:8] {
-			rp.pendingOrders[e.state] = pendingOrder{role: external.RolePrefill, until: start.Add(time.Second)}
+			rp.pendingOrders[e.state] = pendingOrder{role: external.EngineRolePrefill, until: start.Add(time.Second)}
 		}
 		require.Zero(t, change(rp, servers, start))
 		require.Equal(t, 5, change(rp, servers, start.Add(2*time.Second)))
@@ -245,9 +245,9 @@
 	rp := NewRolePlan()
 	var servers []*Server
 	for i := range 10 {
-		role := external.RoleDecode
+		role := external.EngineRoleDecode
 		if i < 2 {
-			role = external.RolePrefill
+			role = external.EngineRolePrefill
 		}
 		servers = append(servers, newServer(fmt.Sprintf("i-%d", i), role))
 	}
@@ -255,7 +255,7 @@
 		servers[0].recordSent(0, start)
 		servers[1].recordSent(0, start)
 	}
-	rp.recordDirection(external.RoleDecode, start)
+	rp.recordDirection(external.EngineRoleDecode, start)
 	next := func(after time.Duration) int {
 		_, selected := rp.Next(servers, start.Add(after))
 		return len(selected)
@@ -267,13 +267,13 @@
 		if at == 0 {
 			rp.listHash = 0 // the list counts as changed in the first round
 			next(at)
-			rp.recordDirection(external.RoleDecode, start)
+			rp.recordDirection(external.EngineRoleDecode, start)
 			continue
 		}
 		require.Zero(t, next(at), "the last change was in the other direction")
 	}
 	require.Equal(t, planChangedLately, rp.Decision.Reason)
-	servers[9] = newServer("i-new", external.RoleDecode)
+	servers[9] = newServer("i-new", external.EngineRoleDecode)
 	changed := 0
 	for end := at + settleTime + persistTime + PlanInterval; at <= end; at += PlanInterval {
 		servers[0].recordActivity(nil, start.Add(at))
@@ -316,7 +316,7 @@
 // Guards against links between engines that become slow and still carry all long prompts. With all
 // links at a fiftieth of their speed, half of the long prompts then time out.
 func TestSlowLinksAreAvoided(t *testing.T) {
-	servers := []*Server{newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)}
+	servers := []*Server{newServer("a", external.EngineRolePrefill), newServer("d", external.EngineRoleDecode), newServer("e", external.EngineRoleDecode)}
 	p := newPromptRequest(PromptPart{1, 2500}, PromptPart{2, 3500}, PromptPart{3, 3000})
 	c := choose(servers, p)
 	require.Equal(t, "a", c.prefillServer.ID)
@@ -349,7 +349,7 @@
 // Guards against an unresponsive engine that lowers the rating of every engine it fetches prompts
 // from.
 func TestUnresponsiveEnginesDoNotPenalisePrefillServers(t *testing.T) {
-	prefillServer, unresponsive, slow := newServer("a", external.RolePrefill), newServer("d", external.RoleDecode), newServer("e", external.RoleDecode)
+	prefillServer, unresponsive, slow := newServer("a", external.EngineRolePrefill), newServer("d", external.EngineRoleDecode), newServer("e", external.EngineRoleDecode)
 	unresponsive.recordSent(0, start)
 	slow.recordSent(0, start)
 	end := start.Add(2 * time.Second)
@@ -365,22 +365,22 @@
 // served, and against long answers on engines so full that the longest cannot end before their
 // deadlines.
 func TestRefusalsAreFairToSize(t *testing.T) {
-	r := &route.Route{Prompt: true, Target: 150 * time.Millisecond}
-	query := func(events int) *Query {
-		return &Query{Route: r, Metadata: &RequestMetadata{OutputTokens: events}, Deadline: start.Add(2 * time.Second)}
+	r := &route.Route{DeclaresPrompt: true, TargetLatency: 150 * time.Millisecond}
+	selection := func(events int) *SelectionRequest {
+		return &SelectionRequest{Route: r, Metadata: &RequestMetadata{OutputTokens: events}, Deadline: start.Add(2 * time.Second)}
 	}
 	queued := choice{uncachedTokens: 4000, timeToFirst: 160 * time.Millisecond}
-	require.True(t, shouldRefuse(query(2), &queued, 0, start))
+	require.True(t, shouldRefuse(selection(2), &queued, 0, start))
 	large := choice{uncachedTokens: 40_000, timeToFirst: 160 * time.Millisecond, excessPrefill: 100 * time.Millisecond}
-	require.False(t, shouldRefuse(query(2), &large, fullAllowanceFraction, start), "late because of its own prefill")
-	require.True(t, shouldRefuse(query(2), &large, 0, start), "without overload, its excess prefill time counts")
+	require.False(t, shouldRefuse(selection(2), &large, fullAllowanceFraction, start), "late because of its own prefill")
+	require.True(t, shouldRefuse(selection(2), &large, 0, start), "without overload, its excess prefill time counts")
 	behind := choice{uncachedTokens: 40_000, timeToFirst: 300 * time.Millisecond, excessPrefill: 100 * time.Millisecond}
-	require.True(t, shouldRefuse(query(2), &behind, 1, start), "late because of queued requests")
+	require.True(t, shouldRefuse(selection(2), &behind, 1, start), "late because of queued requests")
 	full := choice{uncachedTokens: 100, timeToFirst: 20 * time.Millisecond, utilisation: 0.96}
-	require.True(t, shouldRefuse(query(90), &full, 0, start))
-	require.False(t, shouldRefuse(query(2), &full, 0, start), "a short answer ends soon")
+	require.True(t, shouldRefuse(selection(90), &full, 0, start))
+	require.False(t, shouldRefuse(selection(2), &full, 0, start), "a short answer ends soon")
 	full.utilisation = 0.85
-	require.False(t, shouldRefuse(query(90), &full, 0, start))
+	require.False(t, shouldRefuse(selection(90), &full, 0, start))
 }
 
 // Guards against a refused fraction that remains high after the overload, or that a single request
--- a/gateway/roleplan.go
+++ b/gateway/roleplan.go
@@ -106,7 +106,7 @@
 // pendingOrder is an order whose effect may not be visible in the list of engines yet.
 type pendingOrder struct {
 	// role is empty while no order was sent.
-	role external.Role
+	role external.EngineRole
 	// until is when the effect must be visible; the engine gets no other order before then.
 	until time.Time
 }
@@ -115,7 +115,7 @@
 func NewRolePlan() *RolePlan { return &RolePlan{pendingOrders: make(map[*serverState]pendingOrder)} }
 
 // effectiveRole returns the role of an engine after its pending order, if any.
-func (rp *RolePlan) effectiveRole(s *Server, now time.Time) external.Role {
+func (rp *RolePlan) effectiveRole(s *Server, now time.Time) external.EngineRole {
 	if o, ok := rp.pendingOrders[s.state]; ok && now.Before(o.until) && o.role != "" {
 		return o.role
 	}
@@ -124,7 +124,7 @@
 
 // Next returns the engines that should change their role now, and the new role. It must be called
 // every PlanInterval with the registered engines of one service.
-func (rp *RolePlan) Next(servers []*Server, now time.Time) (external.Role, []*Server) {
+func (rp *RolePlan) Next(servers []*Server, now time.Time) (external.EngineRole, []*Server) {
 	if !rp.settled(servers, now) {
 		rp.Decision = RoleDecision{Reason: planListChanges}
 		return "", nil
@@ -132,24 +132,24 @@
 	split := newSplit(servers, rp, now)
 	rp.smooth(split)
 	change := rp.requiredChange(split, now)
-	to, from := external.RolePrefill, external.RoleDecode
+	to, from := external.EngineRolePrefill, external.EngineRoleDecode
 	if change < 0 {
 		to, from, change = from, to, -change
 	}
 	return to, split.selectEngines(from, change, rp, now)
 }
 
-// RecordOrder records that an engine accepted an order that takes changeTime to carry out.
-func (rp *RolePlan) RecordOrder(s *Server, role external.Role, changeTime time.Duration, now time.Time) {
+// RecordAccepted records that an engine accepted an order that takes changeTime to carry out.
+func (rp *RolePlan) RecordAccepted(s *Server, role external.EngineRole, changeTime time.Duration, now time.Time) {
 	rp.recordDirection(role, now)
 	rp.pendingOrders[s.state] = pendingOrder{role: role, until: now.Add(changeTime + listDelay)}
 	s.pauseUntil(now.Add(changeTime))
 }
 
 // recordDirection records the time and direction of an order, whatever its outcome.
-func (rp *RolePlan) recordDirection(role external.Role, now time.Time) {
+func (rp *RolePlan) recordDirection(role external.EngineRole, now time.Time) {
 	rp.changedAt, rp.lastDirection = now, 1
-	if role == external.RoleDecode {
+	if role == external.EngineRoleDecode {
 		rp.lastDirection = -1
 	}
 }
@@ -192,10 +192,10 @@
 		p.slotsPerEngine = max(p.slotsPerEngine, s.Slots)
 		p.idle = p.idle && v.inFlight+v.otherRequests == 0
 		switch rp.effectiveRole(s, now) {
-		case external.RoleDecode:
+		case external.EngineRoleDecode:
 			p.decode++
 			p.decodeRequests += float64(v.inFlight + v.otherRequests)
-		case external.RolePrefill:
+		case external.EngineRolePrefill:
 			p.prefill++
 			p.prefillRequests += float64(v.inFlight + v.otherRequests)
 		default:
@@ -302,7 +302,7 @@
 
 // selectEngines returns up to n engines of a role, the least busy first, from the data centres with
 // the most engines of that role.
-func (p *split) selectEngines(role external.Role, n int, rp *RolePlan, now time.Time) []*Server {
+func (p *split) selectEngines(role external.EngineRole, n int, rp *RolePlan, now time.Time) []*Server {
 	count := map[string]int{}
 	var eligible []int
 	for i, s := range p.servers {
--- a/gateway/roles.go
+++ b/gateway/roles.go
@@ -18,7 +18,7 @@
 // RoleOrder asks an engine to change its role.
 type RoleOrder struct {
 	Server *Server
-	Role   external.Role
+	Role   external.EngineRole
 	Holder string
 	Fence  uint64
 	// Sequence is the number of orders that the engine has accepted. The engine refuses the order
@@ -40,7 +40,7 @@
 
 // EngineReport is the state reported by an engine.
 type EngineReport struct {
-	Role     external.Role
+	Role     external.EngineRole
 	Busy     bool
 	Sequence int64
 }
@@ -75,7 +75,7 @@
 	guard    time.Duration
 	orders   Orders
 	leases   Authority
-	tables   *route.Holder
+	tables   *route.ActiveTable
 	roster   *Roster
 	pool     *upstream.Pool
 	metrics  Metrics
@@ -88,7 +88,7 @@
 
 // NewRolePlanner returns a RolePlanner. guard is how long a new lease holder waits before it gives
 // orders, so that the last orders of the previous holder have completed.
-func NewRolePlanner(instance string, guard time.Duration, o Orders, a Authority, t *route.Holder, r *Roster, p *upstream.Pool, m Metrics, log logrus.FieldLogger) *RolePlanner {
+func NewRolePlanner(instance string, guard time.Duration, o Orders, a Authority, t *route.ActiveTable, r *Roster, p *upstream.Pool, m Metrics, log logrus.FieldLogger) *RolePlanner {
 	return &RolePlanner{
 		instance: instance, guard: guard, orders: o, leases: a, tables: t, roster: r, pool: p, metrics: m, log: log,
 		plans: make(map[string]*RolePlan),
@@ -153,7 +153,7 @@
 
 // order reads the engine's state and orders the role change, on condition that the engine has not
 // accepted another order since.
-func (r *RolePlanner) order(ctx context.Context, a lease.Authority, s *Server, role external.Role, rp *RolePlan, e *route.Engine) {
+func (r *RolePlanner) order(ctx context.Context, a lease.Authority, s *Server, role external.EngineRole, rp *RolePlan, e *route.Engine) {
 	log := r.log.WithFields(logrus.Fields{"server": s.ID, "from": s.Role, "to": role, "fence": a.Fence})
 	// The engine is not selected again for settleTime, even if no order can be sent.
 	rp.pendingOrders[s.state] = pendingOrder{until: time.Now().Add(settleTime)}
@@ -189,7 +189,7 @@
 	result := r.orders.OrderResult(status)
 	r.metrics.RoleOrder(s.Service, string(role), result.String())
 	if result == OrderAccepted {
-		rp.RecordOrder(s, role, e.RoleChange, now)
+		rp.RecordAccepted(s, role, e.RoleChangeTime, now)
 	}
 	log.WithFields(logrus.Fields{"status": status, "accepted": result == OrderAccepted, "sequence": report.Sequence}).Info("role ordered")
 }
--- a/gateway/scale_test.go
+++ b/gateway/scale_test.go
@@ -15,9 +15,9 @@
 func newFleet(n int) []*Server {
 	out := make([]*Server, n)
 	for i := range out {
-		role := external.RoleDecode
+		role := external.EngineRoleDecode
 		if i%4 == 0 {
-			role = external.RolePrefill
+			role = external.EngineRolePrefill
 		}
 		out[i] = newServer(fmt.Sprintf("i-%d", i), role)
 		out[i].DataCentre = fmt.Sprintf("z%d", i%3)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -21,7 +21,7 @@
 	Address    string
 	DataCentre string
 	Slots      int
-	Role       external.Role
+	Role       external.EngineRole
 	Draining   bool
 	// Born distinguishes successive runs of a backend server with the same ID; zero if unknown.
 	Born int64
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -106,7 +106,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
 		s := services[name]
-		s.RetryBudgetLeft = g.retryBudget(name).Left(now)
+		s.RetryBudgetLeft = g.retryBudget(name).Remaining(now)
 		out.Services = append(out.Services, *s)
 	}
 	return out
--- a/internal/app/common.go
+++ b/internal/app/common.go
@@ -152,7 +152,7 @@
 }
 
 func newDocumentStore(log logrus.FieldLogger) *dissemination.Store {
-	return dissemination.NewStore(func(r dissemination.Refusal) {
+	return dissemination.NewStore(func(r dissemination.Rejection) {
 		log.WithFields(logrus.Fields{"service": r.Service, "revision": r.Revision}).WithError(r.Err).
 			Warn("document rejected")
 	})
@@ -227,7 +227,7 @@
 	var instances []external.Instance
 	for _, m := range s.Members {
 		in := m.Instance
-		switch m.View {
+		switch m.DerivedState {
 		case membership.StateEjected:
 			continue
 		case membership.StateLeaving:
--- a/internal/app/entry.go
+++ b/internal/app/entry.go
@@ -96,12 +96,12 @@
 // newLeaseManager returns the manager of pool leases. The holder's name contains the incarnation, so that
 // it is different after each restart.
 func newLeaseManager(s *settings.Entry, id identity, kv external.KV, store *dissemination.Store, view *membership.View, log logrus.FieldLogger) (*lease.Manager, error) {
-	docs := &entry.DocumentsInForce{Store: store}
+	docs := &entry.ActiveDocuments{Store: store}
 	return lease.NewManager(kv, lease.Config{
 		Holder: s.Instance + "/" + id.incarnation, TTL: s.LeaseTTL, MaxPools: s.MaxPools,
-		PoolNames:   func() []string { return entry.Pools(docs.Services()) },
+		PoolNames:   func() []string { return entry.PoolNames(docs.Services()) },
 		Competitors: func() int { return len(view.Snapshot().Entries()) },
-		Share:       func() int { return poolShare(len(entry.Pools(docs.Services())), len(view.Snapshot().Entries())) },
+		Share:       func() int { return poolShare(len(entry.PoolNames(docs.Services())), len(view.Snapshot().Entries())) },
 		Log:         log,
 	})
 }
@@ -123,17 +123,17 @@
 func newPlanning(s *settings.Entry, leases *lease.Manager, store *dissemination.Store, view *membership.View, f *entry.Fleet, admit *entry.Admission, kv external.KV, ctl *controlClients, m *telemetry.Metrics, d *entry.DecisionLog, log logrus.FieldLogger) *planning.Loop {
 	return planning.New(planning.Config{
 		Interval: s.PlanInterval, Leases: leases, KV: kv,
-		Documents: &entry.DocumentsInForce{Store: store},
+		Documents: &entry.ActiveDocuments{Store: store},
 		Confirmed: store.Confirmed,
 		Workers:   f.Status,
-		Refused: func(service string) (map[string]placement.KindWork, int) {
-			return admit.Refused(service), len(view.Snapshot().Entries())
+		RefusedWork: func(service string) (map[string]placement.KindWork, int) {
+			return admit.RefusedWork(service), len(view.Snapshot().Entries())
 		},
-		Speed:      f.MeanSpeed,
-		Dial:       planning.DialRPC(ctl.clients, s.Cluster, func(id string) (membership.Member, bool) { return view.Snapshot().Member(id) }),
-		RoleChange: m.RoleChange,
-		Decided:    d.Add,
-		Log:        log,
+		MeanSpeed:    f.MeanSpeed,
+		Dial:         planning.DialRPC(ctl.clients, s.Cluster, func(id string) (membership.Member, bool) { return view.Snapshot().Member(id) }),
+		OnRoleChange: m.RoleChange,
+		OnDecision:   d.Add,
+		Log:          log,
 	})
 }
 
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	return entry.New(cfg, entry.Options{
-		Documents: &entry.DocumentsInForce{Store: store, Agent: agent},
+		Documents: &entry.ActiveDocuments{Store: store, Agent: agent},
 		Picker:    f,
 		Clients:   clients,
 		Admitter:  admit,
@@ -164,7 +164,7 @@
 func newPeer(cfg entry.Config, store *dissemination.Store, c *once.Committer, f *entry.Fleet, leases *lease.Manager, d *entry.DecisionLog) *entry.Peer {
 	return entry.NewPeer(cfg, entry.PeerOptions{
 		Store: store, Claims: c, Workers: f.Status, Decisions: d,
-		Pools: func() []string {
+		HeldPools: func() []string {
 			var names []string
 			for _, a := range leases.Authorities() {
 				names = append(names, a.Pool)
@@ -212,7 +212,7 @@
 		if !hasDocuments(store) {
 			return false, "no document is in force"
 		}
-		if !reported.Load() && !f.Reported() && time.Since(started) < maxReportWait {
+		if !reported.Load() && !f.AllServicesReported() && time.Since(started) < maxReportWait {
 			return false, "workers have not reported yet"
 		}
 		// Workers that fail later do not make the entry unready, because the other entries would be
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -51,7 +51,7 @@
 		fx.Provide(
 			func(l *logrus.Logger) logrus.FieldLogger { return l.WithField("instance", s.Instance) },
 			telemetry.New, telemetry.NewGateway, newAdapter, newGateway, newGatewayHealth, newStoreWatcher, gateway.NewRoster,
-			func() *route.Holder { return &route.Holder{} }, newUpstream, newLeases, newStatus,
+			func() *route.ActiveTable { return &route.ActiveTable{} }, newUpstream, newLeases, newStatus,
 		),
 		// Stop hooks run in reverse order, so failReadiness comes first.
 		fx.Invoke(
@@ -90,19 +90,19 @@
 	runInBackground(lc, func(ctx context.Context) {
 		for ctx.Err() == nil {
 			pause.For(ctx, sweepInterval)
-			p.Sweep(time.Now())
+			p.CloseExpired(time.Now())
 		}
 	})
 	return p
 }
 
-func newGateway(s *settings.Gateway, a Adapter, t *route.Holder, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) *gateway.Gateway {
+func newGateway(s *settings.Gateway, a Adapter, t *route.ActiveTable, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) *gateway.Gateway {
 	return gateway.New(gateway.Config{
 		Instance: s.Instance, DataCentre: s.DataCentre, RetryWindow: s.RetryWindow, RetryShare: s.RetryShare, RetrySlack: s.RetrySlackPerInstance(),
 	}, a, t, r, p, m, log)
 }
 
-func newStoreWatcher(a Adapter, t *route.Holder, r *gateway.Roster, log logrus.FieldLogger) *gateway.StoreWatcher {
+func newStoreWatcher(a Adapter, t *route.ActiveTable, r *gateway.Roster, log logrus.FieldLogger) *gateway.StoreWatcher {
 	return gateway.NewStoreWatcher(a, t, r, log)
 }
 
@@ -124,7 +124,7 @@
 }
 
 // runRolePlanning competes for the lease for orders, and plans the roles of engines while it is held.
-func runRolePlanning(lc fx.Lifecycle, s *settings.Gateway, leases *lease.Manager, a Adapter, t *route.Holder, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) {
+func runRolePlanning(lc fx.Lifecycle, s *settings.Gateway, leases *lease.Manager, a Adapter, t *route.ActiveTable, r *gateway.Roster, p *upstream.Pool, m *telemetry.Gateway, log logrus.FieldLogger) {
 	if leases == nil {
 		return
 	}
--- a/internal/app/sidecar.go
+++ b/internal/app/sidecar.go
@@ -92,8 +92,8 @@
 	return sidecar.New(sidecar.Config{
 		Peers:   peers,
 		Cluster: s.Cluster, Instance: s.Instance, Service: s.Service, Incarnation: id.incarnation,
-		MaxInFlight: s.MaxInFlight, Attempts: once.DefaultExecutorSettings(),
-	}, b.engine, b.plain, &entry.DocumentsInForce{Store: store, Agent: agent}, m, log)
+		MaxInFlight: s.MaxInFlight, Attempts: once.DefaultAttemptTableSettings(),
+	}, b.engine, b.plain, &entry.ActiveDocuments{Store: store, Agent: agent}, m, log)
 }
 
 // newExecutor returns the executor of orders, or nil if the backend server is not an engine.
@@ -113,7 +113,7 @@
 	runInBackground(lc, func(ctx context.Context) {
 		if err := e.Run(ctx); err != nil && ctx.Err() == nil {
 			log.WithError(err).Error("another sidecar replaced this one; finishing requests and stopping")
-			sc.Leave()
+			sc.StopAccepting()
 			_ = sd.Shutdown(fx.ExitCode(1))
 		}
 	})
@@ -187,7 +187,7 @@
 		defer t.Stop()
 		for {
 			if m, ok := view.Snapshot().Member(id.self.ID); ok && m.Address == id.self.Address {
-				sc.Listed(m.State == external.InstanceLeaving)
+				sc.SetListedLeaving(m.State == external.InstanceLeaving)
 			}
 			select {
 			case <-ctx.Done():
@@ -210,7 +210,7 @@
 	h.register(mux, m)
 	drain := func(ctx context.Context) {
 		h.stopping.Store(true)
-		sc.Leave()
+		sc.StopAccepting()
 		// The listener stays open for some time, so that entries learn of the stop from refused attempts
 		// and not from failed connections.
 		pause.For(ctx, s.LameDuck)
--- a/internal/bench/fullsize.go
+++ b/internal/bench/fullsize.go
@@ -56,7 +56,7 @@
 func (w *fakeWorker) report() *v1.LoadReport {
 	return &v1.LoadReport{
 		Instance: w.id, Incarnation: "01a23f41-d0c3-7b12-a1df-beb49b71f8af", Sequence: w.sequence.Add(1),
-		TotalPieces: 256, FreePieces: 256, Role: string(external.RoleMixed), Models: []string{w.model},
+		TotalPieces: 256, FreePieces: 256, Role: string(external.EngineRoleMixed), Models: []string{w.model},
 	}
 }
 
@@ -206,7 +206,7 @@
 			continue
 		}
 		b, err := json.Marshal(order.Record{Number: 1, Incarnation: 1, Phase: order.PhaseDone, Config: external.EngineConfig{
-			Role: external.RoleMixed, Models: []external.ModelVersion{{Name: instance.Service, Version: "1"}},
+			Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: instance.Service, Version: "1"}},
 		}})
 		if err != nil {
 			return err
--- a/internal/cas/cas.go
+++ b/internal/cas/cas.go
@@ -96,7 +96,7 @@
 }
 
 // Get reads a key. A timeout of 0 means DefaultCallTimeout.
-func Get(ctx context.Context, kv external.KV, key string, timeout time.Duration) (external.Entry, error) {
+func Get(ctx context.Context, kv external.KV, key string, timeout time.Duration) (external.KVEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeoutOrDefault(timeout))
 	defer cancel()
 	return kv.Get(ctx, key)
--- a/internal/cas/cas_test.go
+++ b/internal/cas/cas_test.go
@@ -20,10 +20,10 @@
 		want     error
 	}{
 		"plain":              {},
-		"response lost":      {action: fault.Action{Lose: true}},
-		"delivered twice":    {action: fault.Action{Twice: true}},
+		"response lost":      {action: fault.Action{LoseResponse: true}},
+		"delivered twice":    {action: fault.Action{ExecuteTwice: true}},
 		"other writer":       {existing: `{"write_id":"other"}`, want: external.ErrConflict},
-		"other writer, lost": {action: fault.Action{Lose: true}, existing: `{"write_id":"other"}`, want: external.ErrConflict},
+		"other writer, lost": {action: fault.Action{LoseResponse: true}, existing: `{"write_id":"other"}`, want: external.ErrConflict},
 		"malformed record":   {existing: `x`, want: external.ErrConflict},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 	store, id := kv.NewStore(kv.Limits{}), cas.NewID()
 	network := &fault.Network{}
 	process := fault.NewProcess(t.Context(), "writer", func(call fault.Call) fault.Action {
-		return fault.Action{Lose: call.Op == "cas" || call.Op == "get"}
+		return fault.Action{LoseResponse: call.Op == "cas" || call.Op == "get"}
 	})
 	client := &fault.KV{Process: process, Network: network, Store: store}
 	_, err := cas.Swap(t.Context(), client, cas.Write{Key: "k", Value: []byte(`{"write_id":"` + id + `"}`), ID: id})
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -59,7 +59,7 @@
 		return ExitOK
 	case errors.As(err, &usage):
 		return ExitUsage
-	case document.Faults(err) != nil:
+	case document.AsErrors(err) != nil:
 		return ExitInvalid
 	case errors.As(err, &conflict):
 		return ExitConflict
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -36,7 +36,7 @@
 			return err
 		}
 		_, warnings, err := document.ParseFile(name, body)
-		r := validationResult{File: name, Valid: err == nil, Errors: document.Faults(err), Warnings: warnings}
+		r := validationResult{File: name, Valid: err == nil, Errors: document.AsErrors(err), Warnings: warnings}
 		for _, w := range warnings {
 			a.noticef("warning: %v", w)
 		}
--- a/internal/gatewaybench/engine.go
+++ b/internal/gatewaybench/engine.go
@@ -13,7 +13,7 @@
 	sim        *simulation
 	id         string
 	dataCentre string
-	role       external.Role
+	role       external.EngineRole
 	// An engine that is changingRole rejects new requests. One that is unresponsive makes no progress and sends
 	// no responses, not even refusals.
 	changingRole bool
@@ -107,7 +107,7 @@
 
 // rejects reports whether the engine refuses a new prefill or decode request now.
 func (e *engine) rejects(prefill bool) bool {
-	return e.changingRole || e.full() || prefill != (e.role == external.RolePrefill)
+	return e.changingRole || e.full() || prefill != (e.role == external.EngineRolePrefill)
 }
 
 // prefill queues a prompt for prefill.
@@ -127,7 +127,7 @@
 		e.sim.result.prefilledTokens += tokens
 		e.sim.result.cachedTokens += t.request.metadata.PromptTokens - tokens
 		speed := e.sim.dep.Engines.TokensPerMS
-		if e.role == external.RoleDecode {
+		if e.role == external.EngineRoleDecode {
 			speed /= 2
 		}
 		e.prefilling = true
@@ -219,7 +219,7 @@
 
 // changeRole switches the engine to another role. For the duration of the change it rejects new requests and
 // completes those it has.
-func (e *engine) changeRole(role external.Role) {
+func (e *engine) changeRole(role external.EngineRole) {
 	e.changingRole, e.roleChangeStart = true, e.sim.events.At
 	e.sim.events.After(time.Duration(e.sim.dep.Engines.RoleChange), func() {
 		e.role, e.changingRole = role, false
--- a/internal/gatewaybench/policy.go
+++ b/internal/gatewaybench/policy.go
@@ -77,22 +77,22 @@
 			continue
 		}
 		p.sim.result.roleChanges++
-		p.rolePlan.RecordOrder(s, role, time.Duration(p.sim.dep.Engines.RoleChange), now)
+		p.rolePlan.RecordAccepted(s, role, time.Duration(p.sim.dep.Engines.RoleChange), now)
 		e.changeRole(role)
 	}
 }
 
 func (p *gatewayPolicy) place(r *request) {
-	query := &gateway.Query{
+	query := &gateway.SelectionRequest{
 		Route: p.sim.routes[r.kind], Service: service, Metadata: &r.metadata, Deadline: p.sim.events.Now().Add(r.deadline - p.sim.events.At),
 	}
-	query.Prepare()
+	query.ComputePrefixKeys()
 	p.send(r, query, 0)
 }
 
 // send routes the request by the entry's decision. After a refusal by an engine it decides again, up to maxSends
 // times.
-func (p *gatewayPolicy) send(r *request, query *gateway.Query, sends int) {
+func (p *gatewayPolicy) send(r *request, query *gateway.SelectionRequest, sends int) {
 	sim := p.sim
 	if r.ended {
 		return
@@ -139,7 +139,7 @@
 type sentRequest struct {
 	decider        *gateway.Decider
 	sim            *simulation
-	query          *gateway.Query
+	query          *gateway.SelectionRequest
 	server         *gateway.Server
 	uncachedTokens float64
 	// tokensAhead is the number of prompt tokens pending at the server when the request was sent.
@@ -154,7 +154,7 @@
 
 // recordSent records a request in the entry's decider and returns its accounting, which is closed at the latest
 // when the request ends.
-func (p *gatewayPolicy) recordSent(r *request, query *gateway.Query, server *gateway.Server, uncachedTokens float64) *sentRequest {
+func (p *gatewayPolicy) recordSent(r *request, query *gateway.SelectionRequest, server *gateway.Server, uncachedTokens float64) *sentRequest {
 	d, now := p.deciders[r.entry], p.sim.events.Now()
 	sent := &sentRequest{decider: d, sim: p.sim, query: query, server: server, uncachedTokens: uncachedTokens, tokensAhead: d.PendingTokens(server, now), sentAt: now}
 	d.RecordSent(query, server, uncachedTokens, now)
@@ -208,7 +208,7 @@
 
 // generate has engine e answer the request. The engine first fetches the prompt from prefillEngine, or prefills
 // it itself if prefillEngine is nil.
-func (p *gatewayPolicy) generate(r *request, query *gateway.Query, server *gateway.Server, e *engine, prefillServer *gateway.Server, prefillEngine *engine, uncachedTokens float64, sends int) {
+func (p *gatewayPolicy) generate(r *request, query *gateway.SelectionRequest, server *gateway.Server, e *engine, prefillServer *gateway.Server, prefillEngine *engine, uncachedTokens float64, sends int) {
 	sim := p.sim
 	decodeDelay := p.deciders[r.entry].DecodeDelay(server, sim.events.Now())
 	sent := p.recordSent(r, query, server, uncachedTokens)
@@ -267,7 +267,7 @@
 func (p *baselinePolicy) updateRegistration(gateway.Registration) {}
 
 // pick returns an engine of a role, or nil if there is none.
-func (p *baselinePolicy) pick(role external.Role) *engine {
+func (p *baselinePolicy) pick(role external.EngineRole) *engine {
 	var candidates []*engine
 	for _, e := range p.sim.engines {
 		if e.role == role {
@@ -278,7 +278,7 @@
 		return nil
 	}
 	next := &p.rotation[0]
-	if role == external.RolePrefill {
+	if role == external.EngineRolePrefill {
 		next = &p.rotation[1]
 	}
 	*next++
@@ -295,7 +295,7 @@
 }
 
 func (p *baselinePolicy) place(r *request) {
-	prefillEngine, decodeEngine := p.pick(external.RolePrefill), p.pick(external.RoleDecode)
+	prefillEngine, decodeEngine := p.pick(external.EngineRolePrefill), p.pick(external.EngineRoleDecode)
 	switch {
 	case decodeEngine == nil, decodeEngine.rejects(false), prefillEngine != nil && prefillEngine.rejects(true):
 		p.sim.refuse(r, 100*time.Millisecond)
--- a/internal/gatewaybench/result.go
+++ b/internal/gatewaybench/result.go
@@ -167,9 +167,9 @@
 	for prefill := range dep.Engines.Count {
 		sim := newSimulation(dep, day, seed)
 		for i, e := range sim.engines {
-			e.role = external.RoleDecode
+			e.role = external.EngineRoleDecode
 			if i < prefill {
-				e.role = external.RolePrefill
+				e.role = external.EngineRolePrefill
 			}
 		}
 		sim.policy = newGatewayPolicy(sim, seed, false)
--- a/internal/gatewaybench/world.go
+++ b/internal/gatewaybench/world.go
@@ -78,11 +78,11 @@
 	prefill := int(math.Round(dep.Engines.PrefillShare * float64(dep.Engines.Count)))
 	for i := range dep.Engines.Count {
 		e := &engine{
-			sim: sim, id: fmt.Sprintf("i-%03d", i), dataCentre: dep.DataCentres[i%len(dep.DataCentres)], role: external.RoleDecode,
+			sim: sim, id: fmt.Sprintf("i-%03d", i), dataCentre: dep.DataCentres[i%len(dep.DataCentres)], role: external.EngineRoleDecode,
 			cache: newPromptCache(dep.Engines.MemoryTokens),
 		}
 		if i < prefill {
-			e.role = external.RolePrefill
+			e.role = external.EngineRolePrefill
 		}
 		sim.engines = append(sim.engines, e)
 		sim.byID[e.id] = e
@@ -90,7 +90,7 @@
 	for i := range dep.Kinds {
 		k := &dep.Kinds[i]
 		sim.routes = append(sim.routes, &route.Route{
-			Name: k.Name, Stream: true, Prompt: true, Timeout: time.Duration(k.Deadline), Target: time.Duration(k.Target),
+			Name: k.Name, Stream: true, DeclaresPrompt: true, Timeout: time.Duration(k.Deadline), TargetLatency: time.Duration(k.Target),
 			Priority: k.Priority, MaxAttempts: 1, Shares: []route.Share{{Service: service, Weight: 1}},
 		})
 	}
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -116,14 +116,14 @@
 	}
 }
 
-// Stand waits while a host is frozen. It returns false if the host is killed.
-func (n *Network) Stand(h *Host) bool {
+// WaitRunning waits while a host is frozen. It returns false if the host is killed.
+func (n *Network) WaitRunning(h *Host) bool {
 	return n.waitWhile(func() bool { return n.frozen[h] }, h.Ctx.Done()) && h.Ctx.Err() == nil
 }
 
-// Awake waits while a host is frozen. It returns an error if the host is killed or ctx has ended.
-func (n *Network) Awake(ctx context.Context, h *Host) error {
-	if !n.Stand(h) {
+// CheckRunning waits while a host is frozen. It returns an error if the host is killed or ctx has ended.
+func (n *Network) CheckRunning(ctx context.Context, h *Host) error {
+	if !n.WaitRunning(h) {
 		return errReset
 	}
 	return ctx.Err()
--- a/internal/policybench/baselines.go
+++ b/internal/policybench/baselines.go
@@ -38,15 +38,15 @@
 }
 
 func (p *roundRobin) choose(*request) (prefill, decode *engine, refusal string) {
-	prefill = p.nextEngine(&p.prefillPosition, external.RoleDecode)
-	decode = p.nextEngine(&p.decodePosition, external.RolePrefill)
+	prefill = p.nextEngine(&p.prefillPosition, external.EngineRoleDecode)
+	decode = p.nextEngine(&p.decodePosition, external.EngineRolePrefill)
 	if prefill == nil || decode == nil {
 		return nil, nil, "no_worker"
 	}
 	return prefill, decode, ""
 }
 
-func (p *roundRobin) nextEngine(position *int, excluded external.Role) *engine {
+func (p *roundRobin) nextEngine(position *int, excluded external.EngineRole) *engine {
 	for range p.sim.engines {
 		*position++
 		if e := p.sim.engines[*position%len(p.sim.engines)]; e.state == serving && e.role != excluded {
@@ -77,8 +77,8 @@
 }
 
 func (p *leastLoaded) choose(*request) (prefill, decode *engine, refusal string) {
-	prefill = p.leastLoadedEngine(external.RoleDecode, func(l *external.EngineLoad) int64 { return l.PrefillTokens })
-	decode = p.leastLoadedEngine(external.RolePrefill, func(l *external.EngineLoad) int64 { return int64(l.Running + l.Queued) })
+	prefill = p.leastLoadedEngine(external.EngineRoleDecode, func(l *external.EngineLoad) int64 { return l.PrefillTokens })
+	decode = p.leastLoadedEngine(external.EngineRolePrefill, func(l *external.EngineLoad) int64 { return int64(l.Running + l.Queued) })
 	if prefill == nil || decode == nil {
 		return nil, nil, "no_worker"
 	}
@@ -87,7 +87,7 @@
 
 // leastLoadedEngine returns the serving engine with the lowest load among those without the excluded
 // role. It breaks ties at random, so that equal reports do not direct all requests to one engine.
-func (p *leastLoaded) leastLoadedEngine(excluded external.Role, load func(*external.EngineLoad) int64) *engine {
+func (p *leastLoaded) leastLoadedEngine(excluded external.EngineRole, load func(*external.EngineLoad) int64) *engine {
 	var best *engine
 	lowest, ties := int64(0), 0
 	for _, e := range p.sim.engines {
@@ -136,7 +136,7 @@
 			continue
 		}
 		alive++
-		if p.targetRole(e) == external.RolePrefill {
+		if p.targetRole(e) == external.EngineRolePrefill {
 			current++
 		}
 	}
@@ -145,7 +145,7 @@
 		if current == desired {
 			return
 		}
-		from, to, step := external.RolePrefill, external.RoleDecode, -1
+		from, to, step := external.EngineRolePrefill, external.EngineRoleDecode, -1
 		if current < desired {
 			from, to, step = to, from, 1
 		}
@@ -156,14 +156,14 @@
 	}
 }
 
-func (p *leastLoaded) targetRole(e *engine) external.Role {
+func (p *leastLoaded) targetRole(e *engine) external.EngineRole {
 	if e.state == serving {
 		return e.role
 	}
 	return e.nextRole
 }
 
-func (p *leastLoaded) countServing(r external.Role) int {
+func (p *leastLoaded) countServing(r external.EngineRole) int {
 	n := 0
 	for _, e := range p.sim.engines {
 		if e.state == serving && e.role == r {
--- a/internal/policybench/engine.go
+++ b/internal/policybench/engine.go
@@ -35,7 +35,7 @@
 	sim       *simulation
 	index     int
 	id        string
-	role      external.Role
+	role      external.EngineRole
 	state     engineState
 	roleSince time.Duration
 	// stepTimeFactor scales the fleet's step times for this engine.
@@ -56,7 +56,7 @@
 	reportSequence     uint64
 
 	drainStart time.Duration
-	nextRole   external.Role
+	nextRole   external.EngineRole
 }
 
 func (e *engine) queued() int {
@@ -210,7 +210,7 @@
 }
 
 // changeRole starts to drain the engine, after which it changes to the role.
-func (e *engine) changeRole(role external.Role) {
+func (e *engine) changeRole(role external.EngineRole) {
 	e.state, e.nextRole, e.drainStart = draining, role, e.sim.At
 	e.sim.fleetChanged()
 	e.finishDrain()
--- a/internal/policybench/project.go
+++ b/internal/policybench/project.go
@@ -60,7 +60,7 @@
 			retries:      retry.NewBudget(retry.Config{}),
 			fleetVersion: -1,
 		}
-		p.entries[i].tracker.SetRouters(entryCount)
+		p.entries[i].tracker.SetRouterCount(entryCount)
 	}
 	return p
 }
@@ -71,7 +71,7 @@
 func newQuetzallugPolicyWithCurrentReports(sim *simulation, weights placement.Weights) *quetzallugPolicy {
 	p := newQuetzallugPolicy(sim, nil, weights)
 	for _, e := range p.entries {
-		e.tracker.SetRouters(1)
+		e.tracker.SetRouterCount(1)
 	}
 	return p
 }
@@ -111,7 +111,7 @@
 		FirstToken: r.kind.firstTokenTarget, BetweenTokens: r.kind.betweenTokensTarget, Exclude: r.excludedEngines,
 	}
 	if r.attempts == 0 {
-		e.retries.Fresh(now)
+		e.retries.RecordFirstAttempt(now)
 	}
 	decision := e.router.Choose(&routingRequest, p.fleetSnapshot(e), now)
 	waited := p.sim.At - r.arrived
@@ -127,13 +127,13 @@
 	if !admissionDecision.Admitted() {
 		return nil, nil, string(admissionDecision.Reason)
 	}
-	e.router.Sent(&routingRequest, &decision, now)
+	e.router.RecordSent(&routingRequest, &decision, now)
 	if len(r.blocks) > 0 {
 		p.uncachedShare += uncachedShareWeight * (float64(decision.PrefillTokens)/float64(routingRequest.PromptTokens) - p.uncachedShare)
 	}
 	state := &dispatchState{admissionDecision: admissionDecision, entry: e, prefillWorker: e.tracker.Worker(decision.Prefill.ID), decodeWorker: e.tracker.Worker(decision.Decode.ID)}
-	state.prefillTicket = state.prefillWorker.Sent(load.Work{PrefillTokens: decision.PrefillTokens}, now)
-	state.decodeTicket = state.decodeWorker.Sent(load.Work{Decode: true, Pieces: routingRequest.Pieces()}, now)
+	state.prefillTicket = state.prefillWorker.RecordSent(load.Work{PrefillTokens: decision.PrefillTokens}, now)
+	state.decodeTicket = state.decodeWorker.RecordSent(load.Work{Decode: true, Pieces: routingRequest.Pieces()}, now)
 	r.policyState = state
 	return p.engine(decision.Prefill), p.engine(decision.Decode), ""
 }
@@ -168,7 +168,7 @@
 
 func (p *quetzallugPolicy) firstTokenDelivered(r *request) {
 	state := r.policyState.(*dispatchState)
-	state.prefillWorker.FirstToken(state.prefillTicket, p.sim.Now())
+	state.prefillWorker.ObserveFirstToken(state.prefillTicket, p.sim.Now())
 }
 
 func (p *quetzallugPolicy) finished(r *request) {
@@ -178,11 +178,11 @@
 	}
 	r.policyState = nil
 	now := p.sim.Now()
-	state.prefillWorker.Finished(state.prefillTicket, now)
-	state.decodeWorker.Finished(state.decodeTicket, now)
+	state.prefillWorker.RecordFinished(state.prefillTicket, now)
+	state.decodeWorker.RecordFinished(state.decodeTicket, now)
 	state.entry.admission.Release("", state.admissionDecision)
 	if r.producedTokens >= r.outputTokens && r.outputTokens > 8 {
-		state.decodeWorker.BetweenTokens(r.meanTokenInterval(), now)
+		state.decodeWorker.ObserveBetweenTokens(r.meanTokenInterval(), now)
 	}
 }
 
@@ -195,9 +195,9 @@
 func (p *quetzallugPolicy) cacheEvent(e *engine, event external.CacheEvent) {
 	for _, entry := range p.entries {
 		fleet := p.fleetSnapshot(entry)
-		for _, worker := range entry.router.Candidates("m", fleet) {
+		for _, worker := range entry.router.Subset("m", fleet) {
 			if worker.ID == e.id {
-				entry.router.CacheEvents(worker, []external.CacheEvent{event}, p.sim.Now())
+				entry.router.ObserveCacheEvents(worker, []external.CacheEvent{event}, p.sim.Now())
 			}
 		}
 	}
@@ -205,7 +205,7 @@
 
 func (p *quetzallugPolicy) restarted(e *engine) {
 	for _, entry := range p.entries {
-		entry.tracker.Worker(e.id).Restarted(p.sim.Now())
+		entry.tracker.Worker(e.id).Reset(p.sim.Now())
 	}
 }
 
--- a/internal/policybench/simulation.go
+++ b/internal/policybench/simulation.go
@@ -126,7 +126,7 @@
 // crashEngines crashes a prefill engine and a decode engine. If a role has none, it crashes any other
 // engine instead.
 func (sim *simulation) crashEngines() {
-	for _, role := range []external.Role{external.RolePrefill, external.RoleDecode} {
+	for _, role := range []external.EngineRole{external.EngineRolePrefill, external.EngineRoleDecode} {
 		i := slices.IndexFunc(sim.engines, func(e *engine) bool { return e.state != crashed && e.role == role })
 		if i < 0 {
 			i = slices.IndexFunc(sim.engines, func(e *engine) bool { return e.state != crashed })
@@ -269,7 +269,7 @@
 func (sim *simulation) fleetChanged() { sim.fleetVersion++ }
 
 // orderRoleChange starts a role change.
-func (sim *simulation) orderRoleChange(e *engine, role external.Role) {
+func (sim *simulation) orderRoleChange(e *engine, role external.EngineRole) {
 	sim.stats.roleChanges++
 	e.changeRole(role)
 }
--- a/internal/policybench/workload.go
+++ b/internal/policybench/workload.go
@@ -102,14 +102,14 @@
 
 type roleSplit struct{ prefill, mixed, decode int }
 
-func (s roleSplit) role(i int) external.Role {
+func (s roleSplit) role(i int) external.EngineRole {
 	switch {
 	case i < s.prefill:
-		return external.RolePrefill
+		return external.EngineRolePrefill
 	case i < s.prefill+s.mixed:
-		return external.RoleMixed
+		return external.EngineRoleMixed
 	default:
-		return external.RoleDecode
+		return external.EngineRoleDecode
 	}
 }
 
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -45,8 +45,8 @@
 // one of the known deployments.
 func (s *Gateway) RetrySlackPerInstance() float64 { return s.RetrySlack / float64(s.Instances) }
 
-// AddGateway adds the flags of a gateway.
-func AddGateway(f *pflag.FlagSet) {
+// AddGatewayFlags adds the flags of a gateway.
+func AddGatewayFlags(f *pflag.FlagSet) {
 	f.String("instance", "", "name of this instance")
 	f.String("data-centre", "", "data centre of this instance")
 	f.String("listen", "127.0.0.1:8080", "IP address and port for callers")
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -11,7 +11,7 @@
 // only the first invalid setting.
 func TestGatewaySettings(t *testing.T) {
 	cmd := &cobra.Command{}
-	AddGateway(cmd.Flags())
+	AddGatewayFlags(cmd.Flags())
 	require.NoError(t, cmd.Flags().Parse([]string{"--instance", "e", "--data-centre", "d"}))
 	s, err := ReadGateway(cmd)
 	require.NoError(t, err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -103,8 +103,8 @@
 	f.Bool("profile", false, "serve CPU and heap profiles under /debug/pprof on the listener of the process")
 }
 
-// AddEntry adds the flags of an entry.
-func AddEntry(f *pflag.FlagSet) {
+// AddEntryFlags adds the flags of an entry.
+func AddEntryFlags(f *pflag.FlagSet) {
 	addCommon(f)
 	f.String("peer-listen", "127.0.0.1:8081", "IP address and port for the cluster's other processes and the command line tool")
 	f.Int("max-body", 8192, "maximum size of a request body in KiB; a service can set a lower limit")
@@ -118,8 +118,8 @@
 	f.Float64("kv-calls", 60, "maximum number of calls per second to the key-value service")
 }
 
-// AddSidecar adds the flags of a sidecar.
-func AddSidecar(f *pflag.FlagSet) {
+// AddSidecarFlags adds the flags of a sidecar.
+func AddSidecarFlags(f *pflag.FlagSet) {
 	addCommon(f)
 	f.String("service", "", "service of the backend server")
 	f.String("backend", BackendEngine, "kind of backend server: engine or plain")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 // rejects it when the entry starts.
 func TestLeaseTTLMustExceedTheSafetyMargin(t *testing.T) {
 	cmd := &cobra.Command{}
-	AddEntry(cmd.Flags())
+	AddEntryFlags(cmd.Flags())
 	require.NoError(t, cmd.Flags().Parse([]string{"--instance", "e", "--data-centre", "d", "--key", "k"}))
 	s, err := ReadEntry(cmd)
 	require.NoError(t, err)
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -147,8 +147,8 @@
 	g.eventGap.Record(context.Background(), d.Seconds(), g.optionsOf("service", service).record...)
 }
 
-// Prompt implements gateway.Metrics.
-func (g *Gateway) Prompt(service string, p gateway.PromptTokens) {
+// PromptTokens implements gateway.Metrics.
+func (g *Gateway) PromptTokens(service string, p gateway.PromptTokens) {
 	for _, part := range [...]struct {
 		source string
 		tokens float64
--- a/internal/telemetry/store.go
+++ b/internal/telemetry/store.go
@@ -47,14 +47,14 @@
 }
 
 // Get implements external.KV.
-func (c *countingKV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (c *countingKV) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	e, err := c.kv.Get(ctx, key)
 	c.record("get", err)
 	return e, err
 }
 
 // List implements external.KV.
-func (c *countingKV) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
+func (c *countingKV) List(ctx context.Context, prefix string) ([]external.KVEntry, uint64, error) {
 	entries, revision, err := c.kv.List(ctx, prefix)
 	c.record("list", err)
 	return entries, revision, err
@@ -75,7 +75,7 @@
 }
 
 // Watch implements external.KV.
-func (c *countingKV) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
+func (c *countingKV) Watch(ctx context.Context, prefix string, after uint64) ([]external.KVEvent, uint64, error) {
 	events, revision, err := c.kv.Watch(ctx, prefix, after)
 	c.record("watch", err)
 	return events, revision, err
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -251,7 +251,7 @@
 
 // Leave marks an instance as leaving in the instance list.
 func (c *Cluster) Leave(ctx context.Context, id string) error {
-	return post(ctx, c.instances+instancewire.PathLeave, instancewire.Leave{ID: id})
+	return post(ctx, c.instances+instancewire.PathLeave, instancewire.InstanceRef{ID: id})
 }
 
 // KVFaults sets the faults that the key-value service injects.
--- a/internal/testcluster/control.go
+++ b/internal/testcluster/control.go
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	for _, e := range c.Entries {
-		if p.Present && len(p.Fence.Holder) > len(e.ID) && p.Fence.Holder[:len(e.ID)+1] == e.ID+"/" {
+		if p.HasHolder && len(p.FenceRecord.Holder) > len(e.ID) && p.FenceRecord.Holder[:len(e.ID)+1] == e.ID+"/" {
 			return e, nil
 		}
 	}
--- a/lease/acquire.go
+++ b/lease/acquire.go
@@ -34,7 +34,7 @@
 	a := NewAuthority(pool, m.cfg.Holder, fence, m.validUntil(s.grantSent))
 	if !a.Valid() {
 		m.revoke(ctx, s)
-		return Authority{}, s, fmt.Errorf("acquire pool %q: %w", pool, ErrLost)
+		return Authority{}, s, fmt.Errorf("acquire pool %q: %w", pool, ErrAuthorityEnded)
 	}
 	return a, s, nil
 }
@@ -79,7 +79,7 @@
 		if err != nil {
 			return 0, err
 		}
-		r := FenceRecord{Fence: state.Fence.Fence + 1, Holder: m.cfg.Holder, Session: s.id, WriteID: cas.NewID()}
+		r := FenceRecord{Fence: state.FenceRecord.Fence + 1, Holder: m.cfg.Holder, Session: s.id, WriteID: cas.NewID()}
 		_, err = cas.Swap(ctx, m.kv, cas.Write{
 			Key: FenceKey(s.pool), Expected: state.fenceVersion, Value: mustEncode(r), ID: r.WriteID,
 			Check: m.checkUnexpired(s),
@@ -100,7 +100,7 @@
 		if time.Now().Before(m.validUntil(s.grantSent)) {
 			return nil
 		}
-		return ErrLost
+		return ErrAuthorityEnded
 	}
 }
 
@@ -120,8 +120,8 @@
 		return nil
 	case errors.Is(err, external.ErrConflict):
 		return fmt.Errorf("%s: %w", operation, ErrHeld)
-	case errors.Is(err, external.ErrLeaseExpired), errors.Is(err, ErrLost):
-		return fmt.Errorf("%s: %w", operation, ErrLost)
+	case errors.Is(err, external.ErrLeaseExpired), errors.Is(err, ErrAuthorityEnded):
+		return fmt.Errorf("%s: %w", operation, ErrAuthorityEnded)
 	}
 	return fmt.Errorf("%s: %w: %w", operation, ErrUnavailable, err)
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -90,12 +90,12 @@
 		case <-p.Context().Done():
 		case <-time.After(50 * time.Millisecond):
 		}
-		if !p.Gate() || !ok || !a.Valid() {
+		if !p.WaitWhilePaused() || !ok || !a.Valid() {
 			continue
 		}
 		s, err := lease.ReadPool(sim.ctx, sim.store, pool)
 		sim.mu.Lock()
-		sim.actions = append(sim.actions, action{at: time.Now(), fence: a.Fence, holder: a.Holder, held: err == nil && s.Current(a.Fence, a.Holder)})
+		sim.actions = append(sim.actions, action{at: time.Now(), fence: a.Fence, holder: a.Holder, held: err == nil && s.HeldUnder(a.Fence, a.Holder)})
 		sim.mu.Unlock()
 	}
 }
@@ -194,7 +194,7 @@
 			return fault.Action{}
 		}
 		pendingFault = ""
-		return fault.Action{Lose: name == faultResponseLost, Twice: name == faultDeliveredTwice}
+		return fault.Action{LoseResponse: name == faultResponseLost, ExecuteTwice: name == faultDeliveredTwice}
 	}
 	for range 3 {
 		sim.start(pool)
@@ -262,7 +262,7 @@
 		time.Sleep(10 * time.Second)
 		s, err := lease.ReadPool(t.Context(), sim.store, pool)
 		require.NoError(t, err)
-		require.True(t, s.Current(a.Fence, a.Holder), "pool is %+v", s)
+		require.True(t, s.HeldUnder(a.Fence, a.Holder), "pool is %+v", s)
 		require.True(t, a.Valid())
 	})
 }
@@ -338,8 +338,8 @@
 		<-a.Done()
 		s, err := lease.ReadPool(t.Context(), sim.store, pool)
 		require.NoError(t, err)
-		require.False(t, s.Present)
-		require.Equal(t, a.Fence, s.Fence.Fence, "the fence must outlive the lease")
+		require.False(t, s.HasHolder)
+		require.Equal(t, a.Fence, s.FenceRecord.Fence, "the fence must outlive the lease")
 	})
 }
 
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -177,7 +177,7 @@
 	}
 	var vacant []string
 	for _, p := range m.poolNames() {
-		if s := states[p]; !s.Present && s.malformed == nil && !slices.Contains(held, p) {
+		if s := states[p]; !s.HasHolder && s.malformed == nil && !slices.Contains(held, p) {
 			vacant = append(vacant, p)
 		}
 	}
@@ -230,19 +230,19 @@
 			return ctx.Err()
 		}
 		if !a.Valid() {
-			return ErrLost
+			return ErrAuthorityEnded
 		}
 		sent := time.Now()
 		err := m.sendKeepAlive(ctx, s)
 		if errors.Is(err, external.ErrLeaseExpired) {
-			return fmt.Errorf("%w: %w", ErrLost, err)
+			return fmt.Errorf("%w: %w", ErrAuthorityEnded, err)
 		}
 		if err != nil {
 			wait = m.jitter(keepAliveRetryDelay)
 			continue
 		}
 		if !a.extend(m.validUntil(sent)) {
-			return ErrLost
+			return ErrAuthorityEnded
 		}
 		wait = m.jitter(interval)
 	}
--- a/lease/records.go
+++ b/lease/records.go
@@ -41,18 +41,18 @@
 
 // PoolState is a pool's holder and fence, read in one call.
 type PoolState struct {
-	Fence   FenceRecord
-	Present bool // a holder key exists
-	Holder  HolderRecord
+	FenceRecord  FenceRecord
+	HasHolder    bool // a holder key exists
+	HolderRecord HolderRecord
 
 	fenceVersion uint64
 	malformed    error
 }
 
-// Current reports whether the given holder holds the pool under the given fence number.
-func (s PoolState) Current(fence uint64, holder string) bool {
-	return s.Present && s.Fence.Fence == fence && s.Fence.Holder == holder &&
-		s.Holder.Holder == holder && s.Holder.Session == s.Fence.Session
+// HeldUnder reports whether the given holder holds the pool under the given fence number.
+func (s PoolState) HeldUnder(fence uint64, holder string) bool {
+	return s.HasHolder && s.FenceRecord.Fence == fence && s.FenceRecord.Holder == holder &&
+		s.HolderRecord.Holder == holder && s.HolderRecord.Session == s.FenceRecord.Session
 }
 
 // ReadPool returns the state of one pool, the zero value if it has no records. Its error wraps
@@ -81,25 +81,25 @@
 
 // decodeEntry decodes a pool record into states. A malformed record makes only its own pool
 // unusable.
-func decodeEntry(states map[string]PoolState, e external.Entry) {
+func decodeEntry(states map[string]PoolState, e external.KVEntry) {
 	name := strings.TrimPrefix(e.Key, KeyPrefix)
 	pool, isHolder := strings.CutSuffix(name, holderSuffix)
 	if isHolder {
 		s := states[pool]
-		s.Present = true
-		s.decode(e, &s.Holder)
+		s.HasHolder = true
+		s.decode(e, &s.HolderRecord)
 		states[pool] = s
 		return
 	}
 	if pool, isFence := strings.CutSuffix(name, fenceSuffix); isFence {
 		s := states[pool]
 		s.fenceVersion = e.Version
-		s.decode(e, &s.Fence)
+		s.decode(e, &s.FenceRecord)
 		states[pool] = s
 	}
 }
 
-func (s *PoolState) decode(e external.Entry, into any) {
+func (s *PoolState) decode(e external.KVEntry, into any) {
 	if err := json.Unmarshal(e.Value, into); err != nil {
 		s.malformed = fmt.Errorf("%w: key %q: %w", ErrBadRecord, e.Key, err)
 	}
--- a/load/load.go
+++ b/load/load.go
@@ -50,7 +50,7 @@
 	Pieces int
 }
 
-// Ticket identifies a request sent to a worker. Worker.Sent returns it, and FirstToken and Finished
+// Ticket identifies a request sent to a worker. Worker.RecordSent returns it, and ObserveFirstToken and RecordFinished
 // take it.
 type Ticket struct {
 	Work Work
@@ -76,21 +76,21 @@
 	mu           sync.RWMutex
 	workers      map[string]*Worker
 	initialSpeed Speed
-	routerCount  atomic.Uint64 // see SetRouters; a float64, by math.Float64bits
+	routerCount  atomic.Uint64 // see SetRouterCount; a float64, by math.Float64bits
 }
 
 // NewTracker returns a Tracker. The given speed is assumed of workers until theirs is observed.
 func NewTracker(initial Speed) *Tracker {
 	t := &Tracker{workers: make(map[string]*Worker), initialSpeed: initial.withDefaults()}
-	t.SetRouters(1)
+	t.SetRouterCount(1)
 	return t
 }
 
-// SetRouters sets the mean number of routers that send to the same worker, which may be fractional.
+// SetRouterCount sets the mean number of routers that send to the same worker, which may be fractional.
 // Values below 1 count as 1. Since all of these routers act on the same reports, each other router
 // is assumed to have sent and finished as many requests since a report as this one. Without this,
 // several routers would each fill all of the capacity that an old report shows as free.
-func (t *Tracker) SetRouters(n float64) { t.routerCount.Store(math.Float64bits(max(1, n))) }
+func (t *Tracker) SetRouterCount(n float64) { t.routerCount.Store(math.Float64bits(max(1, n))) }
 
 // Worker returns the worker with the given ID. It is added if it isn't tracked yet.
 func (t *Tracker) Worker(id string) *Worker {
@@ -103,7 +103,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w = t.workers[id]; w == nil {
-		w = &Worker{estimator: newEstimator(t.initialSpeed), role: external.RoleMixed, routerCount: &t.routerCount}
+		w = &Worker{estimator: newEstimator(t.initialSpeed), role: external.EngineRoleMixed, routerCount: &t.routerCount}
 		t.workers[id] = w
 	}
 	return w
@@ -127,7 +127,7 @@
 type Worker struct {
 	routerCount    *atomic.Uint64
 	mu             sync.Mutex
-	role           external.Role
+	role           external.EngineRole
 	reportSequence uint64
 	reportedAt     time.Time // zero: no report yet
 	report         external.EngineLoad
@@ -143,7 +143,7 @@
 
 // SetRole sets the worker's role. Queued requests count as sequences to decode unless the worker
 // only prefills.
-func (w *Worker) SetRole(r external.Role) {
+func (w *Worker) SetRole(r external.EngineRole) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.role = r
@@ -176,7 +176,7 @@
 
 // outdated reports whether a report is not newer than the current one. A sequence number that isn't
 // higher, on a report made at least minRestartGap later, means that the worker restarted. After
-// Restarted the current sequence number is zero, and only the times are compared.
+// Reset the current sequence number is zero, and only the times are compared.
 func (w *Worker) outdated(sequence uint64, reportedAt time.Time) bool {
 	switch {
 	case w.reportedAt.IsZero():
@@ -188,9 +188,9 @@
 	}
 }
 
-// Sent adds a request that this process sent to the worker. It returns the ticket to pass to
-// FirstToken and Finished.
-func (w *Worker) Sent(work Work, now time.Time) Ticket {
+// RecordSent adds a request that this process sent to the worker. It returns the ticket to pass to
+// ObserveFirstToken and RecordFinished.
+func (w *Worker) RecordSent(work Work, now time.Time) Ticket {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := correction{at: now, prefill: float64(work.PrefillTokens), freePieces: -work.Pieces}
@@ -201,9 +201,9 @@
 	return Ticket{Work: work, sentAt: now, prefillBacklog: w.prefill, sequences: w.decodingSequences(w.routerFactor(now))}
 }
 
-// FirstToken updates the estimated prefill speed when the worker delivers the first token of a
+// ObserveFirstToken updates the estimated prefill speed when the worker delivers the first token of a
 // request that it prefilled.
-func (w *Worker) FirstToken(t Ticket, now time.Time) {
+func (w *Worker) ObserveFirstToken(t Ticket, now time.Time) {
 	if t.Work.PrefillTokens == 0 {
 		return
 	}
@@ -212,16 +212,16 @@
 	w.estimator.observePrefill(t.prefillBacklog, t.sequences, now.Sub(t.sentAt).Seconds())
 }
 
-// BetweenTokens updates the estimated step time from the mean time between the tokens of an answer.
-func (w *Worker) BetweenTokens(mean time.Duration, now time.Time) {
+// ObserveBetweenTokens updates the estimated step time from the mean time between the tokens of an answer.
+func (w *Worker) ObserveBetweenTokens(mean time.Duration, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.estimator.observeStep(w.decodingSequences(w.routerFactor(now)), mean.Seconds())
 }
 
-// Finished removes the sequence and the pieces of a request that ended on the worker, whatever its
+// RecordFinished removes the sequence and the pieces of a request that ended on the worker, whatever its
 // outcome. Its prefill tokens are not removed; the queue is assumed to have processed them.
-func (w *Worker) Finished(t Ticket, now time.Time) {
+func (w *Worker) RecordFinished(t Ticket, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := correction{at: now, freePieces: t.Work.Pieces}
@@ -231,9 +231,9 @@
 	w.addCorrection(c)
 }
 
-// Restarted resets the worker's load to zero, as if that had been reported now: a worker that
+// Reset resets the worker's load to zero, as if that had been reported now: a worker that
 // restarts loses all its requests. The estimated speed is kept.
-func (w *Worker) Restarted(now time.Time) {
+func (w *Worker) Reset(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.report = external.EngineLoad{FreePieces: w.report.TotalPieces, TotalPieces: w.report.TotalPieces}
@@ -290,7 +290,7 @@
 // only prefills, will decode from its queue.
 func (w *Worker) decodingSequences(routerFactor float64) int {
 	n := w.report.Running + int(float64(w.sequences)*routerFactor)
-	if w.role != external.RolePrefill {
+	if w.role != external.EngineRolePrefill {
 		n += w.report.Queued
 	}
 	return max(0, n)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -27,8 +27,8 @@
 func TestReportReplacesOnlyOlderCorrections(t *testing.T) {
 	w := load.NewTracker(load.Speed{}).Worker("w")
 	require.True(t, w.Observe(report(1, 0, 0, 5, 50), at(0)))
-	first := w.Sent(load.Work{Decode: true, Pieces: 3}, at(100*time.Millisecond))
-	w.Sent(load.Work{Decode: true, Pieces: 4}, at(900*time.Millisecond))
+	first := w.RecordSent(load.Work{Decode: true, Pieces: 3}, at(100*time.Millisecond))
+	w.RecordSent(load.Work{Decode: true, Pieces: 4}, at(900*time.Millisecond))
 	e := w.Estimate(at(time.Second))
 	assert.Equal(t, 7, e.Sequences)
 	assert.Equal(t, 43, e.FreePieces)
@@ -40,7 +40,7 @@
 	assert.Equal(t, 43, e.FreePieces)
 	assert.Equal(t, 500*time.Millisecond, e.Age)
 
-	w.Finished(first, at(1100*time.Millisecond))
+	w.RecordFinished(first, at(1100*time.Millisecond))
 	e = w.Estimate(at(1200 * time.Millisecond))
 	assert.Equal(t, 6, e.Sequences)
 	assert.Equal(t, 46, e.FreePieces)
@@ -61,10 +61,10 @@
 // processes it.
 func TestPrefillDrains(t *testing.T) {
 	w := load.NewTracker(load.Speed{PrefillSecondsPerToken: 1e-4}).Worker("w")
-	w.SetRole(external.RolePrefill)
+	w.SetRole(external.EngineRolePrefill)
 	w.Observe(report(1, 0, 5000, 0, 50), at(0))
 	assert.InDelta(t, 3000, w.Estimate(at(200*time.Millisecond)).PrefillTokens, 1)
-	w.Sent(load.Work{PrefillTokens: 1000}, at(time.Second))
+	w.RecordSent(load.Work{PrefillTokens: 1000}, at(time.Second))
 	e := w.Estimate(at(time.Second))
 	assert.InDelta(t, 1000, e.PrefillTokens, 1)
 	assert.InDelta(t, 0.318, e.FirstToken(2000), 0.001)
@@ -74,15 +74,15 @@
 // capacity that an old report shows as free.
 func TestOtherRoutersAreExpectedToAct(t *testing.T) {
 	tracker := load.NewTracker(load.Speed{})
-	tracker.SetRouters(3)
+	tracker.SetRouterCount(3)
 	w := tracker.Worker("w")
 	w.Observe(report(1, 0, 0, 5, 50), at(0))
-	ticket := w.Sent(load.Work{Decode: true, Pieces: 2}, at(0))
+	ticket := w.RecordSent(load.Work{Decode: true, Pieces: 2}, at(0))
 	assert.Equal(t, 6, w.Estimate(at(0)).Sequences, "right after a report, only this router's request counts")
 	e := w.Estimate(at(2 * time.Second))
 	assert.Equal(t, 8, e.Sequences)
 	assert.Equal(t, 44, e.FreePieces)
-	w.Finished(ticket, at(2*time.Second))
+	w.RecordFinished(ticket, at(2*time.Second))
 	assert.Equal(t, 5, w.Estimate(at(2*time.Second)).Sequences)
 }
 
@@ -90,18 +90,18 @@
 // outlier distorts.
 func TestSpeedIsLearned(t *testing.T) {
 	w := load.NewTracker(load.Speed{PrefillSecondsPerToken: 1e-4}).Worker("w")
-	w.SetRole(external.RolePrefill)
+	w.SetRole(external.EngineRolePrefill)
 	for i := range 200 {
 		now := at(time.Duration(i) * 10 * time.Second)
 		w.Observe(report(uint64(i+1), 0, 0, 0, 50), now)
-		ticket := w.Sent(load.Work{PrefillTokens: 1000}, now)
-		w.FirstToken(ticket, now.Add(200*time.Millisecond))
-		w.BetweenTokens(36*time.Millisecond, now)
+		ticket := w.RecordSent(load.Work{PrefillTokens: 1000}, now)
+		w.ObserveFirstToken(ticket, now.Add(200*time.Millisecond))
+		w.ObserveBetweenTokens(36*time.Millisecond, now)
 	}
 	e := w.Estimate(at(2000 * time.Second))
 	assert.InEpsilon(t, 2e-4, e.Speed.PrefillSecondsPerToken, 0.02)
 	assert.InEpsilon(t, 0.036, e.Speed.Step(0), 0.02)
-	w.BetweenTokens(time.Hour, at(2000*time.Second))
+	w.ObserveBetweenTokens(time.Hour, at(2000*time.Second))
 	assert.Less(t, w.Estimate(at(2000*time.Second)).Speed.Step(0), 0.06)
 }
 
@@ -116,18 +116,18 @@
 		for range rapid.IntRange(0, 600).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * time.Millisecond
 			if len(inFlight) > 0 && rapid.Bool().Draw(t, "finish") {
-				w.Finished(inFlight[0], at(now))
+				w.RecordFinished(inFlight[0], at(now))
 				inFlight = inFlight[1:]
 				continue
 			}
 			work := load.Work{PrefillTokens: rapid.IntRange(0, 4000).Draw(t, "tokens"), Decode: true, Pieces: 1}
-			inFlight = append(inFlight, w.Sent(work, at(now)))
+			inFlight = append(inFlight, w.RecordSent(work, at(now)))
 			e := w.Estimate(at(now))
 			require.GreaterOrEqual(t, e.PrefillTokens, 0.0)
 			require.GreaterOrEqual(t, e.FreePieces, 0)
 		}
 		for _, ticket := range inFlight {
-			w.Finished(ticket, at(now))
+			w.RecordFinished(ticket, at(now))
 		}
 		e := w.Estimate(at(now + time.Hour))
 		require.Equal(t, 3, e.Sequences)
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -9,25 +9,25 @@
 // the list, so that it can answer before it is removed.
 const probesBeforeRemoval = 4
 
-// Kind tells what was observed about a member.
-type Kind uint8
+// EvidenceKind tells what was observed about a member.
+type EvidenceKind uint8
 
 // Kinds of observations.
 const (
 	// Answered means that a stream frame or a probe response arrived.
-	Answered Kind = iota + 1
+	Answered EvidenceKind = iota + 1
 	// Draining means that the member refused a request as "draining" or sent a drain notice.
 	Draining
-	// Refused means that the member's address refused the connection.
-	Refused
-	// Silent means a timeout: an attempt or probe got no response within Settings.ResponseTimeout.
-	Silent
+	// ConnectionRefused means that the member's address refused the connection.
+	ConnectionRefused
+	// TimedOut means that an attempt or probe got no response within Settings.ResponseTimeout.
+	TimedOut
 )
 
 // Evidence is one observation about a member.
 type Evidence struct {
 	ID   string
-	Kind Kind
+	Kind EvidenceKind
 	// Address is the address that was contacted.
 	Address string
 	// Incarnation identifies the process that answered, empty if unknown. A refusal because of a wrong
@@ -58,14 +58,14 @@
 			m.drainingSince = now
 			v.scheduleProbe(m, now)
 		}
-	case Refused:
+	case ConnectionRefused:
 		if e.Started.Before(m.lastAnswer) {
 			return
 		}
 		m.connectionRefused = true
 		v.scheduleProbe(m, now)
 		m.useListAddress()
-	case Silent:
+	case TimedOut:
 		if e.Started.Before(m.lastAnswer) {
 			return
 		}
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -138,10 +138,10 @@
 	switch s.condition(m.ID) {
 	case "paused":
 		time.Sleep(membership.DefaultSettings().ResponseTimeout)
-		e.Kind, e.Incarnation = membership.Silent, ""
+		e.Kind, e.Incarnation = membership.TimedOut, ""
 	case "dead":
 		time.Sleep(time.Millisecond)
-		e.Kind, e.Incarnation = membership.Refused, ""
+		e.Kind, e.Incarnation = membership.ConnectionRefused, ""
 	case "leaving":
 		time.Sleep(time.Millisecond)
 		e.Kind = membership.Draining
--- a/membership/recompute.go
+++ b/membership/recompute.go
@@ -91,7 +91,7 @@
 func (m *member) service() serviceKey { return serviceKey{m.inst.Role, m.inst.Service} }
 
 func (m *member) toMember() Member {
-	return Member{Instance: m.inst, View: m.state, Incarnation: m.incarnation, Usable: m.usable}
+	return Member{Instance: m.inst, DerivedState: m.state, Incarnation: m.incarnation, Usable: m.usable}
 }
 
 // publish stores a new snapshot if it differs from the last one.
@@ -116,7 +116,7 @@
 			}
 			s.usable[e.Service] = append(s.usable[e.Service], e)
 		}
-		if e.Role == external.RoleEntry && e.View == StateLive {
+		if e.Role == external.RoleEntry && e.DerivedState == StateLive {
 			s.entries = append(s.entries, e.Instance)
 		}
 	}
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -53,7 +53,7 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		r.view.Advance(now)
+		r.view.RemoveExpired(now)
 		for _, m := range r.view.ProbesDue(now) {
 			wg.Go(func() { r.probe(ctx, m) })
 		}
@@ -86,7 +86,7 @@
 	case err != nil:
 		r.log.WithError(err).Info("instance list unreachable; keeping the last one")
 	case s.Version == after && len(s.Instances) == 0:
-		r.view.ConfirmUnchanged()
+		r.view.ListUnchanged()
 	case !r.view.ApplyList(time.Now(), s):
 		r.log.WithFields(logrus.Fields{"version": s.Version, "instances": len(s.Instances)}).
 			Warn("instance list empty or older than the last one; not yet accepted")
@@ -109,9 +109,9 @@
 	e := Evidence{ID: m.ID, Kind: Answered, Address: m.Address, Incarnation: res.Incarnation, Started: started}
 	switch {
 	case errors.Is(err, ErrConnectionRefused):
-		e.Kind = Refused
+		e.Kind = ConnectionRefused
 	case err != nil:
-		e.Kind = Silent
+		e.Kind = TimedOut
 	case res.Draining:
 		e.Kind = Draining
 	}
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -22,7 +22,7 @@
 	// from its last answer or from its removal from the list, whichever is later.
 	AbsentTimeout time.Duration
 	// ResponseTimeout is the time without a response after which an attempt or probe is reported as
-	// Silent.
+	// TimedOut.
 	ResponseTimeout time.Duration
 	// EjectAfterTimeouts is the number of timeouts since the last answer after which a member is
 	// ejected. The first one makes it a suspect.
--- a/membership/view.go
+++ b/membership/view.go
@@ -39,8 +39,8 @@
 // Member is one instance ID of the list, with the state that this process has derived for it.
 type Member struct {
 	external.Instance
-	// View is the derived state. It takes precedence over the state in the list.
-	View State
+	// DerivedState takes precedence over the state in the list.
+	DerivedState State
 	// Incarnation is the highest incarnation that has answered, empty if none has.
 	Incarnation string
 	// Usable reports whether the member may get new work.
@@ -187,9 +187,9 @@
 	return !v.list.unconfirmedSince.IsZero()
 }
 
-// ConfirmUnchanged records that the list service reported no change since the last accepted list. An
+// ListUnchanged records that the list service reported no change since the last accepted list. An
 // empty or older list that comes later must then be returned for the whole ListConfirmTime again.
-func (v *View) ConfirmUnchanged() {
+func (v *View) ListUnchanged() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.list.unconfirmedSince = time.Time{}
@@ -269,9 +269,9 @@
 	return s != "" && strings.Trim(s, "0123456789") == ""
 }
 
-// Advance removes the members that are absent from the list and are draining, have refused a connection,
+// RemoveExpired removes the members that are absent from the list and are draining, have refused a connection,
 // or have neither been listed nor answered for Settings.AbsentTimeout.
-func (v *View) Advance(now time.Time) {
+func (v *View) RemoveExpired(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, m := range v.members {
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -44,10 +44,10 @@
 
 func state(v *membership.View, id string) membership.State {
 	m, _ := v.Snapshot().Member(id)
-	return m.View
+	return m.DerivedState
 }
 
-func evidence(id string, k membership.Kind, incarnation string, at time.Time) membership.Evidence {
+func evidence(id string, k membership.EvidenceKind, incarnation string, at time.Time) membership.Evidence {
 	return membership.Evidence{ID: id, Kind: k, Address: id + ":1", Incarnation: incarnation, Started: at}
 }
 
@@ -62,7 +62,7 @@
 		v := newView(t)
 		require.True(t, v.ApplyList(start, snapshot(5, workers(4, "a"))))
 		require.False(t, v.ApplyList(start.Add(time.Second), list), name)
-		v.ConfirmUnchanged()
+		v.ListUnchanged()
 		require.False(t, v.ApplyList(start.Add(settings.ListConfirmTime+time.Second), list), "%s: an unchanged list restarts the confirmation time", name)
 		require.Len(t, v.Snapshot().Usable(service), 4)
 		now := start.Add(2*settings.ListConfirmTime + 2*time.Second)
@@ -76,11 +76,11 @@
 		// A member that answers stays although it is absent from the list.
 		now = now.Add(time.Second)
 		v.Observe(now, evidence("a-03", membership.Answered, "1", now))
-		v.Advance(now.Add(settings.AbsentTimeout - time.Second))
+		v.RemoveExpired(now.Add(settings.AbsentTimeout - time.Second))
 		require.Equal(t, membership.StateLive, state(v, "a-03"))
 		require.Empty(t, state(v, "a-02"))
 		require.NotEmpty(t, v.ProbesDue(now.Add(settings.AbsentTimeout/2)))
-		v.Advance(now.Add(settings.AbsentTimeout))
+		v.RemoveExpired(now.Add(settings.AbsentTimeout))
 		require.Empty(t, state(v, "a-03"))
 	}
 }
@@ -136,17 +136,17 @@
 		}
 		v.Observe(start, membership.Evidence{ID: in.ID, Kind: membership.Draining, Address: in.Address, Incarnation: "9", Started: start})
 		m, _ := v.Snapshot().Member(in.ID)
-		require.Equal(t, membership.StateLive, m.View, "a drain notice from the superseded process")
+		require.Equal(t, membership.StateLive, m.DerivedState, "a drain notice from the superseded process")
 		require.Equal(t, duplicate.Address, m.Address)
 
 		// The current process has ended, and a third one starts at the listed address.
 		afterEnd := start.Add(time.Second)
-		v.Observe(afterEnd, membership.Evidence{ID: in.ID, Kind: membership.Refused, Address: duplicate.Address, Started: afterEnd})
+		v.Observe(afterEnd, membership.Evidence{ID: in.ID, Kind: membership.ConnectionRefused, Address: duplicate.Address, Started: afterEnd})
 		m, _ = v.Snapshot().Member(in.ID)
 		require.Equal(t, in.Address, m.Address)
 		v.Observe(afterEnd, evidence(in.ID, membership.Answered, "11", afterEnd))
 		m, _ = v.Snapshot().Member(in.ID)
-		require.Equal(t, membership.StateLive, m.View)
+		require.Equal(t, membership.StateLive, m.DerivedState)
 		require.Equal(t, in.Address, m.Address)
 	}
 }
@@ -157,21 +157,21 @@
 	v := newView(t)
 	v.ApplyList(start, snapshot(1, workers(4, "a")))
 	now := start
-	v.Observe(now, evidence("a-00", membership.Refused, "", now))
+	v.Observe(now, evidence("a-00", membership.ConnectionRefused, "", now))
 	require.Equal(t, membership.StateEjected, state(v, "a-00"), "a refused connection ejects at once")
 	probes := 0
 	for ; now.Before(start.Add(5 * time.Minute)); now = now.Add(settings.ProbeTick) {
 		for _, m := range v.ProbesDue(now) {
 			require.Equal(t, "a-00", m.ID)
 			probes++
-			v.Observe(now, evidence(m.ID, membership.Refused, "", now))
+			v.Observe(now, evidence(m.ID, membership.ConnectionRefused, "", now))
 		}
 	}
 	require.Greater(t, probes, 10)
 	require.Less(t, probes, 50)
 	v.Observe(now, evidence("a-00", membership.Answered, "2", now))
 	require.Equal(t, membership.StateLive, state(v, "a-00"))
-	v.Observe(now.Add(time.Second), evidence("a-00", membership.Refused, "", now.Add(-time.Second)))
+	v.Observe(now.Add(time.Second), evidence("a-00", membership.ConnectionRefused, "", now.Add(-time.Second)))
 	require.Equal(t, membership.StateLive, state(v, "a-00"), "a refusal of an attempt sent before the answer")
 	require.Empty(t, v.ProbesDue(now.Add(time.Hour)))
 }
@@ -184,7 +184,7 @@
 	list := workers(128, "a", "b")
 	v.ApplyList(start, snapshot(1, list))
 	for _, in := range list {
-		v.Observe(start, evidence(in.ID, membership.Refused, "", start))
+		v.Observe(start, evidence(in.ID, membership.ConnectionRefused, "", start))
 	}
 	probed := map[string]int{}
 	total := 0
@@ -212,8 +212,8 @@
 		for range rapid.IntRange(1, 120).Draw(t, "observations") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
 			id := list[rapid.IntRange(0, len(list)-1).Draw(t, "member")].ID
-			kind := rapid.SampledFrom([]membership.Kind{
-				membership.Answered, membership.Draining, membership.Refused, membership.Silent, membership.Silent, membership.Silent,
+			kind := rapid.SampledFrom([]membership.EvidenceKind{
+				membership.Answered, membership.Draining, membership.ConnectionRefused, membership.TimedOut, membership.TimedOut, membership.TimedOut,
 			}).Draw(t, "kind")
 			v.Observe(now, evidence(id, kind, "", now))
 			switch kind {
@@ -221,7 +221,7 @@
 				draining[id], refused[id] = false, false
 			case membership.Draining:
 				draining[id], refused[id] = true, false
-			case membership.Refused:
+			case membership.ConnectionRefused:
 				refused[id] = true
 			}
 			v.ProbesDue(now)
@@ -236,20 +236,20 @@
 	for _, m := range s.Members {
 		switch {
 		case draining[m.ID]:
-			require.Equal(t, membership.StateLeaving, m.View)
+			require.Equal(t, membership.StateLeaving, m.DerivedState)
 		case refused[m.ID]:
-			require.Equal(t, membership.StateEjected, m.View)
-		case m.View == membership.StateEjected:
+			require.Equal(t, membership.StateEjected, m.DerivedState)
+		case m.DerivedState == membership.StateEjected:
 			ejected[m.DataCentre]++
 			withheld++
-		case m.View == membership.StateSuspect && !m.Usable:
+		case m.DerivedState == membership.StateSuspect && !m.Usable:
 			withheld++
-		case m.View == membership.StateLive:
+		case m.DerivedState == membership.StateLive:
 			require.True(t, m.Usable)
 		}
 		if m.Usable {
 			usable++
-			require.NotContains(t, []membership.State{membership.StateLeaving, membership.StateEjected}, m.View)
+			require.NotContains(t, []membership.State{membership.StateLeaving, membership.StateEjected}, m.DerivedState)
 		}
 	}
 	require.Len(t, s.Usable(service), usable)
--- a/modules/enginehttp/enginehttp.go
+++ b/modules/enginehttp/enginehttp.go
@@ -36,7 +36,7 @@
 
 // Cancel implements external.Engine.
 func (c *Client) Cancel(ctx context.Context, requestID string) error {
-	return c.callWithTimeout(ctx, http.MethodPost, enginewire.PathCancel, enginewire.Cancel{RequestID: requestID}, nil)
+	return c.callWithTimeout(ctx, http.MethodPost, enginewire.PathCancel, enginewire.RequestRef{RequestID: requestID}, nil)
 }
 
 // State implements external.Engine.
@@ -65,15 +65,15 @@
 
 // ExportKV implements external.Engine.
 func (c *Client) ExportKV(ctx context.Context, requestID string) ([]byte, error) {
-	var b enginewire.Blob
-	err := c.callWithTimeout(ctx, http.MethodPost, enginewire.PathExport, enginewire.Cancel{RequestID: requestID}, &b)
+	var b enginewire.KVCache
+	err := c.callWithTimeout(ctx, http.MethodPost, enginewire.PathExport, enginewire.RequestRef{RequestID: requestID}, &b)
 	return b.Data, err
 }
 
 // ImportKV implements external.Engine.
 func (c *Client) ImportKV(ctx context.Context, data []byte) (string, error) {
 	var h enginewire.Handle
-	err := c.callWithTimeout(ctx, http.MethodPost, enginewire.PathImport, enginewire.Blob{Data: data}, &h)
+	err := c.callWithTimeout(ctx, http.MethodPost, enginewire.PathImport, enginewire.KVCache{Data: data}, &h)
 	return h.Handle, err
 }
 
--- a/modules/enginehttp/enginehttp_test.go
+++ b/modules/enginehttp/enginehttp_test.go
@@ -21,7 +21,7 @@
 
 // loaded is a configuration in which model m is loaded.
 var loaded = external.EngineConfig{
-	Role: external.RoleMixed, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
+	Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
 }
 
 // newClient starts a server with a handler and returns a client of it.
--- a/modules/instanceshttp/instanceshttp.go
+++ b/modules/instanceshttp/instanceshttp.go
@@ -110,7 +110,7 @@
 
 // Leave marks an instance as leaving.
 func (c *Client) Leave(ctx context.Context, id string) error {
-	return c.call(ctx, http.MethodPost, instancewire.PathLeave, instancewire.Leave{ID: id}, nil)
+	return c.call(ctx, http.MethodPost, instancewire.PathLeave, instancewire.InstanceRef{ID: id}, nil)
 }
 
 // call sends a request with a timeout of callTimeout.
--- a/modules/kvhttp/kvhttp.go
+++ b/modules/kvhttp/kvhttp.go
@@ -36,19 +36,19 @@
 }
 
 // Get implements external.KV.
-func (c *Client) Get(ctx context.Context, key string) (external.Entry, error) {
+func (c *Client) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	resp, err := c.call(ctx, kvwire.PathGet, kvwire.Request{Key: key}, callTimeout)
 	if err != nil {
-		return external.Entry{}, convertReadError(err)
+		return external.KVEntry{}, convertReadError(err)
 	}
 	if len(resp.Entries) == 0 { // an invalid response: an absent key has an error code
-		return external.Entry{}, external.ErrUnavailable
+		return external.KVEntry{}, external.ErrUnavailable
 	}
 	return resp.Entries[0], nil
 }
 
 // List implements external.KV.
-func (c *Client) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string) ([]external.KVEntry, uint64, error) {
 	resp, err := c.call(ctx, kvwire.PathList, kvwire.Request{Key: prefix}, callTimeout)
 	return resp.Entries, resp.Revision, convertReadError(err)
 }
@@ -67,7 +67,7 @@
 }
 
 // Watch implements external.KV.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64) ([]external.KVEvent, uint64, error) {
 	resp, err := c.call(ctx, kvwire.PathWatch, kvwire.Request{Key: prefix, After: after}, watchTimeout)
 	if err != nil {
 		return nil, after, convertReadError(err)
--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -24,7 +24,7 @@
 			log.SetOutput(io.Discard)
 			store := kv.NewStore(kv.Limits{})
 			settings := once.DefaultSettings()
-			settings.Shards, settings.Window, settings.WritesPerSecond = 1, time.Microsecond, 1e9
+			settings.Shards, settings.ClaimDelay, settings.WritesPerSecond = 1, time.Microsecond, 1e9
 			c, err := once.NewCommitter(store, settings, log)
 			require.NoError(b, err)
 			b.ReportAllocs()
--- a/once/committer.go
+++ b/once/committer.go
@@ -225,7 +225,7 @@
 	return int(v[1])<<8 | int(v[2]), nil
 }
 
-func (c *Committer) get(ctx context.Context, key string) (external.Entry, error) {
+func (c *Committer) get(ctx context.Context, key string) (external.KVEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.CallTimeout)
 	defer cancel()
 	return c.kv.Get(ctx, key)
--- a/once/executor.go
+++ b/once/executor.go
@@ -8,7 +8,7 @@
 // Decision tells a sidecar whether to run an attempt.
 type Decision uint8
 
-// Decisions of Executor.Begin.
+// Decisions of AttemptTable.Begin.
 const (
 	// Run lets the sidecar send the attempt to the backend server.
 	Run Decision = iota + 1
@@ -16,15 +16,15 @@
 	// unrepeatable request that was already sent to the backend server. The request may have run: its
 	// outcome is unknown, never "not run".
 	RefuseDuplicate
-	// RefuseIncarnation refuses an attempt addressed to another incarnation. It did not run.
-	RefuseIncarnation
+	// RefuseWrongIncarnation refuses an attempt addressed to another incarnation. It did not run.
+	RefuseWrongIncarnation
 	// RefuseFull refuses an attempt because the table of attempts is full and none of them may be
 	// evicted. It did not run.
 	RefuseFull
 )
 
 // NotRun reports whether a refused attempt certainly did not run.
-func (d Decision) NotRun() bool { return d == RefuseIncarnation || d == RefuseFull }
+func (d Decision) NotRun() bool { return d == RefuseWrongIncarnation || d == RefuseFull }
 
 // Attempt identifies one attempt of a request that was delivered to a sidecar.
 type Attempt struct {
@@ -34,8 +34,8 @@
 	Repeatable  bool
 }
 
-// ExecutorSettings bound the executor's table of attempts.
-type ExecutorSettings struct {
+// AttemptTableSettings bound an AttemptTable.
+type AttemptTableSettings struct {
 	// Capacity is the largest number of attempts in the table.
 	Capacity int
 	// KeepFor is the time for which an ended attempt stays in the table. It must exceed the longest
@@ -44,16 +44,16 @@
 	KeepFor time.Duration
 }
 
-// DefaultExecutorSettings returns the default settings. An attempt in the table takes about 150 bytes.
-func DefaultExecutorSettings() ExecutorSettings {
-	return ExecutorSettings{Capacity: 1 << 16, KeepFor: 10 * time.Minute}
+// DefaultAttemptTableSettings returns the default settings. An attempt in the table takes about 150 bytes.
+func DefaultAttemptTableSettings() AttemptTableSettings {
+	return AttemptTableSettings{Capacity: 1 << 16, KeepFor: 10 * time.Minute}
 }
 
-// Executor detects duplicate deliveries: it keeps a table of the attempts that it allowed to run in this
+// AttemptTable detects duplicate deliveries: it keeps a table of the attempts that it allowed to run in this
 // incarnation of its sidecar. It is safe for concurrent use.
-type Executor struct {
+type AttemptTable struct {
 	incarnation string
-	settings    ExecutorSettings
+	settings    AttemptTableSettings
 
 	mu       sync.Mutex
 	attempts map[attemptKey]*attemptState
@@ -77,9 +77,9 @@
 	repeatable     bool
 }
 
-// NewExecutor returns an Executor for one incarnation of a sidecar.
-func NewExecutor(incarnation string, settings ExecutorSettings) *Executor {
-	return &Executor{
+// NewAttemptTable returns an AttemptTable for one incarnation of a sidecar.
+func NewAttemptTable(incarnation string, settings AttemptTableSettings) *AttemptTable {
+	return &AttemptTable{
 		incarnation:     incarnation,
 		settings:        settings,
 		attempts:        map[attemptKey]*attemptState{},
@@ -89,11 +89,11 @@
 
 // Begin decides whether an attempt may run and enters it in the table if so. After Run, the caller
 // must call End.
-func (e *Executor) Begin(now time.Time, a Attempt) Decision {
+func (e *AttemptTable) Begin(now time.Time, a Attempt) Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a.Incarnation != e.incarnation {
-		return RefuseIncarnation
+		return RefuseWrongIncarnation
 	}
 	k := attemptKey{a.RequestID, a.Number}
 	if e.attempts[k] != nil || !a.Repeatable && e.backendAttempts[a.RequestID] > 0 {
@@ -111,7 +111,7 @@
 // End records the end of an attempt for which Begin returned Run. If it did not reach the backend
 // server, for example because admission refused it, another attempt of the request may run. A repeated
 // delivery of the same attempt is still refused.
-func (e *Executor) End(now time.Time, a Attempt, reachedBackend bool) {
+func (e *AttemptTable) End(now time.Time, a Attempt, reachedBackend bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	k := attemptKey{a.RequestID, a.Number}
@@ -132,7 +132,7 @@
 }
 
 // Len returns the number of attempts in the table.
-func (e *Executor) Len() int {
+func (e *AttemptTable) Len() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.attempts)
@@ -140,7 +140,7 @@
 
 // evict removes attempts that ended more than KeepFor ago, and ended attempts of repeatable requests
 // while the table is full.
-func (e *Executor) evict(now time.Time) {
+func (e *AttemptTable) evict(now time.Time) {
 	expired := func(k attemptKey) bool { return now.Sub(e.attempts[k].endedAt) > e.settings.KeepFor }
 	for len(e.ended) > 0 && expired(e.ended[0]) {
 		e.remove(e.ended[0])
@@ -152,14 +152,14 @@
 	}
 }
 
-func (e *Executor) remove(k attemptKey) {
+func (e *AttemptTable) remove(k attemptKey) {
 	if e.attempts[k].reachedBackend {
 		e.removeBackendAttempt(k.requestID)
 	}
 	delete(e.attempts, k)
 }
 
-func (e *Executor) removeBackendAttempt(requestID string) {
+func (e *AttemptTable) removeBackendAttempt(requestID string) {
 	if e.backendAttempts[requestID]--; e.backendAttempts[requestID] <= 0 {
 		delete(e.backendAttempts, requestID)
 	}
--- a/once/harness_test.go
+++ b/once/harness_test.go
@@ -79,7 +79,7 @@
 
 type sidecar struct {
 	incarnation string
-	exec        *once.Executor
+	exec        *once.AttemptTable
 }
 
 func newCluster(entries int, settings once.Settings) *cluster {
@@ -103,7 +103,7 @@
 	id := c.nextID("incarnation")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sidecar = &sidecar{id, once.NewExecutor(id, once.DefaultExecutorSettings())}
+	c.sidecar = &sidecar{id, once.NewAttemptTable(id, once.DefaultAttemptTableSettings())}
 }
 
 // replaceEntry kills the entry at position i, if there is one, and starts another one in its place.
@@ -258,7 +258,7 @@
 	return "segment." + call
 }
 
-func (k entryKV) Get(ctx context.Context, key string) (e external.Entry, err error) {
+func (k entryKV) Get(ctx context.Context, key string) (e external.KVEntry, err error) {
 	err = k.e.call(ctx, stepOf(key, "get"), external.ErrUnavailable, external.ErrUnavailable, func(ctx context.Context) error {
 		time.Sleep(kvLatency)
 		var err error
--- a/once/measure_test.go
+++ b/once/measure_test.go
@@ -37,7 +37,7 @@
 	largest int
 }
 
-func (m *meteredKV) Get(ctx context.Context, key string) (external.Entry, error) {
+func (m *meteredKV) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	time.Sleep(kvLatency)
 	return m.Store.Get(ctx, key)
 }
--- a/once/queue.go
+++ b/once/queue.go
@@ -32,7 +32,7 @@
 }
 
 func (w *shardWorker) enqueue(r Request) *queuedRequest {
-	wait := w.committer.settings.Window
+	wait := w.committer.settings.ClaimDelay
 	if r.Action != ActionClaim {
 		wait = max(wait, w.committer.settings.CompletionDelay)
 	}
--- a/once/settings.go
+++ b/once/settings.go
@@ -11,8 +11,8 @@
 	// Shards is the number of shards of a service, recorded at the service's first request. It cannot
 	// be changed later.
 	Shards int
-	// Window is the time for which claims are collected into a batch before a write.
-	Window time.Duration
+	// ClaimDelay is the time for which claims are collected into a batch before a write.
+	ClaimDelay time.Duration
 	// CompletionDelay is the longest time for which completions and releases wait to be batched with a
 	// claim.
 	CompletionDelay time.Duration
@@ -56,7 +56,7 @@
 		// Fewer shards give larger batches: at 1,200 claims/s, the 99th percentile of the added latency
 		// is 43 ms with 8 shards and 23 ms with 4.
 		Shards:          4,
-		Window:          3 * time.Millisecond,
+		ClaimDelay:      3 * time.Millisecond,
 		CompletionDelay: 200 * time.Millisecond,
 		WritesPerSecond: 200,
 		MaxBatch:        512,
--- a/once/shard_test.go
+++ b/once/shard_test.go
@@ -118,14 +118,14 @@
 // not run, and a table that grows without bound.
 func TestExecutor(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	settings := once.ExecutorSettings{Capacity: 4, KeepFor: time.Minute}
-	e := once.NewExecutor("2", settings)
+	settings := once.AttemptTableSettings{Capacity: 4, KeepFor: time.Minute}
+	e := once.NewAttemptTable("2", settings)
 	a := once.Attempt{RequestID: "a", Number: 1, Incarnation: "2"}
 	stale, second := a, a
 	stale.Incarnation, second.Number = "1", 2
 
-	require.Equal(t, once.RefuseIncarnation, e.Begin(now, stale))
-	require.True(t, once.RefuseIncarnation.NotRun())
+	require.Equal(t, once.RefuseWrongIncarnation, e.Begin(now, stale))
+	require.True(t, once.RefuseWrongIncarnation.NotRun())
 	require.False(t, once.RefuseDuplicate.NotRun())
 	require.Equal(t, once.Run, e.Begin(now, a))
 	require.Equal(t, once.RefuseDuplicate, e.Begin(now, a))
--- a/order/attempt.go
+++ b/order/attempt.go
@@ -143,7 +143,7 @@
 
 // authoriseApply reads the record and the pool again, immediately before the order is applied. It
 // returns nil if the record is unchanged, the pool is held under the order's fence number, and the
-// reads began at most EffectBound ago. It then sets executingOrder, under the mutex that Seal takes
+// reads began at most MaxReadAge ago. It then sets executingOrder, under the mutex that Seal takes
 // too, so that Seal either comes first or reports the order.
 func (e *Executor) authoriseApply(ctx context.Context, v versionedRecord) error {
 	began := time.Now()
@@ -161,16 +161,16 @@
 	if current.version != v.version {
 		return fmt.Errorf("record version %d, expected %d: %w", current.version, v.version, ErrConflict)
 	}
-	if !pool.Current(v.Fence, pool.Fence.Holder) {
-		return fmt.Errorf("pool is not held under fence %d (pool fence %d, holder key present: %t): %w", v.Fence, pool.Fence.Fence, pool.Present, ErrStaleFence)
+	if !pool.HeldUnder(v.Fence, pool.FenceRecord.Holder) {
+		return fmt.Errorf("pool is not held under fence %d (pool fence %d, holder key present: %t): %w", v.Fence, pool.FenceRecord.Fence, pool.HasHolder, ErrStaleFence)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if v.Fence != e.highestFence {
 		return fmt.Errorf("engine sealed under fence %d, order has fence %d: %w", e.highestFence, v.Fence, ErrConflict)
 	}
-	if age := time.Since(began); age > EffectBound {
-		return fmt.Errorf("%v since the reads began, at most %v allowed: %w", age, EffectBound, ErrTooSlow)
+	if age := time.Since(began); age > MaxReadAge {
+		return fmt.Errorf("%v since the reads began, at most %v allowed: %w", age, MaxReadAge, ErrReadTooOld)
 	}
 	e.executingOrder = v.Number
 	return nil
--- a/order/doc.go
+++ b/order/doc.go
@@ -19,9 +19,9 @@
 //     (fails) an order that has not begun to execute, and waits for the end of one that has.
 //   - Immediately before it applies an order, the sidecar reads the record, the pool's fence and
 //     its holder. The record must be unchanged, the pool must be held under the order's fence
-//     number, and the order must be sent to the engine within EffectBound after the reads began.
+//     number, and the order must be sent to the engine within MaxReadAge after the reads began.
 //   - A sidecar that starts takes the next incarnation number. It then waits for slightly longer
-//     than EffectBound, because an earlier sidecar may still apply an order that an earlier read
+//     than MaxReadAge, because an earlier sidecar may still apply an order that an earlier read
 //     allowed, and asks the engine for its state before it accepts an order.
 //   - If an engine's state is not the recorded one, the sidecar sets the record's field Unknown.
 //     The planner then issues the recorded configuration under a new number.
@@ -29,7 +29,7 @@
 // An order costs 5 reads and 4 writes of the key-value service, and a handover costs 2 reads and 1
 // write per engine. A sidecar without orders makes 1 read per 30 s.
 //
-// Known limitation: the process may be paused between the last check of EffectBound and the send
+// Known limitation: the process may be paused between the last check of MaxReadAge and the send
 // of the order on loopback. A sidecar paused there acknowledges no seal, so no new planner takes
 // over the engine before the order is sent. If a second sidecar has claimed the engine in the
 // meantime, only an engine that checks fence numbers refuses the late order.
--- a/order/engine_test.go
+++ b/order/engine_test.go
@@ -246,5 +246,5 @@
 
 // poolEvent converts a pool state to an event of the history.
 func poolEvent(s lease.PoolState) historyEvent {
-	return historyEvent{kind: "pool", fence: s.Fence.Fence, held: s.Current(s.Fence.Fence, s.Fence.Holder)}
+	return historyEvent{kind: "pool", fence: s.FenceRecord.Fence, held: s.HeldUnder(s.FenceRecord.Fence, s.FenceRecord.Holder)}
 }
--- a/order/errors.go
+++ b/order/errors.go
@@ -31,12 +31,12 @@
 	ErrNotReady = errors.New("sidecar has not established its state")
 	// ErrWrongEngine means that a message is for another pool or engine.
 	ErrWrongEngine = errors.New("message is for another engine")
-	// ErrForgedFence means that the key-value service does not confirm the fence number and holder,
+	// ErrFenceNotConfirmed means that the key-value service does not confirm the fence number and holder,
 	// for example because the pool has changed hands since the message was sent.
-	ErrForgedFence = errors.New("pool record does not confirm the fence number and holder")
-	// ErrTooSlow means that the order would be applied more than EffectBound after the start of the
+	ErrFenceNotConfirmed = errors.New("pool record does not confirm the fence number and holder")
+	// ErrReadTooOld means that the order would be applied more than MaxReadAge after the start of the
 	// reads that allow it.
-	ErrTooSlow = errors.New("authorising read is too old")
+	ErrReadTooOld = errors.New("authorising read is too old")
 	// ErrEngine means that the engine's state cannot be read, or that it keeps changing.
 	ErrEngine = errors.New("engine state is not established")
 	// ErrDrain means that the engine could not be drained: either the drain could not begin, or
--- a/order/executor.go
+++ b/order/executor.go
@@ -15,14 +15,14 @@
 	"github.com/quetzallug/quetzallug/lease"
 )
 
-// EffectBound is the maximum time between the start of the reads that allow an order and its
+// MaxReadAge is the maximum time between the start of the reads that allow an order and its
 // application to the engine. It is far below the lease's TTL: after a pause in which another planner
 // could have sealed the engine, the reads from before the pause are too old to be used.
-const EffectBound = 500 * time.Millisecond
+const MaxReadAge = 500 * time.Millisecond
 
 // claimWait is the delay after a claim. It covers the time in which an earlier sidecar may still
 // apply an order, and the time that its call takes to reach the engine on loopback.
-const claimWait = EffectBound + 100*time.Millisecond
+const claimWait = MaxReadAge + 100*time.Millisecond
 
 // Defaults of ExecutorConfig.
 const (
@@ -231,7 +231,7 @@
 	}
 	e.lastRecord = v
 	e.mu.Lock()
-	e.highestFence, e.ready = max(e.highestFence, pool.Fence.Fence), true
+	e.highestFence, e.ready = max(e.highestFence, pool.FenceRecord.Fence), true
 	e.mu.Unlock()
 	e.cfg.Log.WithFields(logrus.Fields{
 		"engine": e.cfg.Engine, "incarnation": v.Incarnation, "order": v.Number, "phase": v.Phase, "unknown": v.Unknown,
@@ -279,8 +279,8 @@
 	if err != nil {
 		return SealResult{}, fmt.Errorf("confirm fence %d: %w: %w", r.Fence, ErrStore, err)
 	}
-	if !pool.Current(r.Fence, r.Holder) {
-		return SealResult{}, fmt.Errorf("fence %d of %q, pool has fence %d: %w", r.Fence, r.Holder, pool.Fence.Fence, ErrForgedFence)
+	if !pool.HeldUnder(r.Fence, r.Holder) {
+		return SealResult{}, fmt.Errorf("fence %d of %q, pool has fence %d: %w", r.Fence, r.Holder, pool.FenceRecord.Fence, ErrFenceNotConfirmed)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/order/faults_test.go
+++ b/order/faults_test.go
@@ -76,7 +76,7 @@
 
 // kill ends a process and later starts a new one of the same kind.
 func (sim *simulation) kill(p *fault.Process) {
-	if p.Dead() {
+	if p.Killed() {
 		return
 	}
 	p.Kill()
@@ -97,9 +97,9 @@
 func (sim *simulation) faultAction(name string, at faultTiming, p *fault.Process) fault.Action {
 	switch name {
 	case faultLost:
-		return fault.Action{Lose: true}
+		return fault.Action{LoseResponse: true}
 	case faultDuplicate:
-		return fault.Action{Twice: true}
+		return fault.Action{ExecuteTwice: true}
 	}
 	inject := func() { sim.injectFault(name, p) }
 	switch at {
@@ -198,7 +198,7 @@
 			entries := slices.Clone(sim.entries)
 			sim.mu.Unlock()
 			for _, e := range entries {
-				if e.Name == state.Holder.Holder {
+				if e.Name == state.HolderRecord.Holder {
 					go sim.kill(e)
 				}
 			}
--- a/order/guards_test.go
+++ b/order/guards_test.go
@@ -73,7 +73,7 @@
 
 func (fx *fixture) takeOver(a lease.Authority) {
 	fx.t.Helper()
-	_, err := fx.planner.Own(fx.t.Context(), a, engineName)
+	_, err := fx.planner.TakeOver(fx.t.Context(), a, engineName)
 	require.NoError(fx.t, err)
 }
 
@@ -171,9 +171,9 @@
 		fx.takeOver(fx.grantPool(3, time.Minute))
 		e, ctx := fx.sidecar.executor, t.Context()
 		_, err := e.Seal(ctx, order.SealRequest{Pool: pool, Engine: engineName, Fence: 99, Holder: "holder"})
-		require.ErrorIs(t, err, order.ErrForgedFence)
+		require.ErrorIs(t, err, order.ErrFenceNotConfirmed)
 		_, err = e.Seal(ctx, order.SealRequest{Pool: pool, Engine: engineName, Fence: 3, Holder: "other"})
-		require.ErrorIs(t, err, order.ErrForgedFence)
+		require.ErrorIs(t, err, order.ErrFenceNotConfirmed)
 		_, err = e.Seal(ctx, order.SealRequest{Pool: pool, Engine: "e2", Fence: 3, Holder: "holder"})
 		require.ErrorIs(t, err, order.ErrWrongEngine)
 		require.ErrorIs(t, e.NotifyOrder(ctx, order.Notice{Pool: pool, Engine: engineName, Fence: 2}), order.ErrStaleFence)
@@ -232,7 +232,7 @@
 		})
 		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(20 * time.Second)
-		require.True(t, fx.sidecar.process.Dead(), "the first sidecar still runs")
+		require.True(t, fx.sidecar.process.Killed(), "the first sidecar still runs")
 		require.Equal(t, 1, fx.applyCount())
 		require.Equal(t, uint64(2), fx.record().Incarnation)
 	})
@@ -247,7 +247,7 @@
 			return fault.Action{After: func() {
 				fx.noRequests = true // a drain would hide a missing claimWait
 				fx.startSidecar()
-				p.Pause(400 * time.Millisecond) // below EffectBound: the order may be applied
+				p.Pause(400 * time.Millisecond) // below MaxReadAge: the order may be applied
 			}}
 		})
 		require.NoError(t, fx.issue(a, 1))
@@ -381,7 +381,7 @@
 	withFixture(t, func(t *testing.T, fx *fixture) {
 		a := fx.grantPool(1, time.Minute)
 		fx.takeOver(a)
-		fx.onFirstCall(isOp("apply"), func(*fault.Process) fault.Action { return fault.Action{Lose: true} })
+		fx.onFirstCall(isOp("apply"), func(*fault.Process) fault.Action { return fault.Action{LoseResponse: true} })
 		require.NoError(t, fx.issue(a, 1))
 		time.Sleep(10 * time.Second)
 		require.Equal(t, order.PhaseDone, fx.record().Phase)
--- a/order/planner.go
+++ b/order/planner.go
@@ -44,10 +44,10 @@
 	return l
 }
 
-// Own seals an engine's sidecar under the authority's fence number and adopts the engine's record.
+// TakeOver seals an engine's sidecar under the authority's fence number and adopts the engine's record.
 // An order that has not begun to execute is withdrawn. If the returned record is not settled, the
 // sidecar is still executing the order, and Issue fails with ErrUnsettled until it has ended.
-func (p *Planner) Own(ctx context.Context, a lease.Authority, engine string) (Record, error) {
+func (p *Planner) TakeOver(ctx context.Context, a lease.Authority, engine string) (Record, error) {
 	if err := checkAuthority(a); err != nil {
 		return Record{}, err
 	}
--- a/order/property_test.go
+++ b/order/property_test.go
@@ -39,12 +39,12 @@
 	sim.mu.Lock()
 	var living []*fault.Process
 	for _, p := range sim.entries {
-		if !p.Dead() {
+		if !p.Killed() {
 			living = append(living, p)
 		}
 	}
 	for _, sc := range sim.sidecars {
-		if !sc.process.Dead() {
+		if !sc.process.Killed() {
 			living = append(living, sc.process)
 		}
 	}
@@ -184,5 +184,5 @@
 }
 
 func config(n int) external.EngineConfig {
-	return external.EngineConfig{Role: external.RoleMixed, Models: []external.ModelVersion{{Name: "m", Version: fmt.Sprint(n)}}}
+	return external.EngineConfig{Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: "m", Version: fmt.Sprint(n)}}}
 }
--- a/order/store.go
+++ b/order/store.go
@@ -33,7 +33,7 @@
 	return decode(e)
 }
 
-func decode(e external.Entry) (versionedRecord, error) {
+func decode(e external.KVEntry) (versionedRecord, error) {
 	v := versionedRecord{version: e.Version}
 	if err := json.Unmarshal(e.Value, &v.Record); err != nil {
 		return versionedRecord{}, fmt.Errorf("read %q: %w: %w", e.Key, ErrBadRecord, err)
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -144,7 +144,7 @@
 	for ctx.Err() == nil {
 		if a, ok := m.Authority(pool); ok {
 			if ownedFence != a.Fence {
-				if _, err := planner.Own(ctx, a, engineName); err == nil {
+				if _, err := planner.TakeOver(ctx, a, engineName); err == nil {
 					ownedFence = a.Fence
 				}
 			}
@@ -171,7 +171,7 @@
 }
 
 func (sim *simulation) desiredConfig() external.EngineConfig {
-	roles := []external.Role{external.RoleMixed, external.RolePrefill, external.RoleDecode}
+	roles := []external.EngineRole{external.EngineRoleMixed, external.EngineRolePrefill, external.EngineRoleDecode}
 	n := int(min(time.Since(sim.began), changesEnd) / (7 * time.Second))
 	return external.EngineConfig{Role: roles[n%len(roles)], Models: []external.ModelVersion{{Name: "m", Version: fmt.Sprint(n)}}}
 }
@@ -201,7 +201,7 @@
 func (sim *simulation) reachableSidecar() *sidecar {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	living := slices.DeleteFunc(slices.Clone(sim.sidecars), func(s *sidecar) bool { return s.process.Dead() })
+	living := slices.DeleteFunc(slices.Clone(sim.sidecars), func(s *sidecar) bool { return s.process.Killed() })
 	if len(living) == 0 {
 		return nil
 	}
@@ -247,7 +247,7 @@
 		}
 		done := make(chan answer, 1)
 		go func() {
-			if !s.process.Gate() {
+			if !s.process.WaitWhilePaused() {
 				done <- answer{err: errLost}
 				return
 			}
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -28,7 +28,7 @@
 }
 
 // measureDemand converts the offered tokens to a demand, which is zero if the snapshot's Interval is
-// zero. A kind counts as short if its mean prompt has at most ShortPrefill tokens. It also updates
+// zero. A kind counts as short if its mean prompt has at most MaxShortPrefill tokens. It also updates
 // the moving averages of the slack and of the rank weights.
 func (p *Planner) measureDemand(s *Snapshot) workParts {
 	var d, weighted workParts
@@ -43,7 +43,7 @@
 		decode := k.OutputTokens / seconds * perDecodeToken
 		d.decode += decode
 		weighted.decode += decode * rankWeight(k.Rank)
-		if k.PromptTokens <= k.Requests*float64(p.cfg.ShortPrefill) {
+		if k.PromptTokens <= k.Requests*float64(p.cfg.MaxShortPrefill) {
 			d.short += prefill
 			weighted.short += prefill * rankWeight(k.Rank)
 			continue
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -30,7 +30,7 @@
 	DefaultMaxChangingShare  = 0.3
 	DefaultWarmUp            = 30 * time.Second
 	DefaultChangeTime        = 5 * time.Second
-	DefaultShortPrefill      = 512
+	DefaultMaxShortPrefill   = 512
 	DefaultMixedPrefillShare = 0.3
 	DefaultMinLossReduction  = 0.15
 )
@@ -67,8 +67,8 @@
 	WarmUp time.Duration
 	// ChangeTime is the duration of a role change, without draining.
 	ChangeTime time.Duration
-	// ShortPrefill is the maximum number of prompt tokens that a decode engine prefills itself.
-	ShortPrefill int
+	// MaxShortPrefill is the maximum number of prompt tokens that a decode engine prefills itself.
+	MaxShortPrefill int
 	// MixedPrefillShare is the share of the spare capacity of a mixed engine that counts towards
 	// prefill.
 	MixedPrefillShare float64
@@ -106,8 +106,8 @@
 			*f.value = f.fallback
 		}
 	}
-	if c.ShortPrefill <= 0 {
-		c.ShortPrefill = DefaultShortPrefill
+	if c.MaxShortPrefill <= 0 {
+		c.MaxShortPrefill = DefaultMaxShortPrefill
 	}
 	return c
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -30,9 +30,9 @@
 		},
 	}
 	for i := range prefill + decode {
-		role := external.RolePrefill
+		role := external.EngineRolePrefill
 		if i >= prefill {
-			role = external.RoleDecode
+			role = external.EngineRoleDecode
 		}
 		s.Engines = append(s.Engines, placement.Engine{
 			ID: fmt.Sprint("e", i), State: placement.Serving, Since: start.Add(-time.Hour),
@@ -68,7 +68,7 @@
 	changes := runRounds(p, s, weights, 300, 120)
 	require.NotEmpty(t, changes)
 	for _, c := range changes {
-		assert.NotEqual(t, external.RolePrefill, c.Config.Role)
+		assert.NotEqual(t, external.EngineRolePrefill, c.Config.Role)
 		assert.NotEmpty(t, c.Reason)
 	}
 	assert.Empty(t, runRounds(p, s, weights, 420, 300), "settled")
@@ -130,10 +130,10 @@
 			canPrefill, canDecode := 0, 0
 			for _, e := range byID {
 				if e.State == placement.Serving || e.State == placement.Changing {
-					if e.Config.Role != external.RoleDecode {
+					if e.Config.Role != external.EngineRoleDecode {
 						canPrefill++
 					}
-					if e.Config.Role != external.RolePrefill {
+					if e.Config.Role != external.EngineRolePrefill {
 						canDecode++
 					}
 				}
@@ -159,7 +159,7 @@
 	require.Len(t, changes, 1)
 	assert.Equal(t, "e0", changes[0].Engine)
 	assert.Equal(t, s.Models, changes[0].Config.Models)
-	assert.Equal(t, external.RolePrefill, changes[0].Config.Role)
+	assert.Equal(t, external.EngineRolePrefill, changes[0].Config.Role)
 	assert.InDelta(t, 45, changes[0].Cost, 0.1)
 	assert.Len(t, runRounds(p, s, weights, 1, 10), 3)
 }
--- a/placement/split.go
+++ b/placement/split.go
@@ -14,29 +14,29 @@
 	return fmt.Sprintf("%d prefill, %d mixed, %d decode", s.prefill, s.mixed, s.decode)
 }
 
-func (s split) count(r external.Role) int {
+func (s split) count(r external.EngineRole) int {
 	switch r {
-	case external.RolePrefill:
+	case external.EngineRolePrefill:
 		return s.prefill
-	case external.RoleDecode:
+	case external.EngineRoleDecode:
 		return s.decode
 	default:
 		return s.mixed
 	}
 }
 
-func (s *split) add(r external.Role, n int) {
+func (s *split) add(r external.EngineRole, n int) {
 	switch r {
-	case external.RolePrefill:
+	case external.EngineRolePrefill:
 		s.prefill += n
-	case external.RoleDecode:
+	case external.EngineRoleDecode:
 		s.decode += n
 	default:
 		s.mixed += n
 	}
 }
 
-var roles = [...]external.Role{external.RolePrefill, external.RoleMixed, external.RoleDecode}
+var roles = [...]external.EngineRole{external.EngineRolePrefill, external.EngineRoleMixed, external.EngineRoleDecode}
 
 // pool is the state of the pool during one round.
 type pool struct {
@@ -83,8 +83,8 @@
 // changeCost returns the engine time, in seconds, that a change of one engine takes out of service:
 // the change itself and half of the drain, because a draining engine still works on its sequences.
 // A prefill engine drains in about a second.
-func (p *Planner) changeCost(from external.Role) float64 {
-	if from == external.RolePrefill {
+func (p *Planner) changeCost(from external.EngineRole) float64 {
+	if from == external.EngineRolePrefill {
 		return p.cfg.ChangeTime.Seconds() + 1
 	}
 	return p.cfg.ChangeTime.Seconds() + assumedDrainSeconds/2
@@ -176,7 +176,7 @@
 
 // surplusAndShortage returns the role with the largest surplus of engines and the one with the
 // largest shortage.
-func surplusAndShortage(current, to split) (from, want external.Role) {
+func surplusAndShortage(current, to split) (from, want external.EngineRole) {
 	most, least := 0, 0
 	for _, r := range roles {
 		diff := current.count(r) - to.count(r)
@@ -195,7 +195,7 @@
 const tokensPerSequence = 100
 
 // leastLoaded returns the index of the least loaded engine of a role that may change, or -1.
-func leastLoaded(s *Snapshot, pool *pool, role external.Role) int {
+func leastLoaded(s *Snapshot, pool *pool, role external.EngineRole) int {
 	best, fewest := -1, 0.0
 	for i := range s.Engines {
 		e := &s.Engines[i]
--- a/planning/planning.go
+++ b/planning/planning.go
@@ -44,22 +44,22 @@
 	Confirmed func() bool
 	// Workers returns the status of the known sidecars.
 	Workers func() []*v1.WorkerStatus
-	// Refused returns the work of a service that this entry has refused since its start, by kind,
+	// RefusedWork returns the work of a service that this entry has refused since its start, by kind,
 	// and the number of entries. The balancer spreads requests evenly over the entries, so the work
 	// refused by all is estimated as the work refused by this entry times their number.
-	Refused func(service string) (map[string]placement.KindWork, int)
-	// Speed returns the mean speed of the given engines.
-	Speed func(engines []string) load.Speed
+	RefusedWork func(service string) (map[string]placement.KindWork, int)
+	// MeanSpeed returns the mean speed of the given engines.
+	MeanSpeed func(engines []string) load.Speed
 	// Dial returns a client for the sidecar of an engine.
 	Dial func(pool, engine string) (Sidecar, error)
-	// RoleChange is called when an order that changes an engine's role has been issued. from and to
+	// OnRoleChange is called when an order that changes an engine's role has been issued. from and to
 	// are the roles.
-	RoleChange func(pool, from, to string)
-	// Decided is called when an order has been issued, with the engine as choice, and when the
+	OnRoleChange func(pool, from, to string)
+	// OnDecision is called when an order has been issued, with the engine as choice, and when the
 	// decision of the placement planner differs from that of the last round, with an empty choice.
 	// The subject is the pool; candidates is nil.
-	Decided func(subject, choice, reason string, candidates []string)
-	Log     logrus.FieldLogger
+	OnDecision func(subject, choice, reason string, candidates []string)
+	Log        logrus.FieldLogger
 }
 
 // Sidecar is the sidecar of an engine, as the loop calls it.
@@ -155,7 +155,7 @@
 		if e.owned || !e.reachable {
 			continue
 		}
-		if _, err := l.orderPlanner.Own(ctx, a, e.id); err != nil {
+		if _, err := l.orderPlanner.TakeOver(ctx, a, e.id); err != nil {
 			l.cfg.Log.WithFields(logrus.Fields{"pool": a.Pool, "engine": e.id}).WithError(err).Info("ownership of engine not acquired; the next round tries again")
 			continue
 		}
@@ -225,10 +225,10 @@
 	if spec == nil {
 		return
 	}
-	refused, entries := l.cfg.Refused(doc.Service)
+	refused, entries := l.cfg.RefusedWork(doc.Service)
 	p.countRefused(refused, entries, len(doc.Pools))
 	weights := placement.Weights{Goodput: doc.Weights.Goodput, RoleChanges: doc.Weights.RoleChanges}
-	for _, c := range p.placementPlanner.Plan(time.Now(), p.snapshot(doc, spec, l.cfg.Speed), weights) {
+	for _, c := range p.placementPlanner.Plan(time.Now(), p.snapshot(doc, spec, l.cfg.MeanSpeed), weights) {
 		if e := p.engine(c.Engine); e != nil && e.owned && e.settled() {
 			l.issueOrder(ctx, a, p, e, c.Config, c.Reason)
 		}
@@ -236,7 +236,7 @@
 	if d := p.placementPlanner.Explain(); d != p.lastDecision {
 		p.lastDecision = d
 		l.cfg.Log.WithFields(logrus.Fields{"pool": p.name, "decision": d}).Info("placement decision changed")
-		l.cfg.Decided(p.name, "", d, nil)
+		l.cfg.OnDecision(p.name, "", d, nil)
 	}
 }
 
@@ -249,7 +249,7 @@
 	}
 	p.setRecord(e, r)
 	if from != c.Role && from != "" {
-		l.cfg.RoleChange(p.name, string(from), string(c.Role))
+		l.cfg.OnRoleChange(p.name, string(from), string(c.Role))
 	}
 	l.reportOrder(p, e, reason)
 }
@@ -259,5 +259,5 @@
 		"pool": p.name, "engine": e.id, "order": e.record.Number, "fence": e.record.Fence,
 		"role": e.record.Config.Role, "models": len(e.record.Config.Models), "reason": reason,
 	}).Info("order issued")
-	l.cfg.Decided(p.name, e.id, reason, nil)
+	l.cfg.OnDecision(p.name, e.id, reason, nil)
 }
--- a/planning/planning_test.go
+++ b/planning/planning_test.go
@@ -90,12 +90,12 @@
 	require.NoError(h.t, err)
 	l := planning.New(planning.Config{
 		Interval: time.Second, Leases: m, KV: h.store, Documents: h, Workers: h.workers, Log: discardLogger(),
-		Confirmed:  func() bool { return h.confirmed },
-		Refused:    func(string) (map[string]placement.KindWork, int) { return nil, 1 },
-		Speed:      func([]string) load.Speed { return load.DefaultSpeed() },
-		Dial:       func(_, id string) (planning.Sidecar, error) { return &sidecar{h.executors[id], id}, nil },
-		RoleChange: func(string, string, string) {},
-		Decided:    func(string, string, string, []string) {},
+		Confirmed:    func() bool { return h.confirmed },
+		RefusedWork:  func(string) (map[string]placement.KindWork, int) { return nil, 1 },
+		MeanSpeed:    func([]string) load.Speed { return load.DefaultSpeed() },
+		Dial:         func(_, id string) (planning.Sidecar, error) { return &sidecar{h.executors[id], id}, nil },
+		OnRoleChange: func(string, string, string) {},
+		OnDecision:   func(string, string, string, []string) {},
 	})
 	h.wg.Go(func() { m.Run(ctx) })
 	h.wg.Go(func() { l.Run(ctx) })
@@ -142,13 +142,13 @@
 		h.startEntry("e1")
 		time.Sleep(30 * time.Second)
 		h.requireConfigured()
-		roles := map[external.Role]int{}
+		roles := map[external.EngineRole]int{}
 		for _, e := range h.engines {
 			s, err := e.State(t.Context())
 			require.NoError(t, err)
 			roles[s.Config.Role]++
 		}
-		require.Equal(t, map[external.Role]int{external.RolePrefill: 1, external.RoleDecode: 1, external.RoleMixed: 2}, roles)
+		require.Equal(t, map[external.EngineRole]int{external.EngineRolePrefill: 1, external.EngineRoleDecode: 1, external.EngineRoleMixed: 2}, roles)
 	})
 }
 
@@ -178,7 +178,7 @@
 				time.Sleep(after)
 				h.engines["w1"].Crash()
 				time.Sleep(3 * time.Second)
-				h.engines["w1"].Restart(external.EngineConfig{Role: external.RolePrefill})
+				h.engines["w1"].Restart(external.EngineConfig{Role: external.EngineRolePrefill})
 				time.Sleep(time.Minute)
 				h.requireConfigured()
 			})
--- a/planning/pool.go
+++ b/planning/pool.go
@@ -40,7 +40,7 @@
 	engines          []*engine
 	// offered is the work offered between the last two observations, by kind.
 	offered map[string]placement.KindWork
-	// lastRefused is the result of Config.Refused in the last round.
+	// lastRefused is the result of Config.RefusedWork in the last round.
 	lastRefused map[string]placement.KindWork
 	// interval is the time between the last two observations. It can exceed Config.Interval.
 	interval     time.Duration
@@ -375,11 +375,11 @@
 // initialRoles assigns the document's initial roles to n engines in the order of their IDs. If n
 // differs from the number of engines in the document, the shares are kept, rounded down, and the
 // remaining engines are mixed. So a small pool can always both prefill and decode.
-func initialRoles(spec *document.Pool, n int) []external.Role {
+func initialRoles(spec *document.Pool, n int) []external.EngineRole {
 	total := max(1, spec.Roles.Prefill+spec.Roles.Decode+spec.Roles.Mixed)
-	roles := slices.Repeat([]external.Role{external.RolePrefill}, spec.Roles.Prefill*n/total)
-	roles = append(roles, slices.Repeat([]external.Role{external.RoleDecode}, spec.Roles.Decode*n/total)...)
-	return append(roles, slices.Repeat([]external.Role{external.RoleMixed}, n-len(roles))...)
+	roles := slices.Repeat([]external.EngineRole{external.EngineRolePrefill}, spec.Roles.Prefill*n/total)
+	roles = append(roles, slices.Repeat([]external.EngineRole{external.EngineRoleDecode}, spec.Roles.Decode*n/total)...)
+	return append(roles, slices.Repeat([]external.EngineRole{external.EngineRoleMixed}, n-len(roles))...)
 }
 
 // wantedModels returns the models and adapters that every engine of a pool should have.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,5 +1,5 @@
 // Package retry limits retries to a share of the first attempts and computes the waits before them.
-// Budget limits by a token bucket, Window by a sliding window.
+// Budget limits by a token bucket, WindowBudget by a sliding window.
 package retry
 
 import (
@@ -13,8 +13,8 @@
 	DefaultShare        = 0.10
 	DefaultMinPerSecond = 1.0
 	DefaultBurst        = 20.0
-	DefaultBase         = 10 * time.Millisecond
-	DefaultMax          = 2 * time.Second
+	DefaultBackoffBase  = 10 * time.Millisecond
+	DefaultBackoffMax   = 2 * time.Second
 )
 
 // Config holds the settings of a Budget and its back-off. Zero fields take the defaults.
@@ -26,10 +26,10 @@
 	MinPerSecond float64
 	// Burst is the maximum number of retries that can accumulate.
 	Burst float64
-	// Base is the upper bound of the random part of the wait before the first retry. The bound
-	// doubles with each further retry up to Max.
-	Base time.Duration
-	Max  time.Duration
+	// BackoffBase is the upper bound of the random part of the wait before the first retry. The bound
+	// doubles with each further retry up to BackoffMax.
+	BackoffBase time.Duration
+	BackoffMax  time.Duration
 }
 
 func (c Config) withDefaults() Config {
@@ -42,11 +42,11 @@
 	if c.Burst <= 0 {
 		c.Burst = DefaultBurst
 	}
-	if c.Base <= 0 {
-		c.Base = DefaultBase
+	if c.BackoffBase <= 0 {
+		c.BackoffBase = DefaultBackoffBase
 	}
-	if c.Max <= 0 {
-		c.Max = DefaultMax
+	if c.BackoffMax <= 0 {
+		c.BackoffMax = DefaultBackoffMax
 	}
 	return c
 }
@@ -67,8 +67,8 @@
 	return &Budget{cfg: cfg, tokens: min(cfg.Burst, cfg.MinPerSecond)}
 }
 
-// Fresh records a first attempt, which adds Share retries to the budget.
-func (b *Budget) Fresh(now time.Time) {
+// RecordFirstAttempt records a first attempt, which adds Share retries to the budget.
+func (b *Budget) RecordFirstAttempt(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -101,10 +101,10 @@
 // which the worker that refused the request asked for, plus a uniformly random time up to a bound
 // that doubles with each retry. The random part spreads out requests that failed at the same time.
 func (b *Budget) Backoff(retry int, retryAfter time.Duration, rnd *rand.Rand) time.Duration {
-	bound := b.cfg.Base
-	for i := 1; i < retry && bound < b.cfg.Max; i++ {
+	bound := b.cfg.BackoffBase
+	for i := 1; i < retry && bound < b.cfg.BackoffMax; i++ {
 		bound *= 2
 	}
-	bound = min(bound, b.cfg.Max)
+	bound = min(bound, b.cfg.BackoffMax)
 	return retryAfter + time.Duration(rnd.Int64N(int64(bound)+1))
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -23,7 +23,7 @@
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "gap")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "fresh") {
-				b.Fresh(now)
+				b.RecordFirstAttempt(now)
 				firstAttempts++
 			} else if b.Take(now) {
 				taken++
@@ -53,7 +53,7 @@
 	for n := 1; n < 100; n++ {
 		d := b.Backoff(n, time.Second, rnd)
 		assert.GreaterOrEqual(t, d, time.Second)
-		assert.LessOrEqual(t, d, time.Second+retry.DefaultMax)
+		assert.LessOrEqual(t, d, time.Second+retry.DefaultBackoffMax)
 		seen[d] = true
 	}
 	assert.Greater(t, len(seen), 90)
--- a/retry/window.go
+++ b/retry/window.go
@@ -12,7 +12,7 @@
 	historyBuckets = 2*windowBuckets + 2
 )
 
-// Window is a retry budget that allows retries as a share of the first attempts in a sliding
+// WindowBudget is a retry budget that allows retries as a share of the first attempts in a sliding
 // window. It is safe for concurrent use.
 //
 // In each window, wherever it begins, at most share x N + slack retries are allowed. N is the
@@ -22,7 +22,7 @@
 //
 // Partial buckets count in full for retries and not at all for first attempts, so that the bound
 // also holds for windows that don't start at a bucket boundary.
-type Window struct {
+type WindowBudget struct {
 	share        float64
 	slack        float64
 	bucketLength time.Duration
@@ -33,21 +33,21 @@
 	current       int64
 }
 
-// NewWindow returns a budget for windows of the given length. It allows share retries per first
+// NewWindowBudget returns a budget for windows of the given length. It allows share retries per first
 // attempt and slack retries in addition.
-func NewWindow(length time.Duration, share, slack float64) *Window {
-	return &Window{share: share, slack: slack, bucketLength: max(length/windowBuckets, time.Millisecond)}
+func NewWindowBudget(length time.Duration, share, slack float64) *WindowBudget {
+	return &WindowBudget{share: share, slack: slack, bucketLength: max(length/windowBuckets, time.Millisecond)}
 }
 
-// Fresh records a first attempt.
-func (w *Window) Fresh(now time.Time) {
+// RecordFirstAttempt records a first attempt.
+func (w *WindowBudget) RecordFirstAttempt(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.firstAttempts[w.advance(now)]++
 }
 
 // Take reports whether a retry is allowed. If so, the retry is counted.
-func (w *Window) Take(now time.Time) bool {
+func (w *WindowBudget) Take(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := w.advance(now)
@@ -58,9 +58,9 @@
 	return true
 }
 
-// Left returns the number of retries that the budget allows now, which may be fractional. Take
+// Remaining returns the number of retries that the budget allows now, which may be fractional. Take
 // needs at least 1.
-func (w *Window) Left(now time.Time) float64 {
+func (w *WindowBudget) Remaining(now time.Time) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance(now)
@@ -69,7 +69,7 @@
 
 // remaining returns the smallest number of further retries that any window containing the current
 // time allows. First attempts that may still come are not counted.
-func (w *Window) remaining() float64 {
+func (w *WindowBudget) remaining() float64 {
 	var firstAttemptSums [historyBuckets + 1]int // firstAttemptSums[n] counts the first attempts in the n newest buckets
 	for age := range historyBuckets {
 		firstAttemptSums[age+1] = firstAttemptSums[age] + w.firstAttempts[w.index(age)]
@@ -97,13 +97,13 @@
 }
 
 // index returns the index of the bucket that is age buckets older than the current one.
-func (w *Window) index(age int) int {
+func (w *WindowBudget) index(age int) int {
 	return int(((w.current-int64(age))%historyBuckets + historyBuckets) % historyBuckets)
 }
 
 // advance makes the bucket of the given time the current one, clears the buckets that it reuses, and
 // returns its index. Time that goes backwards is ignored.
-func (w *Window) advance(now time.Time) int {
+func (w *WindowBudget) advance(now time.Time) int {
 	current := now.UnixNano() / int64(w.bucketLength)
 	for n := 0; w.current < current && n <= historyBuckets; n++ {
 		w.current++
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -11,20 +11,20 @@
 )
 
 // Guards against a window, at any position, with more retries than its share and the slack. As
-// defined at Window, the share is of the first attempts in that window, in the previous one or in
+// defined at WindowBudget, the share is of the first attempts in that window, in the previous one or in
 // the one that begins half a window earlier.
 func TestWindowHoldsTheShareInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
 		share := rapid.Float64Range(0, 0.5).Draw(t, "share")
 		slack := rapid.Float64Range(0, 5).Draw(t, "slack")
-		w := NewWindow(length, share, slack)
+		w := NewWindowBudget(length, share, slack)
 		now := time.Unix(1000, 0)
 		var firstAttempts, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "fresh") {
-				w.Fresh(now)
+				w.RecordFirstAttempt(now)
 				firstAttempts = append(firstAttempts, now)
 			} else if w.Take(now) {
 				retries = append(retries, now)
@@ -49,10 +49,10 @@
 
 // Guards against retries that still count against the budget after their window has passed.
 func TestWindowForgets(t *testing.T) {
-	w := NewWindow(10*time.Second, 0, 1)
+	w := NewWindowBudget(10*time.Second, 0, 1)
 	now := time.Unix(1000, 0)
 	require.True(t, w.Take(now))
 	require.False(t, w.Take(now.Add(9*time.Second)))
 	require.True(t, w.Take(now.Add(11*time.Second)))
-	require.InDelta(t, 0, w.Left(now.Add(11*time.Second)), 1e-9)
+	require.InDelta(t, 0, w.Remaining(now.Add(11*time.Second)), 1e-9)
 }
