--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
 // Package route implements the operator's route table, which determines the service that a request goes
-// to, whether the request may be repeated, and how long it may take. A Table is immutable. A Holder
+// to, whether the request may be repeated, and how long it may take. A Table is immutable. An ActiveTable
 // holds the active table and never replaces it by an older version.
 package route
 
@@ -33,13 +33,13 @@
 	// on another backend server after the last event that was delivered.
 	Stream    bool
 	Resumable bool
-	// Prompt means that a request declares the parts of its prompt, so that a backend server that has
+	// DeclaresPrompt means that a request declares the parts of its prompt, so that a backend server that has
 	// processed some of them before is preferred.
-	Prompt bool
+	DeclaresPrompt bool
 	// Timeout is the time limit for the whole answer.
 	Timeout time.Duration
-	// Target is the desired time to the answer, or to the first event of a stream. 0 means none.
-	Target time.Duration
+	// TargetLatency is the desired time to the answer, or to the first event of a stream. 0 means none.
+	TargetLatency time.Duration
 	// MaxPause is the desired longest pause between two events of a stream. Nothing reads it.
 	MaxPause time.Duration
 	// Priority is the rank of the route. 0 is the most urgent.
@@ -49,9 +49,9 @@
 	Shares      []Share
 }
 
-// Service selects the service for one request by weight. key identifies what must stay on one service:
+// SelectService selects the service for one request by weight. key identifies what must stay on one service:
 // the same key gives the same service as long as the shares stay the same.
-func (r *Route) Service(key string) string {
+func (r *Route) SelectService(key string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
 	}
@@ -73,8 +73,8 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// RoleChange is the time for which an engine is unavailable while it changes its role.
-	RoleChange time.Duration
+	// RoleChangeTime is the time for which an engine is unavailable while it changes its role.
+	RoleChangeTime time.Duration
 }
 
 // Service is a group of backend servers.
@@ -166,17 +166,17 @@
 	return nil
 }
 
-// Holder holds the active table. It is safe for concurrent use.
-type Holder struct {
+// ActiveTable holds the active table. It is safe for concurrent use.
+type ActiveTable struct {
 	table atomic.Pointer[Table]
 }
 
 // Table returns the active table, or nil before the first one.
-func (h *Holder) Table() *Table { return h.table.Load() }
+func (h *ActiveTable) Table() *Table { return h.table.Load() }
 
 // Offer makes a table the active one, unless the active one has the same or a later version. It reports
 // whether it did.
-func (h *Holder) Offer(t *Table) bool {
+func (h *ActiveTable) Offer(t *Table) bool {
 	for {
 		current := h.table.Load()
 		if current != nil && t.Version <= current.Version {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -31,7 +31,7 @@
 
 // Guards against an active table that is replaced by an older version.
 func TestHolderNeverGoesBack(t *testing.T) {
-	var h route.Holder
+	var h route.ActiveTable
 	require.Nil(t, h.Table())
 	require.True(t, h.Offer(newTable(t, 5, newRoute("r", "/", route.Share{Service: "s"}))))
 	require.False(t, h.Offer(newTable(t, 5, newRoute("r", "/", route.Share{Service: "s"}))))
@@ -44,7 +44,7 @@
 func TestServiceFollowsWeights(t *testing.T) {
 	r := newRoute("r", "/", route.Share{Service: "s", Weight: 100}, route.Share{Service: "u", Weight: 0})
 	for _, key := range []string{"a", "b", "c", "d"} {
-		require.Equal(t, "s", r.Service(key))
+		require.Equal(t, "s", r.SelectService(key))
 	}
 }
 
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -25,7 +25,7 @@
 type Worker struct {
 	ID         string
 	DataCentre string
-	Role       external.Role
+	Role       external.EngineRole
 	// Models are the names of the models that the worker has loaded. If empty, the worker serves any
 	// model.
 	Models []string
@@ -115,7 +115,7 @@
 		}
 	})
 	chosen := slices.Clone(eligible[:limit])
-	count := make(map[external.Role]int)
+	count := make(map[external.EngineRole]int)
 	for _, w := range chosen {
 		count[w.Role]++
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -15,16 +15,16 @@
 
 // Default values of Config.
 const (
-	DefaultSubset          = 32
-	DefaultMaxShortPrefill = 512
-	DefaultMaxReportAge    = 2 * time.Second
-	DefaultKVTokenBytes    = 160 << 10
-	DefaultBandwidth       = 10e9
-	DefaultRemoteBandwidth = 1e9
-	DefaultLatency         = 200 * time.Microsecond
-	DefaultRemoteLatency   = 1500 * time.Microsecond
-	DefaultHomeLoadBound   = 1.25
-	DefaultInterference    = 0.05
+	DefaultSubset             = 32
+	DefaultMaxShortPrefill    = 512
+	DefaultMaxReportAge       = 2 * time.Second
+	DefaultKVTokenBytes       = 160 << 10
+	DefaultBandwidth          = 10e9
+	DefaultRemoteBandwidth    = 1e9
+	DefaultLatency            = 200 * time.Microsecond
+	DefaultRemoteLatency      = 1500 * time.Microsecond
+	DefaultHomeLoadBound      = 1.25
+	DefaultInterferenceWeight = 0.05
 )
 
 // Config holds the settings of a Router. Zero fields take the defaults.
@@ -47,9 +47,9 @@
 	// with this prompt. If its queue is longer, the worker with the next highest hash score becomes
 	// the home of the prefix.
 	HomeLoadBound float64
-	// Interference is the weight, in the cost of a choice, of the delay that a prefill causes to
+	// InterferenceWeight is the weight, in the cost of a choice, of the delay that a prefill causes to
 	// each sequence decoded on the same worker.
-	Interference float64
+	InterferenceWeight float64
 	// Seed selects the router's subsets. It should differ between routers and stay the same for one
 	// router.
 	Seed uint64
@@ -65,7 +65,7 @@
 	setDefault(&c.Latency, DefaultLatency)
 	setDefault(&c.RemoteLatency, DefaultRemoteLatency)
 	setDefault(&c.HomeLoadBound, DefaultHomeLoadBound)
-	setDefault(&c.Interference, DefaultInterference)
+	setDefault(&c.InterferenceWeight, DefaultInterferenceWeight)
 	return c
 }
 
@@ -104,7 +104,7 @@
 	ReasonShortPrefill = "one engine: short prefill on a decode engine"
 	ReasonPair         = "two engines: faster than one despite the KV transfer"
 	ReasonPrefixCached = "prefix cached on the prefill engine"
-	ReasonHomeEngine   = "home engine of the prefix"
+	ReasonHomeWorker   = "home engine of the prefix"
 )
 
 // maxProbes is the maximum number of workers to probe per decision.
@@ -154,14 +154,14 @@
 	}
 }
 
-// CacheEvents applies the cache events of a worker.
-func (r *Router) CacheEvents(w *Worker, events []external.CacheEvent, now time.Time) {
+// ObserveCacheEvents applies the cache events of a worker.
+func (r *Router) ObserveCacheEvents(w *Worker, events []external.CacheEvent, now time.Time) {
 	r.prefix.observe(w.idHash, events, now)
 }
 
-// Sent records that the prefill worker of the decision has probably cached the prefix of the
+// RecordSent records that the prefill worker of the decision has probably cached the prefix of the
 // request, since the request was sent there.
-func (r *Router) Sent(q *Request, d *Decision, now time.Time) {
+func (r *Router) RecordSent(q *Request, d *Decision, now time.Time) {
 	if d.Prefill == nil {
 		return
 	}
@@ -172,8 +172,8 @@
 	}
 }
 
-// Candidates returns the subset of the workers that the router uses for a model.
-func (r *Router) Candidates(model string, f *Fleet) []*Worker {
+// Subset returns the subset of the workers that the router uses for a model.
+func (r *Router) Subset(model string, f *Fleet) []*Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.fleet != f {
@@ -190,9 +190,9 @@
 
 // Choose returns the decision with the lowest expected cost for the request, or one without workers
 // if none can take it. The cost is in seconds: the expected times plus the penalties of
-// latenessWeight, fullWorkerPenaltySeconds and Config.Interference.
+// latenessWeight, fullWorkerPenaltySeconds and Config.InterferenceWeight.
 func (r *Router) Choose(q *Request, f *Fleet, now time.Time) Decision {
-	subset := r.Candidates(q.Model, f)
+	subset := r.Subset(q.Model, f)
 	s := r.scratchPool.Get().(*scratch)
 	defer r.scratchPool.Put(s)
 	s.prepare(r, q, subset, now)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -25,12 +25,12 @@
 	}
 }
 
-func worker(id, dc string, role external.Role, l routing.LoadSource) routing.Worker {
+func worker(id, dc string, role external.EngineRole, l routing.LoadSource) routing.Worker {
 	return routing.Worker{ID: id, DataCentre: dc, Role: role, Load: l}
 }
 
 func newWorkers(n int) []routing.Worker {
-	roles := []external.Role{external.RolePrefill, external.RoleDecode, external.RoleDecode, external.RoleMixed}
+	roles := []external.EngineRole{external.EngineRolePrefill, external.EngineRoleDecode, external.EngineRoleDecode, external.EngineRoleMixed}
 	ws := make([]routing.Worker, n)
 	for i := range ws {
 		ws[i] = worker(fmt.Sprint("w", i), fmt.Sprint("dc", i%5), roles[i%4], fixedLoad(float64(i%7)*300, i%40))
@@ -47,12 +47,12 @@
 	shortRequest.PromptTokens, shortRequest.OutputTokens = 200, 300
 	retried := longRequest
 	retried.Exclude = []string{"p1"}
-	draining := worker("p1", "a", external.RolePrefill, fixedLoad(0, 0))
+	draining := worker("p1", "a", external.EngineRolePrefill, fixedLoad(0, 0))
 	draining.Draining = true
-	otherModel := worker("p1", "a", external.RolePrefill, fixedLoad(0, 0))
+	otherModel := worker("p1", "a", external.EngineRolePrefill, fixedLoad(0, 0))
 	otherModel.Models = []string{"x"}
-	p := external.RolePrefill
-	d := external.RoleDecode
+	p := external.EngineRolePrefill
+	d := external.EngineRoleDecode
 	for _, c := range []struct {
 		name    string
 		request routing.Request
@@ -64,7 +64,7 @@
 		{"short prefill on the decode engine", shortRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(9000, 0)), worker("d1", "a", d, fixedLoad(0, 5))}, "d1", "d1"},
 		{"less loaded pair", longRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(4000, 0)), worker("p2", "a", p, fixedLoad(0, 0)), worker("d1", "a", d, fixedLoad(0, 50)), worker("d2", "a", d, fixedLoad(0, 5))}, "p2", "d2"},
 		{"no transfer between data centres", longRequest, []routing.Worker{worker("p1", "a", p, fixedLoad(0, 0)), worker("d1", "b", d, fixedLoad(0, 0)), worker("d2", "a", d, fixedLoad(0, 3))}, "p1", "d2"},
-		{"one engine when cheaper", longRequest, []routing.Worker{worker("m1", "a", external.RoleMixed, fixedLoad(0, 0)), worker("d1", "b", d, fixedLoad(0, 0))}, "m1", "m1"},
+		{"one engine when cheaper", longRequest, []routing.Worker{worker("m1", "a", external.EngineRoleMixed, fixedLoad(0, 0)), worker("d1", "b", d, fixedLoad(0, 0))}, "m1", "m1"},
 		{"draining engine", longRequest, []routing.Worker{draining, worker("p2", "a", p, fixedLoad(900, 0)), worker("d1", "a", d, fixedLoad(0, 0))}, "p2", "d1"},
 		{"other model", longRequest, []routing.Worker{otherModel, worker("p2", "a", p, fixedLoad(900, 0)), worker("d1", "a", d, fixedLoad(0, 0))}, "p2", "d1"},
 		{"failed engine excluded", retried, []routing.Worker{worker("p1", "a", p, fixedLoad(0, 0)), worker("p2", "a", p, fixedLoad(900, 0)), worker("d1", "a", d, fixedLoad(0, 0))}, "p2", "d1"},
@@ -92,8 +92,8 @@
 		ws := newWorkers(n)
 		r := routing.New(routing.Config{Seed: rapid.Uint64().Draw(t, "seed")})
 		subsetIDs := func(ws []routing.Worker) map[string]bool {
-			out, roles := map[string]bool{}, map[external.Role]int{}
-			for _, w := range r.Candidates("m", routing.NewFleet(ws)) {
+			out, roles := map[string]bool{}, map[external.EngineRole]int{}
+			for _, w := range r.Subset("m", routing.NewFleet(ws)) {
 				out[w.ID] = true
 				roles[w.Role]++
 			}
@@ -127,9 +127,9 @@
 	q := longRequest
 	q.Blocks = blocks
 	newFleet := func(queue float64) *routing.Fleet {
-		ws := []routing.Worker{worker("d1", "a", external.RoleDecode, fixedLoad(0, 0))}
+		ws := []routing.Worker{worker("d1", "a", external.EngineRoleDecode, fixedLoad(0, 0))}
 		for i := range 4 {
-			ws = append(ws, worker(fmt.Sprint("p", i), "a", external.RolePrefill, fixedLoad(0, 0)))
+			ws = append(ws, worker(fmt.Sprint("p", i), "a", external.EngineRolePrefill, fixedLoad(0, 0)))
 		}
 		ws[2].Load = fixedLoad(queue, 0)
 		return routing.NewFleet(ws)
@@ -137,21 +137,21 @@
 	r := routing.New(routing.Config{})
 	f := newFleet(0)
 	home := r.Choose(&q, f, start)
-	require.Equal(t, routing.ReasonHomeEngine, home.Reason)
-	cachedWorker := r.Candidates("m", f)[2]
+	require.Equal(t, routing.ReasonHomeWorker, home.Reason)
+	cachedWorker := r.Subset("m", f)[2]
 	events := func(first uint64) (out []external.CacheEvent) {
 		for i, b := range blocks {
 			out = append(out, external.CacheEvent{Sequence: first + uint64(i), Prefix: b})
 		}
 		return out
 	}
-	r.CacheEvents(cachedWorker, events(1), start)
+	r.ObserveCacheEvents(cachedWorker, events(1), start)
 	got := r.Choose(&q, f, start)
 	assert.Equal(t, cachedWorker.ID, got.Prefill.ID)
 	assert.Less(t, got.PrefillTokens, 100)
-	r.CacheEvents(cachedWorker, []external.CacheEvent{{Sequence: 100, Prefix: 1}}, start)
+	r.ObserveCacheEvents(cachedWorker, []external.CacheEvent{{Sequence: 100, Prefix: 1}}, start)
 	assert.Greater(t, r.Choose(&q, f, start).PrefillTokens, 1000, "lost events may be evictions")
-	r.CacheEvents(cachedWorker, events(101), start)
+	r.ObserveCacheEvents(cachedWorker, events(101), start)
 	assert.NotEqual(t, cachedWorker.ID, r.Choose(&q, newFleet(50_000), start).Prefill.ID, "a long queue outweighs the cache")
 }
 
@@ -185,7 +185,7 @@
 			q := longRequest
 			q.Blocks = routing.BlockHashes(nil, strings.Repeat("timetable of the line ", 600))
 			d := r.Choose(&q, f, now)
-			r.Sent(&q, &d, now)
+			r.RecordSent(&q, &d, now)
 			now = now.Add(10 * time.Millisecond)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/routing/score.go
+++ b/routing/score.go
@@ -90,7 +90,7 @@
 func (s *scratch) findHomeWorker(q *Request, bound float64) {
 	total, count := 0.0, 0
 	for i := range s.candidates {
-		if s.candidates[i].worker.Role != external.RoleDecode {
+		if s.candidates[i].worker.Role != external.EngineRoleDecode {
 			total += s.candidates[i].estimate.PrefillTokens
 			count++
 		}
@@ -103,7 +103,7 @@
 	var topScore uint64
 	for i := range s.candidates {
 		c := &s.candidates[i]
-		if c.worker.Role == external.RoleDecode || c.estimate.PrefillTokens > limit {
+		if c.worker.Role == external.EngineRoleDecode || c.estimate.PrefillTokens > limit {
 			continue
 		}
 		if score := mix64(c.worker.idHash ^ firstBlock); score >= topScore {
@@ -130,7 +130,7 @@
 		if !c.estimate.Fits(pieces) {
 			c.decodeCost += fullWorkerPenaltySeconds
 		}
-		if c.worker.Role == external.RolePrefill {
+		if c.worker.Role == external.EngineRolePrefill {
 			continue
 		}
 		if n := s.cheapestDecoder[c.worker.dcIndex]; n < 0 || c.decodeCost < s.candidates[n].decodeCost {
@@ -154,7 +154,7 @@
 func (s *scratch) evaluatePrefill(r *Router, q *Request, i int, bestCost *float64) {
 	c := &s.candidates[i]
 	tokens := float64(q.PromptTokens) - c.cachedTokens
-	if c.worker.Role == external.RoleDecode && tokens > float64(r.cfg.MaxShortPrefill) {
+	if c.worker.Role == external.EngineRoleDecode && tokens > float64(r.cfg.MaxShortPrefill) {
 		return
 	}
 	firstToken := c.estimate.FirstToken(tokens)
@@ -163,12 +163,12 @@
 	}
 	cost := firstToken + latenessCost(firstToken, s.firstTarget)
 	prefillSeconds := tokens * c.estimate.Speed.PrefillSecondsPerToken
-	if c.worker.Role != external.RolePrefill {
+	if c.worker.Role != external.EngineRolePrefill {
 		// The prefill delays each sequence that the worker decodes.
-		cost += r.cfg.Interference * prefillSeconds * float64(c.estimate.Sequences)
+		cost += r.cfg.InterferenceWeight * prefillSeconds * float64(c.estimate.Sequences)
 		s.evaluatePair(i, i, firstToken, cost, bestCost)
 	}
-	if c.worker.Role == external.RoleDecode {
+	if c.worker.Role == external.EngineRoleDecode {
 		return
 	}
 	for _, n := range s.cheapestDecoder {
@@ -207,10 +207,10 @@
 	d.BetweenTokens = seconds(decode.betweenTokens)
 	d.Total = seconds(firstToken + transfer + float64(q.OutputTokens)*decode.betweenTokens)
 	switch {
-	case prefillIndex == decodeIndex && prefill.worker.Role == external.RoleDecode:
+	case prefillIndex == decodeIndex && prefill.worker.Role == external.EngineRoleDecode:
 		d.Reason = ReasonShortPrefill
 	case prefillIndex == s.homeIndex && prefill.cachedTokens > 0:
-		d.Reason = ReasonHomeEngine
+		d.Reason = ReasonHomeWorker
 	case prefill.cachedTokens > 0:
 		d.Reason = ReasonPrefixCached
 	case prefillIndex == decodeIndex:
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -10,9 +10,10 @@
 // errInterrupted is the cancellation cause of an interruptible attempt that a planned change ends.
 var errInterrupted = errors.New("interrupted by a planned change")
 
-// Leave refuses new attempts until Stay is called. It is used for a shutdown, for an operator's drain
-// (the Drain RPC), and when another sidecar has claimed the engine. Attempts in flight continue.
-func (s *Sidecar) Leave() {
+// StopAccepting refuses new attempts until ResumeAccepting is called. It is used for a shutdown, for an
+// operator's drain (the Drain RPC), and when another sidecar has claimed the engine. Attempts in flight
+// continue.
+func (s *Sidecar) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leaving {
@@ -21,17 +22,17 @@
 	}
 }
 
-// Stay reverses Leave when an operator undoes a drain.
-func (s *Sidecar) Stay() {
+// ResumeAccepting reverses StopAccepting when an operator undoes a drain.
+func (s *Sidecar) ResumeAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = false
 }
 
-// Listed records whether the platform's instance list marks this instance as leaving. New attempts
+// SetListedLeaving records whether the platform's instance list marks this instance as leaving. New attempts
 // are refused while it does. The list is updated with a delay: a replacement process may start while
 // the instance is still marked as leaving, and accepts attempts once the list is up to date.
-func (s *Sidecar) Listed(leaving bool) {
+func (s *Sidecar) SetListedLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listedLeaving != leaving {
@@ -41,7 +42,7 @@
 }
 
 // BeginDrain refuses new attempts during a planned change, that is while an order is executed, and
-// cancels the interruptible ones in flight. It implements order.Drainer. The Drain RPC calls Leave
+// cancels the interruptible ones in flight. It implements order.Drainer. The Drain RPC calls StopAccepting
 // instead.
 func (s *Sidecar) BeginDrain(_ context.Context) error {
 	s.mu.Lock()
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -71,7 +71,7 @@
 	engine, err := kernel.Load[external.Engine](b.Context(), enginehttp.ID, kernel.Settings{"address": server.URL})
 	require.NoError(b, err)
 	sc, err := sidecar.New(sidecar.Config{
-		Cluster: "bench", Instance: "w0", Service: "s", Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
+		Cluster: "bench", Instance: "w0", Service: "s", Incarnation: "1", MaxInFlight: 256, Attempts: once.DefaultAttemptTableSettings(),
 	}, engine, nil, stubDocuments{}, m, log)
 	require.NoError(b, err)
 	require.NoError(b, sc.RefreshState(b.Context()))
--- a/sidecar/report_test.go
+++ b/sidecar/report_test.go
@@ -31,12 +31,12 @@
 func newTestSidecar(t *testing.T) (*Sidecar, *engine.Engine) {
 	t.Helper()
 	e := engine.New(engine.Config{OrderTime: time.Millisecond, Initial: external.EngineConfig{
-		Role: external.RoleDecode, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
+		Role: external.EngineRoleDecode, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
 	}})
 	t.Cleanup(func() { require.NoError(t, e.Close()) })
 	log := logrus.New()
 	log.SetOutput(t.Output())
-	s, err := New(Config{Cluster: "c", Instance: "i", Service: "s", Incarnation: "1", MaxInFlight: 8, Attempts: once.DefaultExecutorSettings()},
+	s, err := New(Config{Cluster: "c", Instance: "i", Service: "s", Incarnation: "1", MaxInFlight: 8, Attempts: once.DefaultAttemptTableSettings()},
 		e, nil, stubDocuments{}, discardMetrics{}, log)
 	require.NoError(t, err)
 	return s, e
@@ -70,16 +70,16 @@
 // cancels a shutdown or an operator's drain.
 func TestListedLeavingEndsWithTheListing(t *testing.T) {
 	s, _ := newTestSidecar(t)
-	s.Listed(true)
+	s.SetListedLeaving(true)
 	require.True(t, s.Draining())
 	require.True(t, s.Report(context.Background()).GetDraining())
-	s.Listed(false)
+	s.SetListedLeaving(false)
 	require.False(t, s.Draining())
 
-	s.Leave()
-	s.Listed(true)
-	s.Listed(false)
+	s.StopAccepting()
+	s.SetListedLeaving(true)
+	s.SetListedLeaving(false)
 	require.True(t, s.Draining())
-	s.Stay()
+	s.ResumeAccepting()
 	require.False(t, s.Draining())
 }
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -99,9 +99,9 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, errWrongTarget)
 	}
 	if r.Msg.GetUndo() {
-		s.sidecar.Stay()
+		s.sidecar.ResumeAccepting()
 	} else {
-		s.sidecar.Leave()
+		s.sidecar.StopAccepting()
 	}
 	return connect.NewResponse(&v1.DrainResponse{
 		InFlight: uint32(s.sidecar.InFlight()), Draining: s.sidecar.Draining(),
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -42,7 +42,7 @@
 	// MaxInFlight is the maximum number of attempts that run or wait in the backend server.
 	MaxInFlight int
 	// Attempts limits the table of attempts for detecting duplicates.
-	Attempts once.ExecutorSettings
+	Attempts once.AttemptTableSettings
 }
 
 // Sidecar admits and runs the attempts of one backend server. Exactly one of engine and backend (a
@@ -56,7 +56,7 @@
 	metrics Metrics
 
 	// dedup detects duplicate attempts. Lock order: mu before the lock of dedup.
-	dedup *once.Executor
+	dedup *once.AttemptTable
 
 	// sequence numbers the load reports.
 	sequence atomic.Uint64
@@ -116,7 +116,7 @@
 	return &Sidecar{
 		cfg: cfg, engine: engine, backend: backend, docs: docs, metrics: m, log: log,
 		inFlight:     map[attemptKey]*attempt{},
-		dedup:        once.NewExecutor(cfg.Incarnation, cfg.Attempts),
+		dedup:        once.NewAttemptTable(cfg.Incarnation, cfg.Attempts),
 		workByKind:   map[string]*v1.KindWork{},
 		attemptEnded: make(chan struct{}),
 	}, nil
@@ -150,7 +150,7 @@
 		return &refusal{v1.Outcome_OUTCOME_UNKNOWN, v1.Reason_REASON_DUPLICATE_ATTEMPT, "attempt was received before"}
 	case once.RefuseFull: // the table of attempts is full
 		return notRun(v1.Reason_REASON_QUEUE_FULL, "too many recent attempts")
-	case once.RefuseIncarnation:
+	case once.RefuseWrongIncarnation:
 		return notRun(v1.Reason_REASON_WRONG_INCARNATION, "this sidecar's incarnation is "+s.cfg.Incarnation)
 	}
 	if refused := s.unavailableLocked(); refused != nil {
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -75,7 +75,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s, err := sidecar.New(sidecar.Config{
-		Cluster: cluster, Instance: "w", Service: service, Incarnation: incarnation, MaxInFlight: 2, Attempts: once.DefaultExecutorSettings(),
+		Cluster: cluster, Instance: "w", Service: service, Incarnation: incarnation, MaxInFlight: 2, Attempts: once.DefaultAttemptTableSettings(),
 		Peers: rpc.NewClients(rpc.ClientConfig{}),
 	}, e, b, stubDocuments{}, discardMetrics{}, log)
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 func newEngine(t *testing.T) *engine.Engine {
 	t.Helper()
 	e := engine.New(engine.Config{Initial: external.EngineConfig{
-		Role: external.RoleMixed, Models: []external.ModelVersion{{Name: model, Version: "1"}},
+		Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: model, Version: "1"}},
 	}})
 	t.Cleanup(func() { _ = e.Close() })
 	return e
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -20,7 +20,7 @@
 )
 
 var loadedConfig = external.EngineConfig{
-	Role: external.RoleMixed, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
+	Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: "m", Version: "1"}},
 }
 
 func request(id string, promptTokens, maxTokens int) *external.GenerateRequest {
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -221,7 +221,7 @@
 func (e *Engine) abortAll(reason string) []*sequence {
 	all := e.inFlight()
 	for _, s := range all {
-		e.endSequence(s, RequestCut, reason, fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
+		e.endSequence(s, RequestAborted, reason, fmt.Errorf("%w: %s", external.ErrEngineFailed, reason))
 	}
 	return all
 }
--- a/standin/engine/journal.go
+++ b/standin/engine/journal.go
@@ -19,11 +19,11 @@
 	RequestStarted   Kind = "request_started"
 	RequestFinished  Kind = "request_finished"
 	RequestCancelled Kind = "request_cancelled"
-	// RequestCut means that an order, a crash or Close ended the request.
-	RequestCut    Kind = "request_cut"
-	OrderStarted  Kind = "order_started"
-	OrderFinished Kind = "order_finished"
-	OrderRefused  Kind = "order_refused"
+	// RequestAborted means that an order, a crash or Close ended the request.
+	RequestAborted Kind = "request_cut"
+	OrderStarted   Kind = "order_started"
+	OrderFinished  Kind = "order_finished"
+	OrderRefused   Kind = "order_refused"
 	// OrderLost means that the engine crashed or was closed during the order.
 	OrderLost Kind = "order_lost"
 	Crashed   Kind = "crashed"
@@ -54,8 +54,8 @@
 
 // Kinds of violations. All of them are faults of the process that sends the orders.
 const (
-	// RequestCutByOrder means that an order started while a request was in flight.
-	RequestCutByOrder ViolationKind = "request_cut_by_order"
+	// RequestAbortedByOrder means that an order started while a request was in flight.
+	RequestAbortedByOrder ViolationKind = "request_cut_by_order"
 	// ConflictingOrder means that an order arrived while a different one was running, or that two
 	// orders with the same fence and number have different configurations.
 	ConflictingOrder ViolationKind = "conflicting_order"
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -59,7 +59,7 @@
 	e.state.Changing = true
 	e.recordOrder(OrderStarted, o, "")
 	for _, s := range e.abortAll("an order began") {
-		e.recordViolation(Violation{Kind: RequestCutByOrder, RequestID: s.req.RequestID, Fence: o.Fence, Number: o.Number})
+		e.recordViolation(Violation{Kind: RequestAbortedByOrder, RequestID: s.req.RequestID, Fence: o.Fence, Number: o.Number})
 	}
 	run := &runningOrder{order: o, done: make(chan struct{})}
 	e.currentOrder = run
--- a/standin/engine/order_test.go
+++ b/standin/engine/order_test.go
@@ -11,7 +11,7 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-func newOrder(fence, number uint64, role external.Role) external.EngineOrder {
+func newOrder(fence, number uint64, role external.EngineRole) external.EngineOrder {
 	c := loadedConfig
 	c.Role = role
 	return external.EngineOrder{Fence: fence, Number: number, Config: c}
@@ -34,23 +34,23 @@
 		require.NoError(t, err)
 		time.Sleep(50 * time.Millisecond)
 		done := make(chan error, 1)
-		go func() { done <- e.Apply(t.Context(), newOrder(1, 1, external.RoleDecode)) }()
+		go func() { done <- e.Apply(t.Context(), newOrder(1, 1, external.EngineRoleDecode)) }()
 		synctest.Wait()
 		_, _, err = readStream(s, 0)
 		require.ErrorIs(t, err, external.ErrEngineFailed)
 		state, err := e.State(t.Context())
 		require.NoError(t, err)
 		require.True(t, state.Changing)
-		require.Equal(t, external.RoleMixed, state.Config.Role)
+		require.Equal(t, external.EngineRoleMixed, state.Config.Role)
 		_, err = e.Generate(t.Context(), request("b", 10, 10))
 		require.ErrorIs(t, err, external.ErrEngineRefused)
 		require.NoError(t, <-done)
 		state, err = e.State(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, external.RoleDecode, state.Config.Role)
+		require.Equal(t, external.EngineRoleDecode, state.Config.Role)
 		require.Equal(t, uint64(1), state.Number)
 		require.False(t, state.Changing)
-		require.Equal(t, []engine.ViolationKind{engine.RequestCutByOrder}, violationKinds(e))
+		require.Equal(t, []engine.ViolationKind{engine.RequestAbortedByOrder}, violationKinds(e))
 		require.Equal(t, []string{"a"}, startedRequests(e))
 		generate(t, e, request("c", 10, 10))
 	})
@@ -62,18 +62,18 @@
 	for _, check := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			e := newEngine(t, engine.Config{CheckFence: check})
-			require.NoError(t, e.Apply(t.Context(), newOrder(7, 1, external.RoleDecode)))
-			err := e.Apply(t.Context(), newOrder(6, 2, external.RolePrefill))
+			require.NoError(t, e.Apply(t.Context(), newOrder(7, 1, external.EngineRoleDecode)))
+			err := e.Apply(t.Context(), newOrder(6, 2, external.EngineRolePrefill))
 			state, stateErr := e.State(t.Context())
 			require.NoError(t, stateErr)
 			require.Equal(t, uint64(7), state.Fence)
 			if check {
 				require.ErrorIs(t, err, external.ErrStaleFence)
-				require.Equal(t, external.RoleDecode, state.Config.Role)
+				require.Equal(t, external.EngineRoleDecode, state.Config.Role)
 				require.Empty(t, violationKinds(e))
 			} else {
 				require.NoError(t, err)
-				require.Equal(t, external.RolePrefill, state.Config.Role)
+				require.Equal(t, external.EngineRolePrefill, state.Config.Role)
 				require.Equal(t, []engine.ViolationKind{engine.StaleOrderRan}, violationKinds(e))
 			}
 		})
@@ -85,16 +85,16 @@
 func TestConflictingOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{})
-		first := newOrder(1, 1, external.RoleDecode)
+		first := newOrder(1, 1, external.EngineRoleDecode)
 		done := make(chan error, 1)
 		go func() { done <- e.Apply(t.Context(), first) }()
 		synctest.Wait()
 		require.ErrorIs(t, e.Apply(t.Context(), first), external.ErrEngineRefused)
 		require.Empty(t, violationKinds(e))
-		require.ErrorIs(t, e.Apply(t.Context(), newOrder(1, 2, external.RolePrefill)), external.ErrEngineRefused)
+		require.ErrorIs(t, e.Apply(t.Context(), newOrder(1, 2, external.EngineRolePrefill)), external.ErrEngineRefused)
 		require.Equal(t, []engine.ViolationKind{engine.ConflictingOrder}, violationKinds(e))
 		require.NoError(t, <-done)
-		require.NoError(t, e.Apply(t.Context(), newOrder(1, 1, external.RolePrefill)))
+		require.NoError(t, e.Apply(t.Context(), newOrder(1, 1, external.EngineRolePrefill)))
 		require.Len(t, violationKinds(e), 2, "a reused order number with another configuration was not recorded as a violation")
 	})
 }
@@ -104,7 +104,7 @@
 func TestCrashDuringOrderForgetsEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Config{CheckFence: true})
-		require.NoError(t, e.Apply(t.Context(), newOrder(9, 4, external.RoleDecode)))
+		require.NoError(t, e.Apply(t.Context(), newOrder(9, 4, external.EngineRoleDecode)))
 		before, err := e.State(t.Context())
 		require.NoError(t, err)
 		s, err := e.Generate(t.Context(), request("a", 10, 1000))
@@ -119,7 +119,7 @@
 
 		e.Restart(loadedConfig)
 		done := make(chan error, 1)
-		go func() { done <- e.Apply(t.Context(), newOrder(9, 5, external.RolePrefill)) }()
+		go func() { done <- e.Apply(t.Context(), newOrder(9, 5, external.EngineRolePrefill)) }()
 		synctest.Wait()
 		e.Crash()
 		require.ErrorIs(t, <-done, external.ErrEngineFailed)
@@ -132,7 +132,7 @@
 		_, err = e.Generate(t.Context(), request("c", 10, 10))
 		require.ErrorIs(t, err, external.ErrEngineRefused, "the model is still loaded after the restart")
 
-		require.NoError(t, e.Apply(t.Context(), newOrder(8, 6, external.RolePrefill)))
+		require.NoError(t, e.Apply(t.Context(), newOrder(8, 6, external.EngineRolePrefill)))
 		require.Equal(t, []engine.ViolationKind{engine.StaleOrderRan}, violationKinds(e),
 			"the stale order was not detected after a restart")
 	})
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -30,7 +30,7 @@
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+enginewire.PathGenerate, e.serveGenerate)
-	httpjson.Handle(mux, "POST "+enginewire.PathCancel, func(ctx context.Context, r enginewire.Cancel) (struct{}, error) {
+	httpjson.Handle(mux, "POST "+enginewire.PathCancel, func(ctx context.Context, r enginewire.RequestRef) (struct{}, error) {
 		return struct{}{}, e.Cancel(ctx, r.RequestID)
 	}, e.writeError)
 	httpjson.Handle(mux, "GET "+enginewire.PathState, func(ctx context.Context, _ struct{}) (external.EngineState, error) {
@@ -43,11 +43,11 @@
 		return e.Load(ctx)
 	}, e.writeError)
 	mux.HandleFunc("GET "+enginewire.PathEvents, e.serveEvents)
-	httpjson.Handle(mux, "POST "+enginewire.PathExport, func(ctx context.Context, r enginewire.Cancel) (enginewire.Blob, error) {
+	httpjson.Handle(mux, "POST "+enginewire.PathExport, func(ctx context.Context, r enginewire.RequestRef) (enginewire.KVCache, error) {
 		data, err := e.ExportKV(ctx, r.RequestID)
-		return enginewire.Blob{Data: data}, err
+		return enginewire.KVCache{Data: data}, err
 	}, e.writeError)
-	httpjson.Handle(mux, "POST "+enginewire.PathImport, func(ctx context.Context, b enginewire.Blob) (enginewire.Handle, error) {
+	httpjson.Handle(mux, "POST "+enginewire.PathImport, func(ctx context.Context, b enginewire.KVCache) (enginewire.Handle, error) {
 		h, err := e.ImportKV(ctx, b.Data)
 		return enginewire.Handle{Handle: h}, err
 	}, e.writeError)
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -55,9 +55,9 @@
 // prefillBudget returns the maximum number of tokens that one step prefills.
 func (e *Engine) prefillBudget() int {
 	switch e.state.Config.Role {
-	case external.RolePrefill:
+	case external.EngineRolePrefill:
 		return e.cfg.PrefillChunk * prefillBudgetFactor
-	case external.RoleDecode:
+	case external.EngineRoleDecode:
 		return max(1, e.cfg.PrefillChunk/decodeBudgetDivisor)
 	default:
 		return e.cfg.PrefillChunk
--- a/standin/engine/tokens.go
+++ b/standin/engine/tokens.go
@@ -35,7 +35,7 @@
 
 // answerKey returns a hash of the model, adapter, prompt and seed, which determine the answer.
 func answerKey(r *external.GenerateRequest) uint64 {
-	d := enginewire.NewAnswerDigest(r.Model, r.Adapter)
+	d := enginewire.NewModelDigest(r.Model, r.Adapter)
 	_, _ = d.WriteString(r.Prompt)
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], r.Seed)
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -24,10 +24,10 @@
 type Action struct {
 	// Before runs before the call takes effect, After between the effect and the response.
 	Before, After func()
-	// Lose drops the response of a call that has taken effect.
-	Lose bool
-	// Twice executes the call twice; the caller gets the second response.
-	Twice bool
+	// LoseResponse drops the response of a call that has taken effect.
+	LoseResponse bool
+	// ExecuteTwice executes the call twice; the caller gets the second response.
+	ExecuteTwice bool
 }
 
 // Process is a simulated process. While it is paused, it blocks at its next call.
@@ -68,8 +68,8 @@
 	p.cancel()
 }
 
-// Dead reports whether the process has been killed.
-func (p *Process) Dead() bool {
+// Killed reports whether the process has been killed.
+func (p *Process) Killed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.killed
@@ -95,8 +95,8 @@
 	})
 }
 
-// Gate blocks while the process is paused and reports whether it is alive.
-func (p *Process) Gate() bool {
+// WaitWhilePaused blocks while the process is paused and reports whether it is alive.
+func (p *Process) WaitWhilePaused() bool {
 	for {
 		p.mu.Lock()
 		resume, killed := p.resume, p.killed
@@ -112,7 +112,7 @@
 // before the effect. It returns lostErr if the process was killed after the effect or the response is
 // lost, so that the caller cannot know whether the call took effect.
 func (p *Process) Do(c Call, lostErr error, effect func() error) error {
-	if !p.Gate() {
+	if !p.WaitWhilePaused() {
 		return external.ErrUnavailable
 	}
 	c.Process = p.Name
@@ -123,17 +123,17 @@
 	if a.Before != nil {
 		a.Before()
 	}
-	if !p.Gate() {
+	if !p.WaitWhilePaused() {
 		return external.ErrUnavailable
 	}
 	err := effect()
-	if a.Twice {
+	if a.ExecuteTwice {
 		err = effect()
 	}
 	if a.After != nil {
 		a.After()
 	}
-	if !p.Gate() || (a.Lose && err == nil) {
+	if !p.WaitWhilePaused() || (a.LoseResponse && err == nil) {
 		return lostErr
 	}
 	return err
--- a/standin/fault/kv.go
+++ b/standin/fault/kv.go
@@ -26,7 +26,7 @@
 }
 
 // Get implements external.KV.
-func (k *KV) Get(ctx context.Context, key string) (e external.Entry, err error) {
+func (k *KV) Get(ctx context.Context, key string) (e external.KVEntry, err error) {
 	err = k.call(ctx, Call{Op: "get", Key: key}, func() (err error) {
 		e, err = k.Store.Get(ctx, key)
 		return err
@@ -35,7 +35,7 @@
 }
 
 // List implements external.KV.
-func (k *KV) List(ctx context.Context, prefix string) (l []external.Entry, rev uint64, err error) {
+func (k *KV) List(ctx context.Context, prefix string) (l []external.KVEntry, rev uint64, err error) {
 	err = k.call(ctx, Call{Op: "list", Key: prefix}, func() (err error) {
 		l, rev, err = k.Store.List(ctx, prefix)
 		return err
@@ -58,7 +58,7 @@
 }
 
 // Watch implements external.KV.
-func (k *KV) Watch(ctx context.Context, prefix string, after uint64) (ev []external.Event, rev uint64, err error) {
+func (k *KV) Watch(ctx context.Context, prefix string, after uint64) (ev []external.KVEvent, rev uint64, err error) {
 	err = k.call(ctx, Call{Op: "watch", Key: prefix}, func() (err error) {
 		ev, rev, err = k.Store.Watch(ctx, prefix, after)
 		return err
--- a/standin/instances/server.go
+++ b/standin/instances/server.go
@@ -25,11 +25,11 @@
 		l.Register(r.Instance, time.Duration(r.TTLMS)*time.Millisecond)
 		return struct{}{}, nil
 	}, writeUnavailable)
-	httpjson.Handle(mux, "POST "+instancewire.PathLeave, func(_ context.Context, r instancewire.Leave) (struct{}, error) {
+	httpjson.Handle(mux, "POST "+instancewire.PathLeave, func(_ context.Context, r instancewire.InstanceRef) (struct{}, error) {
 		l.Leave(r.ID)
 		return struct{}{}, nil
 	}, writeUnavailable)
-	httpjson.Handle(mux, "POST "+instancewire.PathRemove, func(_ context.Context, r instancewire.Leave) (struct{}, error) {
+	httpjson.Handle(mux, "POST "+instancewire.PathRemove, func(_ context.Context, r instancewire.InstanceRef) (struct{}, error) {
 		l.Remove(r.ID)
 		return struct{}{}, nil
 	}, writeUnavailable)
--- a/standin/kv/server.go
+++ b/standin/kv/server.go
@@ -17,7 +17,7 @@
 	mux := http.NewServeMux()
 	handle(mux, kvwire.PathGet, func(ctx context.Context, r kvwire.Request) (kvwire.Response, error) {
 		e, err := s.Get(ctx, r.Key)
-		return kvwire.Response{Entries: []external.Entry{e}}, err
+		return kvwire.Response{Entries: []external.KVEntry{e}}, err
 	})
 	handle(mux, kvwire.PathList, func(ctx context.Context, r kvwire.Request) (kvwire.Response, error) {
 		entries, rev, err := s.List(ctx, r.Key)
--- a/standin/kv/store.go
+++ b/standin/kv/store.go
@@ -60,7 +60,7 @@
 	items     map[string]*item
 	leases    map[external.LeaseID]*leaseState
 	lastLease external.LeaseID
-	eventLog  []external.Event
+	eventLog  []external.KVEvent
 	changed   chan struct{} // closed and replaced at each change
 	calls     Calls
 	writes    *rate.Limiter
@@ -131,22 +131,22 @@
 }
 
 // Get implements external.KV.
-func (s *Store) Get(ctx context.Context, key string) (external.Entry, error) {
+func (s *Store) Get(ctx context.Context, key string) (external.KVEntry, error) {
 	if err := s.admitRead(ctx); err != nil {
-		return external.Entry{}, err
+		return external.KVEntry{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
 	it, ok := s.items[key]
 	if !ok {
-		return external.Entry{}, external.ErrNotFound
+		return external.KVEntry{}, external.ErrNotFound
 	}
 	return it.entry(key), nil
 }
 
 // List implements external.KV.
-func (s *Store) List(ctx context.Context, prefix string) ([]external.Entry, uint64, error) {
+func (s *Store) List(ctx context.Context, prefix string) ([]external.KVEntry, uint64, error) {
 	if err := s.admitRead(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -157,14 +157,14 @@
 }
 
 // listLocked returns the entries under prefix in key order. The caller holds s.mu.
-func (s *Store) listLocked(prefix string) []external.Entry {
-	var entries []external.Entry
+func (s *Store) listLocked(prefix string) []external.KVEntry {
+	var entries []external.KVEntry
 	for k, it := range s.items {
 		if strings.HasPrefix(k, prefix) {
 			entries = append(entries, it.entry(k))
 		}
 	}
-	slices.SortFunc(entries, func(a, b external.Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(entries, func(a, b external.KVEntry) int { return strings.Compare(a.Key, b.Key) })
 	return entries
 }
 
@@ -200,7 +200,7 @@
 	s.revision++
 	n := &item{version: it.version + 1, revision: s.revision, value: slices.Clone(value), lease: lease}
 	s.items[key] = n
-	s.appendEvent(external.Event{Entry: n.entry(key)})
+	s.appendEvent(external.KVEvent{KVEntry: n.entry(key)})
 	return n.version, nil
 }
 
@@ -222,7 +222,7 @@
 }
 
 // Watch implements external.KV.
-func (s *Store) Watch(ctx context.Context, prefix string, after uint64) ([]external.Event, uint64, error) {
+func (s *Store) Watch(ctx context.Context, prefix string, after uint64) ([]external.KVEvent, uint64, error) {
 	if err := s.faults.beforeCall(ctx); err != nil {
 		return nil, after, err
 	}
@@ -274,15 +274,15 @@
 
 // eventsAfter returns the events under prefix after a revision, and the revision to continue from. If
 // the event log does not reach back to the given revision, the current entries are returned as events.
-func (s *Store) eventsAfter(prefix string, after uint64) ([]external.Event, uint64) {
+func (s *Store) eventsAfter(prefix string, after uint64) ([]external.KVEvent, uint64) {
 	if after < s.revision && (len(s.eventLog) == 0 || s.eventLog[0].Revision > after+1) {
-		var events []external.Event
+		var events []external.KVEvent
 		for _, e := range s.listLocked(prefix) {
-			events = append(events, external.Event{Entry: e})
+			events = append(events, external.KVEvent{KVEntry: e})
 		}
 		return events, s.revision
 	}
-	var events []external.Event
+	var events []external.KVEvent
 	for _, e := range s.eventLog {
 		if e.Revision > after && strings.HasPrefix(e.Key, prefix) {
 			events = append(events, e)
@@ -369,10 +369,10 @@
 func (s *Store) remove(key string) {
 	s.revision++
 	delete(s.items, key)
-	s.appendEvent(external.Event{Entry: external.Entry{Key: key, Revision: s.revision}, Deleted: true})
+	s.appendEvent(external.KVEvent{KVEntry: external.KVEntry{Key: key, Revision: s.revision}, Deleted: true})
 }
 
-func (s *Store) appendEvent(e external.Event) {
+func (s *Store) appendEvent(e external.KVEvent) {
 	s.eventLog = append(s.eventLog, e)
 	if len(s.eventLog) > maxLoggedEvents {
 		s.eventLog = slices.Clone(s.eventLog[len(s.eventLog)-maxLoggedEvents/2:])
@@ -381,6 +381,6 @@
 	s.changed = make(chan struct{})
 }
 
-func (it *item) entry(key string) external.Entry {
-	return external.Entry{Key: key, Version: it.version, Revision: it.revision, Value: slices.Clone(it.value)}
+func (it *item) entry(key string) external.KVEntry {
+	return external.KVEntry{Key: key, Version: it.version, Revision: it.revision, Value: slices.Clone(it.value)}
 }
--- a/standin/site/answers.go
+++ b/standin/site/answers.go
@@ -14,7 +14,7 @@
 func writeTimeout(rw http.ResponseWriter) { rw.WriteHeader(http.StatusGatewayTimeout) }
 
 // prefillPrompt simulates the prefill of the request's prompt. It waits for the worker's other prefills,
-// then takes PerToken (twice that in the decode stage) for each token outside the longest cached prefix,
+// then takes PrefillTimePerToken (twice that in the decode stage) for each token outside the longest cached prefix,
 // and caches the prompt. The header Quetzallug-Prefix-Hash lists the prompt's parts as id:tokens,
 // separated by commas. It returns false if the context ends lastReceived.
 func (w *Worker) prefillPrompt(ctx context.Context, r *http.Request) bool {
@@ -39,7 +39,7 @@
 			tokens += n
 		}
 	}
-	perToken := w.cfg.PerToken
+	perToken := w.cfg.PrefillTimePerToken
 	if w.Stage() == "decode" {
 		perToken *= 2
 	}
@@ -73,7 +73,7 @@
 	lastReceived, _ := strconv.Atoi(run.After)
 	rw.Header().Set("Content-Type", "text/event-stream")
 	switch fault {
-	case FaultLost:
+	case FaultLoseResponse:
 		panic(http.ErrAbortHandler)
 	case FaultError:
 		rw.WriteHeader(http.StatusInternalServerError)
@@ -85,7 +85,7 @@
 	default:
 	}
 	for i := lastReceived + 1; i <= n; i++ {
-		if !sleep(ctx, w.cfg.Work) {
+		if !sleep(ctx, w.cfg.ServiceTime) {
 			panic(http.ErrAbortHandler)
 		}
 		event := Event(run.ID, i)
@@ -104,7 +104,7 @@
 
 // servePlain writes the response to a plain request.
 func (w *Worker) servePlain(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
-	if !sleep(ctx, w.cfg.Work) {
+	if !sleep(ctx, w.cfg.ServiceTime) {
 		writeTimeout(rw)
 		return
 	}
@@ -122,7 +122,7 @@
 		rw.WriteHeader(http.StatusInternalServerError)
 		run.Finished = true
 		return
-	case FaultLost:
+	case FaultLoseResponse:
 		panic(http.ErrAbortHandler)
 	case FaultHang:
 		<-ctx.Done()
@@ -142,7 +142,7 @@
 	case FaultExtra:
 		w.writeRaw(rw, fullResponse(run.ID)+fullResponse(run.ID), false)
 		return
-	case FaultForeign:
+	case FaultWrongRequest:
 		w.writeRaw(rw, fullResponse("another")+fullResponse(run.ID), false)
 		return
 	default:
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -17,21 +17,21 @@
 type Fault int
 
 // Faults of workers. FaultGarbage to FaultUnframed affect plain requests only. Prefills also ignore
-// FaultError, FaultLost, FaultHang and FaultTruncate.
+// FaultError, FaultLoseResponse, FaultHang and FaultTruncate.
 const (
-	FaultNone       Fault = iota
-	FaultShed             // refuses the request without running it
-	FaultError            // runs the request and responds with 500
-	FaultResetEarly       // closes the connection without running the request
-	FaultLost             // runs the request and closes the connection without a response
-	FaultHang             // runs the request and sends nothing until the deadline or the caller's disconnect
-	FaultTruncate         // closes the connection in the middle of the response
-	FaultGarbage          // sends bytes that are not an HTTP response
-	FaultExtra            // sends the response twice
-	FaultForeign          // sends the response to another request first
-	FaultUnsigned         // responds with 200 but without a signature
-	FaultUnframed         // sends the response without a length and closes the connection
-	FaultEarly            // sends the response before reading the request body
+	FaultNone         Fault = iota
+	FaultRefuse             // refuses the request without running it
+	FaultError              // runs the request and responds with 500
+	FaultResetEarly         // closes the connection without running the request
+	FaultLoseResponse       // runs the request and closes the connection without a response
+	FaultHang               // runs the request and sends nothing until the deadline or the caller's disconnect
+	FaultTruncate           // closes the connection in the middle of the response
+	FaultGarbage            // sends bytes that are not an HTTP response
+	FaultExtra              // sends the response twice
+	FaultWrongRequest       // sends the response to another request first
+	FaultUnsigned           // responds with 200 but without a signature
+	FaultUnframed           // sends the response without a length and closes the connection
+	FaultEarly              // sends the response before reading the request body
 )
 
 // Run is one request that a worker has started to run.
@@ -68,11 +68,11 @@
 	Slots   int
 	// Stage is empty for plain workers.
 	Stage string
-	// Work is the duration of a plain request, or the time per event of a stream.
-	Work time.Duration
-	// PerToken is the time to prefill one prompt token in the prefill stage. In the decode stage it
+	// ServiceTime is the duration of a plain request, or the time per event of a stream.
+	ServiceTime time.Duration
+	// PrefillTimePerToken is the time to prefill one prompt token in the prefill stage. In the decode stage it
 	// takes twice as long.
-	PerToken time.Duration
+	PrefillTimePerToken time.Duration
 	// RoleSwitch is the duration of a change of the stage.
 	RoleSwitch time.Duration
 	// Fault selects the fault for each request; nil injects none.
@@ -171,8 +171,8 @@
 	return slices.Clone(w.orders)
 }
 
-// Freed returns the number of calls to free a handle, including unknown handles.
-func (w *Worker) Freed() int {
+// FreedHandles returns the number of calls to free a handle, including unknown handles.
+func (w *Worker) FreedHandles() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.freeCalls
@@ -301,7 +301,7 @@
 	case id == "":
 		writeNotExecuted(rw, http.StatusBadRequest)
 		return
-	case busy || full || fault == FaultShed:
+	case busy || full || fault == FaultRefuse:
 		writeNotExecuted(rw, http.StatusServiceUnavailable)
 		return
 	case fault == FaultResetEarly:
--- a/test/faults/cells_test.go
+++ b/test/faults/cells_test.go
@@ -118,7 +118,7 @@
 		return err
 	}
 	w.pause(down)
-	back := external.EngineConfig{Role: external.RoleMixed}
+	back := external.EngineConfig{Role: external.EngineRoleMixed}
 	if w.random.IntN(2) == 0 {
 		back.Models = []external.ModelVersion{{Name: model, Version: "wrong"}}
 	}
--- a/test/faults/checker_self_test.go
+++ b/test/faults/checker_self_test.go
@@ -26,7 +26,7 @@
 			c.journals.engines["e"] = withViolation(c, engine.ConflictingOrder)
 		}},
 		"request cut by an order": {"I2", func(c *checker) {
-			c.journals.engines["e"] = withViolation(c, engine.RequestCutByOrder)
+			c.journals.engines["e"] = withViolation(c, engine.RequestAbortedByOrder)
 		}},
 		"stale order": {"I3", func(c *checker) {
 			c.journals.engines["e"] = withViolation(c, engine.StaleOrderRan)
--- a/test/faults/checker_test.go
+++ b/test/faults/checker_test.go
@@ -86,7 +86,7 @@
 // order (I2) and orders of a lost authority (I3).
 func (c *checker) engineViolations() {
 	invariants := map[engine.ViolationKind]string{
-		engine.ConflictingOrder: "I1", engine.RequestCutByOrder: "I2", engine.StaleOrderRan: "I3",
+		engine.ConflictingOrder: "I1", engine.RequestAbortedByOrder: "I2", engine.StaleOrderRan: "I3",
 	}
 	for id, r := range c.journals.engines {
 		for _, v := range r.Violations {
@@ -208,7 +208,7 @@
 	}
 	for id, rep := range c.journals.engines {
 		for _, rec := range rep.Journal {
-			if rec.Kind != engine.RequestCut && rec.Kind != engine.RequestCancelled || !verdicts[requestOf(rec.RequestID)] {
+			if rec.Kind != engine.RequestAborted && rec.Kind != engine.RequestCancelled || !verdicts[requestOf(rec.RequestID)] {
 				continue
 			}
 			for _, w := range c.planned {
--- a/test/faults/harness_test.go
+++ b/test/faults/harness_test.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	if now.Revision != base.Revision+1 || now.WriteID != records[winner].WriteID || conflict.Winner.WriteID != now.WriteID {
+	if now.Revision != base.Revision+1 || now.WriteID != records[winner].WriteID || conflict.Current.WriteID != now.WriteID {
 		return violation("I9: two operators: revision %d by %s, want %d by %s", now.Revision, now.Author, base.Revision+1, records[winner].Author)
 	}
 	w.version += 1 + winner
--- a/test/path/drain_test.go
+++ b/test/path/drain_test.go
@@ -78,7 +78,7 @@
 	case drainLeaving:
 		w.drainLeaving(p, begun)
 	case drainSidecar:
-		p.sc.Leave()
+		p.sc.StopAccepting()
 		w.noteDrain(p, time.Now())
 		begun()
 		w.sendLate(p)
@@ -99,7 +99,7 @@
 	w.sendLate(p)
 	defer p.sc.EndDrain()
 	defer w.endDrain(p)
-	if p.sc.Wait(ctx) == nil && w.net.Awake(ctx, p.host) == nil {
+	if p.sc.Wait(ctx) == nil && w.net.CheckRunning(ctx, p.host) == nil {
 		_ = p.engine.Apply(ctx, external.EngineOrder{Fence: 1, Number: uint64(p.slot + 1), Config: initial})
 	}
 }
@@ -119,7 +119,7 @@
 			return in.ID == p.inst.ID && in.State == external.InstanceLeaving
 		})
 	}
-	p.sc.Leave()
+	p.sc.StopAccepting()
 	w.noteDrain(p, time.Now())
 	w.sendLate(p)
 	w.stopSidecar(p)
@@ -207,7 +207,7 @@
 			continue
 		}
 		for _, r := range p.engine.Journal() {
-			if r.Kind == engine.RequestCut {
+			if r.Kind == engine.RequestAborted {
 				bad = append(bad, fmt.Sprintf("I2: engine of %s cut %s", p.inst.ID, r.RequestID))
 			}
 		}
--- a/test/path/hosts_test.go
+++ b/test/path/hosts_test.go
@@ -29,21 +29,21 @@
 // call runs one call that the process makes.
 func call[T any](ctx context.Context, p *process, f func(ctx context.Context) (T, error)) (T, error) {
 	var zero T
-	if err := p.w.net.Awake(ctx, p.host); err != nil {
+	if err := p.w.net.CheckRunning(ctx, p.host); err != nil {
 		return zero, external.ErrUnavailable
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(p.host.Ctx, cancel)() //nolint:contextcheck // the process, not its caller, decides
 	v, err := f(ctx)
-	if !p.w.net.Stand(p.host) {
+	if !p.w.net.WaitRunning(p.host) {
 		return zero, external.ErrOutcomeUnknown
 	}
 	return v, err
 }
 
-func (k *hostKV) Get(ctx context.Context, key string) (external.Entry, error) {
-	return call(ctx, k.p, func(ctx context.Context) (external.Entry, error) { return k.KV.Get(ctx, key) })
+func (k *hostKV) Get(ctx context.Context, key string) (external.KVEntry, error) {
+	return call(ctx, k.p, func(ctx context.Context) (external.KVEntry, error) { return k.KV.Get(ctx, key) })
 }
 
 func (k *hostKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, l external.LeaseID) (uint64, error) {
@@ -55,7 +55,7 @@
 	return err
 }
 
-func (k *hostKV) List(ctx context.Context, prefix string) (all []external.Entry, rev uint64, err error) {
+func (k *hostKV) List(ctx context.Context, prefix string) (all []external.KVEntry, rev uint64, err error) {
 	rev, err = call(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.List(ctx, prefix)
 		return rev, err
@@ -63,7 +63,7 @@
 	return all, rev, err
 }
 
-func (k *hostKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.Event, rev uint64, err error) {
+func (k *hostKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.KVEvent, rev uint64, err error) {
 	rev, err = call(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.Watch(ctx, prefix, after)
 		return rev, err
@@ -84,7 +84,7 @@
 	if r.KVHandle != "" {
 		e.p.w.hook(event{step: "decode", worker: e.p, request: r.RequestID})
 	}
-	if err := e.p.w.net.Awake(ctx, e.p.host); err != nil {
+	if err := e.p.w.net.CheckRunning(ctx, e.p.host); err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -100,7 +100,7 @@
 
 func (e *hostEngine) ImportKV(ctx context.Context, data []byte) (string, error) {
 	e.p.w.hook(event{step: "import", worker: e.p})
-	if err := e.p.w.net.Awake(ctx, e.p.host); err != nil {
+	if err := e.p.w.net.CheckRunning(ctx, e.p.host); err != nil {
 		return "", err
 	}
 	return e.Engine.ImportKV(ctx, data)
@@ -114,7 +114,7 @@
 
 func (s *hostStream) Next() (external.TokenChunk, error) {
 	c, err := s.TokenStream.Next()
-	if !s.p.w.net.Stand(s.p.host) {
+	if !s.p.w.net.WaitRunning(s.p.host) {
 		return external.TokenChunk{}, external.ErrEngineFailed
 	}
 	return c, err
--- a/test/path/world_test.go
+++ b/test/path/world_test.go
@@ -79,7 +79,7 @@
 func body(service string, queue int) []byte { return fmt.Appendf(nil, documents[service], queue) }
 
 // initial is the configuration with which engines start.
-var initial = external.EngineConfig{Role: external.RoleMixed, Models: []external.ModelVersion{{Name: model, Version: "1"}}}
+var initial = external.EngineConfig{Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: model, Version: "1"}}}
 
 // world is one deployment.
 type world struct {
@@ -257,8 +257,8 @@
 
 func (p *process) background(f func(context.Context)) { p.done.Go(func() { f(p.host.Ctx) }) }
 
-func (p *process) documents() *entry.DocumentsInForce {
-	return &entry.DocumentsInForce{Store: p.docs, Agent: p.agent}
+func (p *process) documents() *entry.ActiveDocuments {
+	return &entry.ActiveDocuments{Store: p.docs, Agent: p.agent}
 }
 
 // watchRevisions records a document whose revision decreases.
@@ -337,7 +337,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(quetzallugv1connect.NewPeerServiceHandler(entry.NewPeer(cfg, entry.PeerOptions{
 		Store: p.docs, Claims: p.commit, Workers: p.fleet.Status, Decisions: decisions,
-		Pools: func() []string { return nil },
+		HeldPools: func() []string { return nil },
 	}), rpc.PeerOptions()...))
 	p.serve(rpc.NewServer(mux), peerAddr)
 	p.caller = rpc.NewServer(e.Handler())
@@ -372,7 +372,7 @@
 	var err error
 	p.sc, err = sidecar.New(sidecar.Config{
 		Cluster: cluster, Instance: p.inst.ID, Service: service, Incarnation: p.inc, Peers: p.clients,
-		MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
+		MaxInFlight: 256, Attempts: once.DefaultAttemptTableSettings(),
 	}, eng, plain, p.documents(), noMetrics{}, w.log)
 	require.NoError(w.t, err)
 	mux := http.NewServeMux()
@@ -406,9 +406,9 @@
 	self := e.worker
 	switch {
 	case e.entry != nil:
-		w.net.Stand(e.entry.host)
+		w.net.WaitRunning(e.entry.host)
 	case self != nil:
-		w.net.Stand(self.host)
+		w.net.WaitRunning(self.host)
 	}
 }
 
--- a/test/site/drawn_test.go
+++ b/test/site/drawn_test.go
@@ -121,7 +121,7 @@
 	rnd := d.rnd
 	d.plainWorkers, d.engines = randomBetween(rnd, 1, 4), randomBetween(rnd, 0, 8)
 	for i := range d.plainWorkers {
-		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: randomBetween(rnd, 2, 16), Work: time.Duration(randomBetween(rnd, 1, 60)) * time.Millisecond})
+		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: randomBetween(rnd, 2, 16), ServiceTime: time.Duration(randomBetween(rnd, 1, 60)) * time.Millisecond})
 	}
 	api2Workers := randomBetween(rnd, 0, 2)
 	for i := range api2Workers {
@@ -134,7 +134,7 @@
 		}
 		d.addWorker(site.WorkerConfig{
 			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: randomBetween(rnd, 2, 48), Stage: stage, RoleSwitch: 3 * time.Second,
-			Work: time.Duration(randomBetween(rnd, 1, 50)) * time.Millisecond, PerToken: time.Duration(randomBetween(rnd, 1, 20)) * time.Microsecond,
+			ServiceTime: time.Duration(randomBetween(rnd, 1, 50)) * time.Millisecond, PrefillTimePerToken: time.Duration(randomBetween(rnd, 1, 20)) * time.Microsecond,
 		})
 	}
 	read := routeConfig("read", pathRead, "idempotent", "api", d.randomRouteSettings())
--- a/test/site/gateway_test.go
+++ b/test/site/gateway_test.go
@@ -23,7 +23,7 @@
 	env.addWorker(site.WorkerConfig{ID: "i-a", Service: "api"})
 	env.addWorker(site.WorkerConfig{ID: "i-b", Service: "api"})
 	for _, e := range []struct{ id, stage string }{{"i-p", "prefill"}, {"i-d", "decode"}, {"i-e", "decode"}} {
-		env.addWorker(site.WorkerConfig{ID: e.id, Service: "llm", Stage: e.stage, PerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second})
+		env.addWorker(site.WorkerConfig{ID: e.id, Service: "llm", Stage: e.stage, PrefillTimePerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second})
 	}
 	n := env.addGateway("edge-1")
 	time.Sleep(settleTime)
@@ -80,9 +80,9 @@
 // when workers fail.
 func TestWorkerFaults(t *testing.T) {
 	faults := map[string]site.Fault{
-		"shed": site.FaultShed, "error": site.FaultError, "reset early": site.FaultResetEarly, "lost": site.FaultLost,
+		"shed": site.FaultRefuse, "error": site.FaultError, "reset early": site.FaultResetEarly, "lost": site.FaultLoseResponse,
 		"hang": site.FaultHang, "truncate": site.FaultTruncate, "garbage": site.FaultGarbage, "extra": site.FaultExtra,
-		"foreign": site.FaultForeign, "unsigned": site.FaultUnsigned, "unframed": site.FaultUnframed, "early": site.FaultEarly,
+		"foreign": site.FaultWrongRequest, "unsigned": site.FaultUnsigned, "unframed": site.FaultUnframed, "early": site.FaultEarly,
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -386,7 +386,7 @@
 		n := startDefaultDeployment(env)
 		for _, wk := range env.workers {
 			if wk.Stage() == "decode" {
-				wk.SetFault(func(*http.Request) site.Fault { return site.FaultLost })
+				wk.SetFault(func(*http.Request) site.Fault { return site.FaultLoseResponse })
 			}
 		}
 		for range 8 {
@@ -406,11 +406,11 @@
 		require.Equal(t, "prefill", prefillEngine.Stage())
 		require.True(t, env.call(n, request{path: pathStream + "x", prompt: longPrompt, events: 1}).succeeded())
 		time.Sleep(time.Second)
-		require.Zero(t, prefillEngine.Freed())
+		require.Zero(t, prefillEngine.FreedHandles())
 		for _, wk := range env.workers {
 			wk.SetFault(func(r *http.Request) site.Fault {
 				if r.Header.Get("Quetzallug-Stage") == "" {
-					return site.FaultShed
+					return site.FaultRefuse
 				}
 				return site.FaultNone
 			})
@@ -419,7 +419,7 @@
 		require.Equal(t, http.StatusServiceUnavailable, r.status)
 		env.checkResponse(r, pathStream+"x", 1)
 		time.Sleep(time.Second)
-		require.Equal(t, 1, prefillEngine.Freed())
+		require.Equal(t, 1, prefillEngine.FreedHandles())
 	})
 }
 
--- a/test/site/roles_test.go
+++ b/test/site/roles_test.go
@@ -19,7 +19,7 @@
 	env.writeConfig()
 	env.addWorker(site.WorkerConfig{ID: "i-api", Service: "api"})
 	for i := range engines {
-		cfg := site.WorkerConfig{ID: fmt.Sprintf("i-%d", i), Service: "llm", Stage: "decode", PerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second}
+		cfg := site.WorkerConfig{ID: fmt.Sprintf("i-%d", i), Service: "llm", Stage: "decode", PrefillTimePerToken: 4 * time.Microsecond, RoleSwitch: 3 * time.Second}
 		if i == 0 {
 			cfg.Stage = "prefill"
 		}
--- a/test/site/world_test.go
+++ b/test/site/world_test.go
@@ -60,7 +60,7 @@
 	host    *memnet.Host
 	address string
 	gateway *gateway.Gateway
-	tables  *route.Holder
+	tables  *route.ActiveTable
 	roster  *gateway.Roster
 	server  *http.Server
 	done    sync.WaitGroup
@@ -96,8 +96,8 @@
 	if cfg.Slots == 0 {
 		cfg.Slots = 8
 	}
-	if cfg.Work == 0 {
-		cfg.Work = 20 * time.Millisecond
+	if cfg.ServiceTime == 0 {
+		cfg.ServiceTime = 20 * time.Millisecond
 	}
 	cfg.Zone = "z"
 	wk := site.NewWorker(cfg)
@@ -108,7 +108,7 @@
 
 // addGateway starts a gateway with its store watcher, lease manager and role planner.
 func (env *testEnv) addGateway(name string) *gatewayNode {
-	n := &gatewayNode{env: env, host: env.newHost(name), address: fmt.Sprintf("10.1.0.%d:8144", len(env.gateways)+1), tables: &route.Holder{}, roster: gateway.NewRoster()}
+	n := &gatewayNode{env: env, host: env.newHost(name), address: fmt.Sprintf("10.1.0.%d:8144", len(env.gateways)+1), tables: &route.ActiveTable{}, roster: gateway.NewRoster()}
 	dial := func(ctx context.Context, _, addr string) (net.Conn, error) { return env.net.Dial(ctx, n.host, addr) }
 	adapter := &platform.Adapter{}
 	require.NoError(env.t, adapter.Provision(context.Background(), kernel.Settings{"address": storeAddress, "watch-wait": "1.7s"}))
@@ -156,7 +156,7 @@
 func (noopMetrics) FirstEvent(string, string, time.Duration)      {}
 func (noopMetrics) EventGap(string, time.Duration)                {}
 func (noopMetrics) Attempt(string, string)                        {}
-func (noopMetrics) Prompt(string, gateway.PromptTokens)           {}
+func (noopMetrics) PromptTokens(string, gateway.PromptTokens)     {}
 func (noopMetrics) RoleOrder(string, string, string)              {}
 
 // Path prefixes of the default routes, one per kind of request.
--- a/test/soak/cause_test.go
+++ b/test/soak/cause_test.go
@@ -42,7 +42,7 @@
 		send("read")
 	}
 
-	setFaults(site.FaultShed)
+	setFaults(site.FaultRefuse)
 	refused := send("once")
 	setFaults(site.FaultTruncate)
 	broken := send("stream")
@@ -54,7 +54,7 @@
 			}
 			firstAttempt = false
 			time.Sleep(300 * time.Millisecond)
-			return site.FaultLost
+			return site.FaultLoseResponse
 		})
 	}
 	late := send("read")
--- a/test/soak/deployment_test.go
+++ b/test/soak/deployment_test.go
@@ -66,7 +66,7 @@
 	d := &deployment{t: t, store: site.NewStore()}
 	d.storeForwarder = d.startForwarder(d.serve(d.store))
 	for i := range plainWorkers {
-		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: 16, Work: 5 * time.Millisecond})
+		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: 16, ServiceTime: 5 * time.Millisecond})
 	}
 	for i := range engines {
 		stage := "decode"
@@ -74,8 +74,8 @@
 			stage = "prefill"
 		}
 		d.addWorker(site.WorkerConfig{
-			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: 16, Stage: stage, Work: 10 * time.Millisecond,
-			PerToken: time.Microsecond, RoleSwitch: roleSwitchTime,
+			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: 16, Stage: stage, ServiceTime: 10 * time.Millisecond,
+			PrefillTimePerToken: time.Microsecond, RoleSwitch: roleSwitchTime,
 		})
 	}
 	d.writeConfig()
--- a/test/soak/status_test.go
+++ b/test/soak/status_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, w := range d.workers[:plainWorkers] {
-		w.SetFault(func(*http.Request) site.Fault { return site.FaultShed })
+		w.SetFault(func(*http.Request) site.Fault { return site.FaultRefuse })
 	}
 	send("once")
 	c, err := net.Dial("tcp", d.gateways[0].address)
--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -58,9 +58,9 @@
 	return n, readErr, true
 }
 
-// Ended reports whether the peer has reset a connection, or has closed it and all received data has been
+// PeerClosed reports whether the peer has reset a connection, or has closed it and all received data has been
 // read, or whether the connection has been closed locally. It returns false if c is not a socket.
-func Ended(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	n, err, ok := peek(c)
 	return ok && n <= 0 && !wouldBlock(err) && !errors.Is(err, unix.EINTR)
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -142,8 +142,8 @@
 	return &Pool{dial: dial, idle: make(map[string][]*conn), openByAddr: make(map[string]int)}
 }
 
-// Opened returns the number of connections opened since the pool was created.
-func (p *Pool) Opened() int64 {
+// OpenedTotal returns the number of connections opened since the pool was created.
+func (p *Pool) OpenedTotal() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openedTotal
@@ -200,8 +200,8 @@
 	}
 }
 
-// Sweep closes the idle connections whose idle time has expired.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the idle connections whose idle time has expired.
+func (p *Pool) CloseExpired(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
 	for addr, conns := range p.idle {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -81,7 +81,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "text", text)
 	}
-	require.EqualValues(t, 1, p.Opened())
+	require.EqualValues(t, 1, p.OpenedTotal())
 }
 
 // A connection with data after the response must be closed. If it were reused, that data would be read
@@ -102,7 +102,7 @@
 		require.Equal(t, "own", text)
 		<-sent
 	}
-	require.EqualValues(t, 3, p.Opened())
+	require.EqualValues(t, 3, p.OpenedTotal())
 }
 
 // A late response to an earlier request and informational responses must be skipped, not returned as
@@ -211,7 +211,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "early", text)
 	}
-	require.EqualValues(t, 3, p.Opened())
+	require.EqualValues(t, 3, p.OpenedTotal())
 	close(readBody)
 }
 
@@ -243,7 +243,7 @@
 	}
 }
 
-// Ended must return true once the peer has closed the connection and all data has been read. It must not
+// PeerClosed must return true once the peer has closed the connection and all data has been read. It must not
 // block while another goroutine reads from the connection. It must return false for an idle connection,
 // for one with unread data and for one that is not a socket.
 func TestEnded(t *testing.T) {
@@ -255,7 +255,7 @@
 	server, err := l.Accept()
 	require.NoError(t, err)
 	defer server.Close()
-	require.False(t, upstream.Ended(server))
+	require.False(t, upstream.PeerClosed(server))
 	received := make(chan byte)
 	go func() {
 		b := make([]byte, 1)
@@ -267,18 +267,18 @@
 			received <- b[0]
 		}
 	}()
-	require.False(t, upstream.Ended(server), "idle")
+	require.False(t, upstream.PeerClosed(server), "idle")
 	_, err = client.Write([]byte("ab"))
 	require.NoError(t, err)
 	require.Equal(t, byte('a'), <-received)
-	require.False(t, upstream.Ended(server), "a byte is unread")
+	require.False(t, upstream.PeerClosed(server), "a byte is unread")
 	require.Equal(t, byte('b'), <-received)
 	require.NoError(t, client.Close())
 	_, open := <-received
 	require.False(t, open)
-	require.True(t, upstream.Ended(server))
+	require.True(t, upstream.PeerClosed(server))
 	local, remote := net.Pipe()
 	defer local.Close()
 	require.NoError(t, remote.Close())
-	require.False(t, upstream.Ended(local), "a connection that is not a socket counts as open")
+	require.False(t, upstream.PeerClosed(local), "a connection that is not a socket counts as open")
 }
