--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -28,7 +28,7 @@
 func (plainCodec) Answer(received http.Header) http.Header { return received }
 
 func (plainCodec) ResponseMetadata(int, http.Header) ResponseMetadata {
-	return ResponseMetadata{Signed: true}
+	return ResponseMetadata{FromServer: true}
 }
 
 type noMetrics struct{ Metrics }
@@ -39,6 +39,7 @@
 
 // Guards against forwarding requests whose callers have disconnected. A process without free file
 // descriptors may read a request a second after its arrival, when the caller's deadline has passed.
+// Found by the hunt mix-turns-in-flood with seed 572537457078, where a process sent on four such requests.
 func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	var arrivals atomic.Int64
 	listen := func() net.Listener {
@@ -59,7 +60,7 @@
 		Name: "r", Host: "a", Prefix: "/", Timeout: time.Second, MaxAttempts: 1, Shares: []route.Share{{Service: "s", Weight: 1}},
 	}}, []*route.Service{{Name: "s"}}, route.Limits{})
 	require.NoError(t, err)
-	tables := &route.Holder{}
+	tables := &route.ActiveTable{}
 	tables.Offer(table)
 	roster := NewRoster()
 	roster.Replace([]Registration{{ID: "i", Service: "s", Address: backend.Addr().String(), Slots: 4}}, time.Now())
--- a/internal/gatewaybench/policy.go
+++ b/internal/gatewaybench/policy.go
@@ -80,22 +80,22 @@
 			continue
 		}
 		p.sim.result.roleChanges++
-		p.rolePlan.RecordOrder(s, role, time.Duration(p.sim.dep.Engines.RoleChange), now)
+		p.rolePlan.RecordAccepted(s, role, time.Duration(p.sim.dep.Engines.RoleChange), now)
 		e.changeRole(role)
 	}
 }
 
 func (p *gatewayPolicy) dispatch(r *request) {
-	query := &gateway.Query{
+	query := &gateway.SelectionRequest{
 		Route: p.sim.routes[r.kind], Service: service, Metadata: &r.metadata, Deadline: p.sim.clock.Now().Add(r.deadline - p.sim.clock.At),
 	}
-	query.Prepare()
+	query.ComputePrefixKeys()
 	p.send(r, query, 0)
 }
 
 // send routes the request by the entry's decision. After a refusal by an engine it decides again, up to maxAttempts
 // times. An overload refusal by the decider counts only before the first attempt.
-func (p *gatewayPolicy) send(r *request, query *gateway.Query, attempts int) {
+func (p *gatewayPolicy) send(r *request, query *gateway.SelectionRequest, attempts int) {
 	sim := p.sim
 	if r.ended {
 		return
@@ -142,7 +142,7 @@
 type sentRequest struct {
 	decider        *gateway.Decider
 	sim            *simulation
-	query          *gateway.Query
+	query          *gateway.SelectionRequest
 	server         *gateway.Server
 	uncachedTokens float64
 	// tokensAhead is the number of prompt tokens pending at the server when the request was sent.
@@ -158,7 +158,7 @@
 
 // recordSent records a request in the entry's decider and returns its accounting, which is closed at the latest
 // when the request ends.
-func (p *gatewayPolicy) recordSent(r *request, query *gateway.Query, server *gateway.Server, uncachedTokens float64) *sentRequest {
+func (p *gatewayPolicy) recordSent(r *request, query *gateway.SelectionRequest, server *gateway.Server, uncachedTokens float64) *sentRequest {
 	d, now := p.deciders[r.entry], p.sim.clock.Now()
 	sent := &sentRequest{decider: d, sim: p.sim, query: query, server: server, uncachedTokens: uncachedTokens, tokensAhead: d.PendingTokens(server, now), sentAt: now}
 	d.RecordSent(query, server, uncachedTokens, now)
@@ -214,7 +214,7 @@
 // generate has decodeEngine answer the request. The engine first fetches the prompt from prefillEngine, or prefills
 // it itself if prefillEngine is nil. server and decodeEngine are the entry's view and the model of the same engine,
 // likewise prefillServer and prefillEngine.
-func (p *gatewayPolicy) generate(r *request, query *gateway.Query, server *gateway.Server, decodeEngine *engine, prefillServer *gateway.Server, prefillEngine *engine, uncachedTokens float64, attempts int) {
+func (p *gatewayPolicy) generate(r *request, query *gateway.SelectionRequest, server *gateway.Server, decodeEngine *engine, prefillServer *gateway.Server, prefillEngine *engine, uncachedTokens float64, attempts int) {
 	sim := p.sim
 	decodeDelay := p.deciders[r.entry].DecodeDelay(server, sim.clock.Now())
 	sent := p.recordSent(r, query, server, uncachedTokens)
@@ -274,7 +274,7 @@
 func (p *baselinePolicy) updateRegistration(gateway.Registration) {}
 
 // pick returns an engine of a role, or nil if there is none.
-func (p *baselinePolicy) pick(role external.Role) *engine {
+func (p *baselinePolicy) pick(role external.EngineRole) *engine {
 	var candidates []*engine
 	for _, e := range p.sim.engines {
 		if e.role == role {
@@ -285,7 +285,7 @@
 		return nil
 	}
 	next := &p.choices[0]
-	if role == external.RolePrefill {
+	if role == external.EngineRolePrefill {
 		next = &p.choices[1]
 	}
 	*next++
@@ -302,7 +302,7 @@
 }
 
 func (p *baselinePolicy) dispatch(r *request) {
-	prefillEngine, decodeEngine := p.pick(external.RolePrefill), p.pick(external.RoleDecode)
+	prefillEngine, decodeEngine := p.pick(external.EngineRolePrefill), p.pick(external.EngineRoleDecode)
 	switch {
 	case decodeEngine == nil, decodeEngine.rejects(false), prefillEngine != nil && prefillEngine.rejects(true):
 		p.sim.refuse(r, 100*time.Millisecond)
--- a/internal/telemetry/gateway.go
+++ b/internal/telemetry/gateway.go
@@ -147,9 +147,9 @@
 	g.eventGap.Record(context.Background(), d.Seconds(), g.optionsOf("service", service).record...)
 }
 
-// Prompt implements gateway.Metrics. The values kept, read and moved of the label source stand for the
+// PromptTokens implements gateway.Metrics. The values kept, read and moved of the label source stand for the
 // cached, prefilled and transferred tokens of gateway.PromptTokens.
-func (g *Gateway) Prompt(service string, p gateway.PromptTokens) {
+func (g *Gateway) PromptTokens(service string, p gateway.PromptTokens) {
 	for _, part := range [...]struct {
 		source string
 		tokens float64
--- a/test/faults/cells_test.go
+++ b/test/faults/cells_test.go
@@ -121,7 +121,7 @@
 		return err
 	}
 	h.sleep(downtime)
-	restartConfig := external.EngineConfig{Role: external.RoleMixed}
+	restartConfig := external.EngineConfig{Role: external.EngineRoleMixed}
 	if h.rng.IntN(2) == 0 {
 		restartConfig.Models = []external.ModelVersion{{Name: model, Version: "wrong"}}
 	}
--- a/test/faults/checker_test.go
+++ b/test/faults/checker_test.go
@@ -92,7 +92,7 @@
 // requests cut off by an order (I2) and orders executed with a stale fence (I3).
 func (c *checker) checkEngineViolations() {
 	invariants := map[engine.ViolationKind]string{
-		engine.ConflictingOrder: "I1", engine.RequestCutByOrder: "I2", engine.StaleOrderRan: "I3",
+		engine.ConflictingOrder: "I1", engine.RequestAbortedByOrder: "I2", engine.StaleOrderRan: "I3",
 	}
 	for id, r := range c.journals.engines {
 		for _, v := range r.Violations {
@@ -216,7 +216,7 @@
 	}
 	for id, report := range c.journals.engines {
 		for _, rec := range report.Journal {
-			if rec.Kind != engine.RequestCut && rec.Kind != engine.RequestCancelled || !verdicts[withoutAttempt(rec.RequestID)] {
+			if rec.Kind != engine.RequestAborted && rec.Kind != engine.RequestCancelled || !verdicts[withoutAttempt(rec.RequestID)] {
 				continue
 			}
 			for _, w := range c.planned {
--- a/test/faults/harness_test.go
+++ b/test/faults/harness_test.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	if current.Revision != base.Revision+1 || current.WriteID != records[winner].WriteID || conflict.Winner.WriteID != current.WriteID {
+	if current.Revision != base.Revision+1 || current.WriteID != records[winner].WriteID || conflict.Current.WriteID != current.WriteID {
 		return newViolation("I9: two operators: revision %d by %s, want %d by %s", current.Revision, current.Author, base.Revision+1, records[winner].Author)
 	}
 	h.version += 1 + winner
--- a/test/path/deployment_test.go
+++ b/test/path/deployment_test.go
@@ -98,7 +98,7 @@
 }
 
 // initialConfig is the configuration with which engines start.
-var initialConfig = external.EngineConfig{Role: external.RoleMixed, Models: []external.ModelVersion{{Name: model, Version: "1"}}}
+var initialConfig = external.EngineConfig{Role: external.EngineRoleMixed, Models: []external.ModelVersion{{Name: model, Version: "1"}}}
 
 // deployment is a set of entries, workers and stand-ins of the platform on one in-memory network,
 // with a record of what callers and workers saw.
@@ -286,8 +286,8 @@
 
 func (p *process) background(f func(context.Context)) { p.done.Go(func() { f(p.host.Ctx) }) }
 
-func (p *process) documents() *entry.DocumentsInForce {
-	return &entry.DocumentsInForce{Store: p.docs, Agent: p.agent}
+func (p *process) documents() *entry.ActiveDocuments {
+	return &entry.ActiveDocuments{Store: p.docs, Agent: p.agent}
 }
 
 // watchRevisions records every decrease of a document's revision.
@@ -367,7 +367,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(quetzallugv1connect.NewPeerServiceHandler(entry.NewPeer(cfg, entry.PeerOptions{
 		Store: p.docs, Claims: p.committer, Workers: p.fleet.Status, Decisions: decisions,
-		Pools: func() []string { return nil },
+		HeldPools: func() []string { return nil },
 	}), rpc.PeerOptions()...))
 	p.serve(rpc.NewServer(mux), peerAddr)
 	p.callerServer = rpc.NewServer(e.Handler())
@@ -402,7 +402,7 @@
 	var err error
 	p.sidecar, err = sidecar.New(sidecar.Config{
 		Cluster: cluster, Instance: p.instance.ID, Service: service, Incarnation: p.incarnation, Peers: p.clients,
-		MaxInFlight: 256, Attempts: once.DefaultExecutorSettings(),
+		MaxInFlight: 256, Attempts: once.DefaultAttemptTableSettings(),
 	}, eng, plain, p.documents(), noMetrics{}, dep.log)
 	require.NoError(dep.t, err)
 	mux := http.NewServeMux()
@@ -437,9 +437,9 @@
 	w := e.worker
 	switch {
 	case e.entry != nil:
-		dep.net.Stand(e.entry.host)
+		dep.net.WaitRunning(e.entry.host)
 	case w != nil:
-		dep.net.Stand(w.host)
+		dep.net.WaitRunning(w.host)
 	}
 }
 
--- a/test/path/drain_test.go
+++ b/test/path/drain_test.go
@@ -80,7 +80,7 @@
 	case drainLeaving:
 		dep.drainLeaving(p, reportBegin)
 	case drainSidecar:
-		p.sidecar.Leave()
+		p.sidecar.StopAccepting()
 		dep.recordDrain(p, time.Now())
 		reportBegin()
 		dep.sendLate(p)
@@ -101,7 +101,7 @@
 	dep.sendLate(p)
 	defer p.sidecar.EndDrain()
 	defer dep.endDrain(p)
-	if p.sidecar.Wait(ctx) == nil && dep.net.Awake(ctx, p.host) == nil {
+	if p.sidecar.Wait(ctx) == nil && dep.net.CheckRunning(ctx, p.host) == nil {
 		_ = p.engine.Apply(ctx, external.EngineOrder{Fence: 1, Number: uint64(p.slot + 1), Config: initialConfig})
 	}
 }
@@ -122,7 +122,7 @@
 			return in.ID == p.instance.ID && in.State == external.InstanceLeaving
 		})
 	}
-	p.sidecar.Leave()
+	p.sidecar.StopAccepting()
 	dep.recordDrain(p, time.Now())
 	dep.sendLate(p)
 	dep.stopSidecar(p)
@@ -213,7 +213,7 @@
 			continue
 		}
 		for _, r := range p.engine.Journal() {
-			if r.Kind == engine.RequestCut {
+			if r.Kind == engine.RequestAborted {
 				violations = append(violations, fmt.Sprintf("I2: engine of %s cut %s", p.instance.ID, r.RequestID))
 			}
 		}
--- a/test/path/hosts_test.go
+++ b/test/path/hosts_test.go
@@ -31,21 +31,21 @@
 // process was killed during f.
 func callAs[T any](ctx context.Context, p *process, f func(ctx context.Context) (T, error)) (T, error) {
 	var zero T
-	if err := p.dep.net.Awake(ctx, p.host); err != nil {
+	if err := p.dep.net.CheckRunning(ctx, p.host); err != nil {
 		return zero, external.ErrUnavailable
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(p.host.Ctx, cancel)() //nolint:contextcheck // the call also ends with the process
 	v, err := f(ctx)
-	if !p.dep.net.Stand(p.host) {
+	if !p.dep.net.WaitRunning(p.host) {
 		return zero, external.ErrOutcomeUnknown
 	}
 	return v, err
 }
 
-func (k *processKV) Get(ctx context.Context, key string) (external.Entry, error) {
-	return callAs(ctx, k.p, func(ctx context.Context) (external.Entry, error) { return k.KV.Get(ctx, key) })
+func (k *processKV) Get(ctx context.Context, key string) (external.KVEntry, error) {
+	return callAs(ctx, k.p, func(ctx context.Context) (external.KVEntry, error) { return k.KV.Get(ctx, key) })
 }
 
 func (k *processKV) CompareAndSwap(ctx context.Context, key string, expected uint64, value []byte, l external.LeaseID) (uint64, error) {
@@ -57,7 +57,7 @@
 	return err
 }
 
-func (k *processKV) List(ctx context.Context, prefix string) (all []external.Entry, rev uint64, err error) {
+func (k *processKV) List(ctx context.Context, prefix string) (all []external.KVEntry, rev uint64, err error) {
 	rev, err = callAs(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.List(ctx, prefix)
 		return rev, err
@@ -65,7 +65,7 @@
 	return all, rev, err
 }
 
-func (k *processKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.Event, rev uint64, err error) {
+func (k *processKV) Watch(ctx context.Context, prefix string, after uint64) (all []external.KVEvent, rev uint64, err error) {
 	rev, err = callAs(ctx, k.p, func(ctx context.Context) (uint64, error) {
 		all, rev, err = k.KV.Watch(ctx, prefix, after)
 		return rev, err
@@ -86,7 +86,7 @@
 	if r.KVHandle != "" {
 		e.p.dep.reachStep(event{step: "decode", worker: e.p, request: r.RequestID})
 	}
-	if err := e.p.dep.net.Awake(ctx, e.p.host); err != nil {
+	if err := e.p.dep.net.CheckRunning(ctx, e.p.host); err != nil {
 		return nil, fmt.Errorf("%w: %w", external.ErrEngineFailed, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -102,7 +102,7 @@
 
 func (e *processEngine) ImportKV(ctx context.Context, data []byte) (string, error) {
 	e.p.dep.reachStep(event{step: "import", worker: e.p})
-	if err := e.p.dep.net.Awake(ctx, e.p.host); err != nil {
+	if err := e.p.dep.net.CheckRunning(ctx, e.p.host); err != nil {
 		return "", err
 	}
 	return e.Engine.ImportKV(ctx, data)
@@ -116,7 +116,7 @@
 
 func (s *processStream) Next() (external.TokenChunk, error) {
 	c, err := s.TokenStream.Next()
-	if !s.p.dep.net.Stand(s.p.host) {
+	if !s.p.dep.net.WaitRunning(s.p.host) {
 		return external.TokenChunk{}, external.ErrEngineFailed
 	}
 	return c, err
--- a/test/site/drawn_test.go
+++ b/test/site/drawn_test.go
@@ -122,7 +122,7 @@
 	rnd := d.rnd
 	d.plainWorkerCount, d.engineCount = randomBetween(rnd, 1, 4), randomBetween(rnd, 0, 8)
 	for i := range d.plainWorkerCount {
-		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: randomBetween(rnd, 2, 16), Work: time.Duration(randomBetween(rnd, 1, 60)) * time.Millisecond})
+		d.addWorker(site.WorkerConfig{ID: fmt.Sprintf("i-api-%d", i), Service: "api", Slots: randomBetween(rnd, 2, 16), ServiceTime: time.Duration(randomBetween(rnd, 1, 60)) * time.Millisecond})
 	}
 	api2Workers := randomBetween(rnd, 0, 2)
 	for i := range api2Workers {
@@ -135,7 +135,7 @@
 		}
 		d.addWorker(site.WorkerConfig{
 			ID: fmt.Sprintf("i-llm-%d", i), Service: "llm", Slots: randomBetween(rnd, 2, 48), Stage: stage, RoleSwitch: 3 * time.Second,
-			Work: time.Duration(randomBetween(rnd, 1, 50)) * time.Millisecond, PerToken: time.Duration(randomBetween(rnd, 1, 20)) * time.Microsecond,
+			ServiceTime: time.Duration(randomBetween(rnd, 1, 50)) * time.Millisecond, PrefillTimePerToken: time.Duration(randomBetween(rnd, 1, 20)) * time.Microsecond,
 		})
 	}
 	read := routeConfig("read", pathRead, "idempotent", "api", d.randomRouteSettings())
