--- a/admission/admission.go
+++ b/admission/admission.go
@@ -42,10 +42,10 @@
 type Config struct {
 	// Queue is the maximum number of waiting requests.
 	Queue int
-	// Pressure is the largest used fraction of the queue or of a latency target. While higher ranks
-	// have recent requests, a rank is admitted only up to a pressure of 1 - YieldStep x demand, or
-	// of MinYieldPressure if that is more. The demand grows with the share of the higher ranks and
-	// is 1 if half of the recent requests have the next higher rank.
+	// YieldStep lowers the maximum pressure at which a rank is admitted, from 1, per unit of demand
+	// of the higher ranks. MinYieldPressure is its lower bound. Pressure is the largest used fraction
+	// of the queue or of a latency target. The demand grows with the share of the higher ranks and is
+	// 1 if half of the recent requests have the next higher rank.
 	YieldStep        float64
 	MinYieldPressure float64
 	// GuaranteedShare is the number of requests of a rank that may run above the rank's maximum
--- a/document/document.go
+++ b/document/document.go
@@ -55,7 +55,7 @@
 	Roles Roles `yaml:"roles,omitempty" json:"roles"`
 	// FixedRoles prevents the planner from changing roles.
 	FixedRoles bool `yaml:"fixed_roles,omitempty" json:"fixed_roles,omitempty"`
-	// ChecksFence states that the engines reject orders with a stale fencing token.
+	// ChecksFence states that the engines reject orders with a stale fence number.
 	ChecksFence bool `yaml:"checks_fence,omitempty" json:"checks_fence,omitempty"`
 }
 
--- a/entry/reports.go
+++ b/entry/reports.go
@@ -20,7 +20,7 @@
 
 // ApplyReport applies a load report. A report that arrives out of order does not replace a newer one of
 // the same incarnation. If the role, the models or the drain state of the worker has changed, the
-// workers of all services are discarded and built again when they are needed.
+// cached routing state of all services is discarded and built again when it is needed.
 func (f *Fleet) ApplyReport(r *v1.LoadReport, now time.Time) {
 	f.tracker.Worker(r.GetInstance()).Observe(load.Report{
 		Sequence: r.GetSequence(), Age: time.Duration(r.GetAgeMs()) * time.Millisecond,
@@ -153,7 +153,7 @@
 	return membership.ProbeResult{Incarnation: resp.Msg.GetIncarnation()}, nil
 }
 
-// probeError marks connection failures with membership.ErrConnectionRefused.
+// probeError wraps all dial errors, including timeouts, with membership.ErrConnectionRefused.
 func probeError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -39,7 +39,8 @@
 	return res
 }
 
-// recordTransfer records the duration of the prompt transfer. Only the first call has an effect.
+// recordTransfer records how much longer than expected the prompt transfer took, for both of its
+// backend servers. Only the first call has an effect.
 func (a *attempt) recordTransfer(now time.Time) {
 	if a.transferFrom == nil {
 		return
@@ -79,7 +80,7 @@
 		if !m.FromServer || resp.Header.Get("Content-Encoding") != "" {
 			return a.failUnknown("not_a_servers_answer")
 		}
-		// The backend server has fetched the prompt.
+		// The backend server has fetched the prefilled prompt, so its source is used up.
 		a.q.prefillSource = ""
 		if a.q.route.Stream {
 			return a.relayStream(resp)
--- a/gateway/caller_test.go
+++ b/gateway/caller_test.go
@@ -39,7 +39,7 @@
 
 // Guards against forwarding requests whose callers have disconnected. A process without free file
 // descriptors may read a request a second after its arrival, when the caller's deadline has passed.
-// Found by the hunt mix-turns-in-flood with seed 572537457078, where a process sent on four such requests.
+// A run of mix-turns-in-flood with seed 572537457078 forwarded four such requests.
 func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	var arrivals atomic.Int64
 	listen := func() net.Listener {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -74,7 +74,8 @@
 	body       []byte
 
 	tried []*serverState
-	// sends counts the attempts, except those that could not connect to a backend server.
+	// sends counts the earlier, unsuccessful attempts, except those that could not connect to a
+	// backend server.
 	sends int
 	// prefills counts the prefills requested from other backend servers.
 	prefills int
@@ -367,7 +368,7 @@
 	q.finish(outcome, cause)
 }
 
-// writeResponse forwards a complete response unchanged.
+// writeResponse forwards a complete response; writeHeader converts its header.
 func (q *request) writeResponse(resp *response) {
 	q.writeHeader(resp.status, resp.header, len(resp.body))
 	_, _ = q.w.Write(resp.body)
--- a/internal/app/common.go
+++ b/internal/app/common.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clients := rpc.NewClients(rpc.ClientConfig{Control: t, TLS: tlsConfig, Interceptors: []connect.Interceptor{newAuthInterceptor(c, log)}})
+	clients := rpc.NewClients(rpc.ClientConfig{ControlTraffic: t, TLS: tlsConfig, Interceptors: []connect.Interceptor{newAuthInterceptor(c, log)}})
 	lc.Append(fx.StopHook(clients.Close))
 	return clients, nil
 }
--- a/internal/bench/calls.go
+++ b/internal/bench/calls.go
@@ -118,7 +118,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	counter := &traffic.Counter{}
-	clients := rpc.NewClients(rpc.ClientConfig{Control: counter, Interceptors: []connect.Interceptor{peerauth.NewInterceptor(peerauth.Credentials{Cluster: testcluster.Name, Key: testcluster.Key}, log)}})
+	clients := rpc.NewClients(rpc.ClientConfig{ControlTraffic: counter, Interceptors: []connect.Interceptor{peerauth.NewInterceptor(peerauth.Credentials{Cluster: testcluster.Name, Key: testcluster.Key}, log)}})
 	worker, peer := clients.Worker(c.Workers[0].Address), clients.Peer(c.Entries[0].PeerAddress)
 	instances, err := kernel.Load[*instanceshttp.Client](ctx, instanceshttp.ID, kernel.Settings{"address": c.InstancesAddress()})
 	if err != nil {
--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -164,7 +164,7 @@
 	r.recordSample(PhaseLoad, RoleSidecar, "requests per second", []float64{float64(res.Sent) / res.Elapsed.Seconds() / float64(r.size.Sidecars)})
 	r.recordSample(PhaseLoad, RoleEntry, "failed requests", []float64{float64(res.Failed)})
 	if res.Failed > 0 {
-		r.cfg.Log("%d of %d requests failed: %v", res.Failed, res.Sent, res.FirstError)
+		r.cfg.Log("%d of %d requests failed: %v", res.Failed, res.Sent, res.LastError)
 	}
 	return nil
 }
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -101,10 +101,10 @@
 	}
 	for _, res := range []LoadResult{direct, proxied} {
 		if res.Failed == res.Sent {
-			return r, fmt.Errorf("all %d requests failed: %w", res.Sent, res.FirstError)
+			return r, fmt.Errorf("all %d requests failed: %w", res.Sent, res.LastError)
 		}
 	}
-	r.Sent, r.Failed, r.FirstError = proxied.Sent, proxied.Failed, proxied.FirstError
+	r.Sent, r.Failed, r.FirstError = proxied.Sent, proxied.Failed, proxied.LastError
 	coresPer100RPS := func(i int) float64 {
 		return (after[i][metricCPU] - before[i][metricCPU]) / float64(proxied.Sent) * 100
 	}
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -35,8 +35,8 @@
 	Latency      *hdrhistogram.Histogram
 	// Elapsed is the time from the start of the load until the last request has ended.
 	Elapsed time.Duration
-	// FirstError is the error of the failed request that ended last, nil if there are none.
-	FirstError error
+	// LastError is the error of the failed request that ended last, nil if there are none.
+	LastError error
 }
 
 // Run sends the requests and waits for all answers.
@@ -63,7 +63,7 @@
 			defer mu.Unlock()
 			if err != nil {
 				failed.Add(1)
-				res.FirstError = err
+				res.LastError = err
 				return
 			}
 			_ = res.Latency.RecordValue(min(maxLatencyMicros, max(1, took.Microseconds())))
--- a/internal/gatewaybench/day.go
+++ b/internal/gatewaybench/day.go
@@ -1,7 +1,7 @@
 // Package gatewaybench runs load scenarios against the gateway's routing and role decisions in simulated
 // time. Its engine model covers prefill, decode steps that take longer the more requests are running, a
 // prefix cache, prompt transfers between engines, and role changes that take seconds. It does not model
-// processes, the network between callers and entries, the store, or engine failures other than engines that
+// processes, the network between callers and gateways, the store, or engine failures other than engines that
 // stop responding.
 package gatewaybench
 
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Deployment describes the engines, the entries and the normal load.
+// Deployment describes the engines, the gateways (Entries) and the normal load.
 type Deployment struct {
 	Name        string   `yaml:"name"`
 	Entries     int      `yaml:"entries"`
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -92,12 +92,12 @@
 
 // ClientConfig configures Clients.
 type ClientConfig struct {
-	// Control, if not nil, counts the bytes of the clients and disables pings and TCP keep-alives. Set it
-	// only for clients whose calls all have a short timeout; clients that stream responses need pings to
-	// detect an unreachable peer while a stream is idle. Pings on idle connections to 640 sidecars take
-	// 5 KB/s, more than all other control traffic of an entry. Idle connections stay open all the same,
+	// ControlTraffic, if not nil, counts the bytes of the connections. It also disables pings and TCP
+	// keep-alives, so set it only for clients whose calls all have a short timeout: other clients need
+	// pings to detect an unreachable peer while a stream is idle. Pings on idle connections to 640
+	// sidecars take 5 KB/s, more than all other control traffic of an entry. Idle connections stay open,
 	// because a new one costs four times the bytes of a probe.
-	Control *traffic.Counter
+	ControlTraffic *traffic.Counter
 	// TLS is the TLS configuration, or nil for cleartext.
 	TLS          *tls.Config
 	Interceptors []connect.Interceptor
@@ -109,7 +109,7 @@
 // NewClients returns clients that share connections with each other, but not with other Clients.
 func NewClients(cfg ClientConfig) *Clients {
 	http2Config, dialer := &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout}, &net.Dialer{Timeout: dialTimeout}
-	if cfg.Control != nil {
+	if cfg.ControlTraffic != nil {
 		http2Config, dialer.KeepAlive = nil, -1
 	}
 	var p http.Protocols
@@ -132,7 +132,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return traffic.Conn(conn, cfg.Control), nil
+			return traffic.Conn(conn, cfg.ControlTraffic), nil
 		},
 		IdleConnTimeout: idleTimeout,
 		HTTP2:           http2Config,
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -151,8 +151,8 @@
 	return errors.Join(waitReachable(ctx, c.kvURL), waitReachable(ctx, c.instancesURL), waitReachable(ctx, c.weightsURL))
 }
 
-// startStandin starts the stand-in that the subcommand kind of quetzallug-standin serves, as the process
-// name. It returns the process and its URL.
+// startStandin runs quetzallug-standin with the subcommand given as kind, in a process called name. It
+// returns the process and its URL.
 func (c *Cluster) startStandin(name, kind string, args ...string) (*Process, string, error) {
 	addr, err := freeAddress()
 	if err != nil {
@@ -256,8 +256,8 @@
 	return post(ctx, c.instancesURL+instancewire.PathLeave, instancewire.InstanceRef{ID: id})
 }
 
-// KVFaults sets the faults that the key-value service injects.
-func (c *Cluster) KVFaults(ctx context.Context, faults any) error {
+// SetKVFaults sets the faults that the key-value service injects.
+func (c *Cluster) SetKVFaults(ctx context.Context, faults any) error {
 	return post(ctx, c.kvURL+"/faults", faults)
 }
 
--- a/internal/testcluster/control.go
+++ b/internal/testcluster/control.go
@@ -38,8 +38,8 @@
 	return c.register(ctx, w.instance)
 }
 
-// ListFaults sets the faults that the instance list injects.
-func (c *Cluster) ListFaults(ctx context.Context, f instances.FaultRequest) error {
+// SetInstanceListFaults sets the faults that the instance list injects.
+func (c *Cluster) SetInstanceListFaults(ctx context.Context, f instances.FaultRequest) error {
 	return post(ctx, c.instancesURL+"/faults", f)
 }
 
@@ -67,13 +67,13 @@
 	return resp.Msg, nil
 }
 
-// EngineFaults sets the faults that the engine injects.
-func (w *Worker) EngineFaults(ctx context.Context, f engine.FaultRequest) error {
+// SetEngineFaults sets the faults that the engine injects.
+func (w *Worker) SetEngineFaults(ctx context.Context, f engine.FaultRequest) error {
 	return post(ctx, w.BackendAddress+"/faults", f)
 }
 
-// BackendFaults sets the faults that the plain backend server injects.
-func (w *Worker) BackendFaults(ctx context.Context, f backend.Faults) error {
+// SetBackendFaults sets the faults that the plain backend server injects.
+func (w *Worker) SetBackendFaults(ctx context.Context, f backend.Faults) error {
 	return post(ctx, w.BackendAddress+backend.PathFaults, f)
 }
 
--- a/lease/acquire.go
+++ b/lease/acquire.go
@@ -45,7 +45,7 @@
 	return sent.Add(m.cfg.TTL - m.cfg.SafetyMargin)
 }
 
-// grant does not retry: if the response is lost, the granted lease expires because nobody renews
+// grant requests a new lease and returns its ID. It does not retry: if the response is lost, the granted lease expires because nobody renews
 // it.
 func (m *Manager) grant(ctx context.Context) (external.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, cas.DefaultCallTimeout)
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -86,7 +86,7 @@
 	case err != nil:
 		r.log.WithError(err).Info("instance list unreachable; keeping the last one")
 	case s.Version == after && len(s.Instances) == 0:
-		r.view.ListUnchanged()
+		r.view.RecordListUnchanged()
 	case !r.view.ApplyList(time.Now(), s):
 		r.log.WithFields(logrus.Fields{"version": s.Version, "instances": len(s.Instances)}).
 			Warn("instance list empty or older than the last one; not yet accepted")
--- a/membership/settings.go
+++ b/membership/settings.go
@@ -35,7 +35,7 @@
 	// restarts from ProbeBackoffMin.
 	ProbeBackoffReset time.Duration
 	// ProbesPerSecond limits the probes of this process. A probe and its answer take about 300 bytes,
-	// and the control traffic of a node must stay below 4 KB/s.
+	// and the control traffic of an instance must stay below 4 KB/s.
 	ProbesPerSecond float64
 	// ProbeTick is the interval at which due probes are sent.
 	ProbeTick time.Duration
--- a/membership/view.go
+++ b/membership/view.go
@@ -187,9 +187,9 @@
 	return !v.list.unconfirmedSince.IsZero()
 }
 
-// ListUnchanged records that the list service reported no change since the last accepted list. An
+// RecordListUnchanged records that the list service reported no change since the last accepted list. An
 // empty or older list that comes later must then be returned for the whole ListConfirmTime again.
-func (v *View) ListUnchanged() {
+func (v *View) RecordListUnchanged() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.list.unconfirmedSince = time.Time{}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -62,7 +62,7 @@
 		v := newView(t)
 		require.True(t, v.ApplyList(start, snapshot(5, workers(4, "a"))))
 		require.False(t, v.ApplyList(start.Add(time.Second), list), name)
-		v.ListUnchanged()
+		v.RecordListUnchanged()
 		require.False(t, v.ApplyList(start.Add(settings.ListConfirmTime+time.Second), list), "%s: an unchanged list restarts the confirmation time", name)
 		require.Len(t, v.Snapshot().Usable(service), 4)
 		now := start.Add(2*settings.ListConfirmTime + 2*time.Second)
--- a/once/router.go
+++ b/once/router.go
@@ -44,7 +44,7 @@
 // Each fallback adds the claim by compare-and-swap to a record that lacks the key, so that at most one
 // claim is recorded. The secondary is tried before a local commit so that, while it and the owner
 // answer, only these two write to the shard, also when the key-value service recovers from an outage.
-// Local commits by all entries would conflict, and keep the service above its write limit after the
+// Local commits by all entries would conflict, and keep the key-value service above its write limit after the
 // outage has ended.
 func (r *Router) Do(ctx context.Context, req Request) Result {
 	if err := req.Validate(); err != nil {
--- a/order/executor.go
+++ b/order/executor.go
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// recordChanged reports whether an event changed a field that must be stored.
+// recordChanged reports whether two records differ in a field that must be stored.
 func recordChanged(a, b Record) bool {
 	return a.Phase != b.Phase || a.Number != b.Number || a.StartID != b.StartID || a.Unknown != b.Unknown
 }
@@ -314,7 +314,8 @@
 	return e.incarnation, e.ready
 }
 
-// HighestFence returns the lowest fence number that the sidecar still accepts.
+// HighestFence returns the highest fence number of a seal, or of the pool at the start of the sidecar.
+// The sidecar refuses lower ones.
 func (e *Executor) HighestFence() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -7,14 +7,13 @@
 // describe simulations of pools with a fixed split: the transport and irrigation fleets of
 // internal/policybench with load reports that are 1 s old.
 const (
-	// With decodeKnee and decodeWidth, 1.6% is lost at a utilisation of 0.94, 16% at 1.13 and
-	// almost nothing at 0.81.
+	// The loss of decode work starts to rise near a utilisation of decodeKnee: it is almost nothing at
+	// 0.81, 1.6% at 0.94 and 16% at 1.13.
 	decodeKnee  = 0.95
 	decodeWidth = 0.03
 	// The prefill knee is 1 - prefillKneeFactor/slack, at least minPrefillKnee. Slack is the time
-	// that a prompt can wait, divided by its prefill time. The simulations lost 4.5% at a
-	// utilisation of 0.71 with a slack of 2, and 4% at 0.84 with a slack of 2.6; the formula gives
-	// 1.7% and 4.8%.
+	// that a prompt can wait, divided by its prefill time. At a utilisation of 0.71 with a slack of 2
+	// the formula gives 1.7% (simulated: 4.5%), at 0.84 with a slack of 2.6 it gives 4.8% (4%).
 	prefillKneeFactor = 0.45
 	prefillWidth      = 0.06
 	minPrefillKnee    = 0.4
@@ -63,8 +62,8 @@
 }
 
 // maxTableEngines is the largest number of engines in a loss table. Pools have at most a few dozen
-// engines. A larger number of decode engines counts as this one; the prefill loss is not valid
-// above it.
+// engines. More decode engines are counted as maxTableEngines; the prefill loss is not valid for
+// more engines.
 const maxTableEngines = 64
 
 // lossTable holds the lost work at one demand, in engines, weighted by rank. prefillLoss[k][n] is
--- a/planning/planning.go
+++ b/planning/planning.go
@@ -169,8 +169,8 @@
 // begun, because the notice may have been lost.
 func (l *Loop) reconcile(ctx context.Context, a lease.Authority, p *pool) {
 	for _, e := range p.engines {
-		unknown := e.record.Unknown && e.record.Phase.Settled()
-		if !e.owned || e.record.Number == 0 || !unknown && e.record.Phase != order.PhasePlanned {
+		diverged := e.record.Unknown && e.record.Phase.Settled()
+		if !e.owned || e.record.Number == 0 || !diverged && e.record.Phase != order.PhasePlanned {
 			continue
 		}
 		r, issued, err := l.orderPlanner.Reconcile(ctx, a, e.id)
--- a/retry/window.go
+++ b/retry/window.go
@@ -79,8 +79,8 @@
 		minAge, endAge = max(minAge, 0), min(endAge, historyBuckets)
 		return max(0, firstAttemptSums[endAge]-firstAttemptSums[min(minAge, endAge)])
 	}
-	// oldest is the age in buckets of the window's oldest bucket.
 	least, retries := w.slack, 0
+	// oldest is the age in buckets of the window's oldest bucket.
 	for oldest := range windowBuckets + 1 {
 		retries += w.retries[w.index(oldest)]
 		maxFirstAttempts := max(
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,9 +10,8 @@
 	_ "github.com/quetzallug/quetzallug/internal/rapidseed" // fixes the seed
 )
 
-// Guards against a window, at any position, with more retries than its share and the slack. As
-// defined at WindowBudget, the share is of the first attempts in that window, in the previous one or in
-// the one that begins half a window earlier.
+// Guards against more retries in any window than the slack plus the share of the largest of three counts
+// of first attempts: in that window, in the previous one and in the one that begins half a window earlier.
 func TestWindowHoldsTheShareInEachWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
--- a/route/route.go
+++ b/route/route.go
@@ -49,8 +49,8 @@
 	Shares      []Share
 }
 
-// SelectService selects the service for one request by weight. key identifies what must stay on one service:
-// the same key gives the same service as long as the shares stay the same.
+// SelectService selects the service for one request by weight. Equal keys give the same service as long as
+// the shares stay the same.
 func (r *Route) SelectService(key string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -43,8 +43,8 @@
 	Bandwidth, RemoteBandwidth float64
 	Latency, RemoteLatency     time.Duration
 	// The home worker of a prefix is the one that rendezvous hashing of its first block selects.
-	// HomeLoadBound is the maximum prefill queue of a home worker, as a multiple of the mean queue
-	// with this prompt. If its queue is longer, the worker with the next highest hash score becomes
+	// HomeLoadBound is the maximum prefill queue of a home worker, as a multiple of the mean queue, in
+	// tokens, that results when the prompt is added. If its queue is longer, the worker with the next highest hash score becomes
 	// the home of the prefix.
 	HomeLoadBound float64
 	// InterferenceWeight is the weight, in the cost of a choice, of the delay that a prefill causes to
--- a/routing/score.go
+++ b/routing/score.go
@@ -85,7 +85,8 @@
 }
 
 // findHomeWorker determines the home worker of the prefix by rendezvous hashing with bounded loads:
-// the worker with the highest score among those whose prefill queue is at most bound times the mean.
+// the worker with the highest score among those whose prefill queue is at most bound times the
+// mean queue that results when the prompt is added.
 // Requests with the same prefix thus reach the same worker before any cache events are known.
 func (s *scratch) findHomeWorker(q *Request, bound float64) {
 	total, count := 0.0, 0
--- a/sidecar/prefill.go
+++ b/sidecar/prefill.go
@@ -16,7 +16,7 @@
 const (
 	// prefillChunkBytes is the maximum size of one chunk of an exported KV cache.
 	prefillChunkBytes = 1 << 20
-	// maxTransferBytes is the maximum size of one prompt's KV cache: 128 Ki tokens of 16 KiB each.
+	// maxTransferBytes is the maximum size of one prompt's KV cache, 2 GiB.
 	maxTransferBytes = 2 << 30
 )
 
--- a/standin/site/answers.go
+++ b/standin/site/answers.go
@@ -16,7 +16,7 @@
 // prefillPrompt simulates the prefill of the request's prompt. It waits for the worker's other prefills,
 // then takes PrefillTimePerToken (twice that in the decode stage) for each token outside the longest cached prefix,
 // and caches the prompt. The header Quetzallug-Prefix-Hash lists the prompt's parts as id:tokens,
-// separated by commas. It returns false if the context ends lastReceived.
+// separated by commas. It returns false if the context ends first.
 func (w *Worker) prefillPrompt(ctx context.Context, r *http.Request) bool {
 	select {
 	case w.prefillSlot <- struct{}{}:
@@ -58,9 +58,9 @@
 	}
 }
 
-// Events returns the number of events in the response stream, which is the request's number of output
+// EventCount returns the number of events in the response stream, which is the request's number of output
 // tokens.
-func Events(r *http.Request) int {
+func EventCount(r *http.Request) int {
 	_, out, _ := strings.Cut(r.Header.Get("Quetzallug-Token-Count"), ",")
 	n, _ := strconv.Atoi(out)
 	return n
@@ -69,7 +69,7 @@
 // serveStream writes a response stream, starting after run.After, the last event that the caller has
 // received.
 func (w *Worker) serveStream(ctx context.Context, rw http.ResponseWriter, r *http.Request, run *Run, fault Fault) {
-	n := Events(r)
+	n := EventCount(r)
 	lastReceived, _ := strconv.Atoi(run.After)
 	rw.Header().Set("Content-Type", "text/event-stream")
 	switch fault {
--- a/standin/site/worker.go
+++ b/standin/site/worker.go
@@ -36,19 +36,19 @@
 
 // Run is one request that a worker has started to run.
 type Run struct {
-	ID       string // attempt ID
-	Worker   string
-	Method   string
-	Target   string
-	Body     string
-	Model    string
-	Deadline int64 // time to run in milliseconds
-	Prefill  bool
-	After    string // number of the last event that the caller has received, or empty
-	Source   string // where the KV cache comes from; empty if the prompt is prefilled
-	Started  time.Time
-	Ended    time.Time
-	Finished bool // the whole response was sent, not lost or damaged by a fault
+	ID        string // attempt ID
+	Worker    string
+	Method    string
+	Target    string
+	Body      string
+	Model     string
+	TimeoutMS int64 // time to run in milliseconds
+	Prefill   bool
+	After     string // number of the last event that the caller has received, or empty
+	Source    string // where the KV cache comes from; empty if the prompt is prefilled
+	Started   time.Time
+	Ended     time.Time
+	Finished  bool // the whole response was sent, not lost or damaged by a fault
 }
 
 // Order is one accepted order to change the stage.
@@ -191,7 +191,7 @@
 }
 
 // Event returns the nth event of the response stream to a request, encoded as a server-sent event. n
-// starts at 1; Events returns the number of events in the stream.
+// starts at 1; EventCount returns the number of events in the stream.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
 // Signature returns the signature of a worker's response.
@@ -319,7 +319,7 @@
 	deadline, _ := strconv.ParseInt(r.Header.Get("Quetzallug-Deadline-Ms"), 10, 64)
 	run := &Run{
 		ID: id, Worker: w.cfg.ID, Method: r.Method, Target: r.RequestURI, Body: string(body), Model: r.Header.Get("Quetzallug-Model"),
-		Deadline: deadline, Prefill: prefill, After: r.Header.Get("Last-Event-Id"), Source: source, Started: time.Now(),
+		TimeoutMS: deadline, Prefill: prefill, After: r.Header.Get("Last-Event-Id"), Source: source, Started: time.Now(),
 	}
 	w.beginRun(run)
 	defer w.endRun(run)
--- a/test/faults/cells_test.go
+++ b/test/faults/cells_test.go
@@ -117,7 +117,7 @@
 // crashEngine crashes an engine and restarts it with either no model or a wrong model version loaded.
 func (h *harness) crashEngine(ctx context.Context, w *worker) error {
 	h.logf("crash engine %s", w.ID)
-	if err := w.EngineFaults(ctx, engine.FaultRequest{Crash: true}); err != nil {
+	if err := w.SetEngineFaults(ctx, engine.FaultRequest{Crash: true}); err != nil {
 		return err
 	}
 	h.sleep(downtime)
@@ -125,7 +125,7 @@
 	if h.rng.IntN(2) == 0 {
 		restartConfig.Models = []external.ModelVersion{{Name: model, Version: "wrong"}}
 	}
-	return w.EngineFaults(ctx, engine.FaultRequest{Restart: true, Config: restartConfig})
+	return w.SetEngineFaults(ctx, engine.FaultRequest{Restart: true, Config: restartConfig})
 }
 
 // pauseEntry suspends an entry for longer than the lease TTL. If applyDuring is set, it applies a
@@ -187,12 +187,12 @@
 func (h *harness) kvFault(ctx context.Context, f kv.FaultState) error {
 	h.logf("key-value service: down %t, slow %d ms, %d lost responses", f.Down, f.SlowMS, f.LoseAnswers)
 	start := time.Now()
-	if err := h.cluster.KVFaults(ctx, f); err != nil {
+	if err := h.cluster.SetKVFaults(ctx, f); err != nil {
 		return err
 	}
 	h.sleep(outageDuration)
 	h.revisions.addDisturbance("", "kv", start, time.Now())
-	return h.cluster.KVFaults(ctx, kv.FaultState{})
+	return h.cluster.SetKVFaults(ctx, kv.FaultState{})
 }
 
 // kvLostResponses makes the key-value service lose responses to writes that took effect, such as claims of
@@ -201,14 +201,14 @@
 	h.logf("key-value service loses responses")
 	start := time.Now()
 	for range 5 {
-		if err := h.cluster.KVFaults(ctx, kv.FaultState{LoseAnswers: 1 + h.rng.IntN(12)}); err != nil {
+		if err := h.cluster.SetKVFaults(ctx, kv.FaultState{LoseAnswers: 1 + h.rng.IntN(12)}); err != nil {
 			return err
 		}
 		h.sleep(time.Second)
 	}
 	err := h.applyNewVersion(ctx)
 	h.revisions.addDisturbance("", "kv", start, time.Now())
-	if resetErr := h.cluster.KVFaults(ctx, kv.FaultState{}); resetErr != nil {
+	if resetErr := h.cluster.SetKVFaults(ctx, kv.FaultState{}); resetErr != nil {
 		return resetErr
 	}
 	return err
@@ -219,13 +219,13 @@
 func kvDownKillEntry(ctx context.Context, h *harness) error {
 	h.logf("key-value service down")
 	start := time.Now()
-	if err := h.cluster.KVFaults(ctx, kv.FaultState{Down: true}); err != nil {
+	if err := h.cluster.SetKVFaults(ctx, kv.FaultState{Down: true}); err != nil {
 		return err
 	}
 	err := h.killEntry(ctx, h.randomEntry())
 	h.sleep(outageDuration)
 	h.revisions.addDisturbance("", "kv", start, time.Now())
-	if resetErr := h.cluster.KVFaults(ctx, kv.FaultState{}); resetErr != nil {
+	if resetErr := h.cluster.SetKVFaults(ctx, kv.FaultState{}); resetErr != nil {
 		return resetErr
 	}
 	return err
@@ -238,21 +238,21 @@
 	h.logf("plain backend server of %s loses responses", w.ID)
 	for range 5 {
 		f := backend.Faults{LoseResponse: 1 + h.rng.IntN(4), FailBeforeRun: h.rng.IntN(4), SlowMS: h.rng.IntN(200)}
-		if err := w.BackendFaults(ctx, f); err != nil {
+		if err := w.SetBackendFaults(ctx, f); err != nil {
 			return err
 		}
 		h.sleep(time.Second)
 	}
-	return w.BackendFaults(ctx, backend.Faults{})
+	return w.SetBackendFaults(ctx, backend.Faults{})
 }
 
 func lagInstanceList(ctx context.Context, h *harness) error {
 	h.logf("the instance list lags by %s", listLag)
-	if err := h.cluster.ListFaults(ctx, instances.FaultRequest{LagMS: listLag.Milliseconds()}); err != nil {
+	if err := h.cluster.SetInstanceListFaults(ctx, instances.FaultRequest{LagMS: listLag.Milliseconds()}); err != nil {
 		return err
 	}
 	err := h.leaveAndRestart(ctx, h.randomPlainWorker(), listLag)
-	if resetErr := h.cluster.ListFaults(ctx, instances.FaultRequest{}); resetErr != nil {
+	if resetErr := h.cluster.SetInstanceListFaults(ctx, instances.FaultRequest{}); resetErr != nil {
 		return resetErr
 	}
 	return err
--- a/test/faults/checker_test.go
+++ b/test/faults/checker_test.go
@@ -37,8 +37,8 @@
 	return j, nil
 }
 
-// window is the period of a planned cell, in which only planned changes and graceful stops happen, or
-// of a disturbance. name is the name of the cell or the cause of the disturbance.
+// window is the period of a planned cell or of a disturbance. A planned cell makes only planned changes
+// and graceful stops. name is the name of the cell or the cause of the disturbance.
 type window struct {
 	name     string
 	from, to time.Time
--- a/test/site/gateway_test.go
+++ b/test/site/gateway_test.go
@@ -58,7 +58,7 @@
 			require.Len(t, runs, 1)
 			require.Equal(t, req.body, runs[0].Body)
 			require.Equal(t, req.path, runs[0].Target)
-			require.InDelta(t, 2000, runs[0].Deadline, 200)
+			require.InDelta(t, 2000, runs[0].TimeoutMS, 200)
 		}
 	})
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -26,9 +26,9 @@
 	// the connection failed, or no valid response to the request was received. The backend server may
 	// have run the request.
 	ErrExchangeFailed = errors.New("exchange broken")
-	// ErrResponseMismatch means that none of the responses that were read belongs to the request. They
-	// may all be informational, and reading also stops at a skipped response that is too large or
-	// incomplete, or after which the connection closes. It is wrapped in ErrExchangeFailed.
+	// ErrResponseMismatch means that no response to the request was found: all responses that were read
+	// were informational or belonged to other requests, or reading had to stop at one of these. It is
+	// wrapped in ErrExchangeFailed.
 	ErrResponseMismatch = errors.New("answer to another request")
 )
 
@@ -46,7 +46,7 @@
 	tcpKeepAliveInterval = time.Second
 	tcpKeepAliveProbes   = 2
 	// maxIdlePerAddress limits the idle connections to one backend server. The smallest backend
-	// servers accept 100 connections in total, from all entry instances together.
+	// servers accept 100 connections in total, from all gateway instances together.
 	maxIdlePerAddress = 24
 	// maxIdleTime is how long an idle connection is kept at most. A Keep-Alive header of the backend
 	// server can only shorten it.
