--- a/document/document.go
+++ b/document/document.go
@@ -83,8 +83,8 @@
 	Starvable bool `yaml:"starvable,omitempty" json:"starvable"`
 }
 
-// Match selects requests. An empty field matches any value. The argument of FindKind has this type
-// as well: there the fields are the values of one request, and PathPrefix is its whole path.
+// Match selects requests. An empty field matches any value. FindKind also takes a Match, which
+// holds the values of one request and, in PathPrefix, its whole path.
 type Match struct {
 	// Kind is the value of the request header X-Quetzallug-Kind.
 	Kind   string `yaml:"kind,omitempty" json:"kind,omitempty"`
--- a/external/kvbudget/kvbudget.go
+++ b/external/kvbudget/kvbudget.go
@@ -32,7 +32,7 @@
 
 var _ external.KV = (*KV)(nil)
 
-// burstSeconds is for how many seconds unused calls accumulate.
+// burstSeconds is the burst size of the limiter, in seconds of unused calls.
 const burstSeconds = 2
 
 // New returns a KV that limits the rate of calls to kv to perSecond, and calls countCall for each call
--- a/internal/gatewaybench/engine.go
+++ b/internal/gatewaybench/engine.go
@@ -64,7 +64,7 @@
 }
 
 // uncachedTokens returns the number of prompt tokens to prefill. Only an unbroken prefix of cached parts
-// counts as cached.
+// counts as cached. It marks those parts as recently used.
 func (m *promptCache) uncachedTokens(r *request) int {
 	hit := true
 	n := 0
--- a/internal/gatewaybench/world.go
+++ b/internal/gatewaybench/world.go
@@ -54,7 +54,8 @@
 	metadata   gateway.RequestMetadata
 	partKeys   []uint64
 	eventCount int
-	// sizeWeight multiplies the worth of an answer, which grows with the size of the request.
+	// sizeWeight is the factor, from 0.3 to 4, by which the worth of the answer depends on the size of
+	// the request. It is 1 at mean size.
 	sizeWeight float64
 	// arrivedAt and deadline are simulated times since the start of the run, unlike Kind.Deadline.
 	arrivedAt   time.Duration
@@ -220,7 +221,7 @@
 	r.addPart(splitmix.Mix(partKey+sim.lastRequestID), own)
 	r.metadata.ID = fmt.Sprint(sim.lastRequestID)
 	r.metadata.OutputTokens = r.eventCount
-	// sizeWeight is 1 at mean size and between 0.3 and 4. An event counts as ten prompt tokens.
+	// An event counts as ten prompt tokens.
 	mean := k.OwnTokens + 10*k.MeanEvents
 	for _, s := range k.Shared {
 		mean += s.Tokens
--- a/internal/policybench/project.go
+++ b/internal/policybench/project.go
@@ -139,8 +139,8 @@
 	return p.engine(decision.Prefill), p.engine(decision.Decode), ""
 }
 
-// accept is the check of a sidecar on arrival: the limit of the queue, and the time to first token
-// expected from the engine's current state.
+// accept checks a request as a sidecar does on arrival: the limit of the queue, and the time to first
+// token expected from the engine's current state. It returns the reason for refusal, or an empty string.
 func (p *quetzallugPolicy) accept(r *request, e *engine) string {
 	if e.queuedRequests() >= maxQueuedRequests {
 		return string(admission.QueueFull)
--- a/load/load.go
+++ b/load/load.go
@@ -19,8 +19,8 @@
 	// maxCorrections is the maximum number of corrections kept per worker. Beyond it the two oldest
 	// are merged, which keeps the totals exact and only makes their times less precise.
 	maxCorrections = 256
-	// maxTransit is how long a request can take to reach a worker. A request sent less than this
-	// before a report was made is taken as missing from the report.
+	// maxTransit is how long a request can take to reach a worker. A request sent or finished less
+	// than this before a report was made is taken as missing from the report.
 	maxTransit = 2 * time.Millisecond
 	// fullExtrapolationSeconds is the age of a report from which each other router is assumed to
 	// have sent as much as this one.
--- a/membership/view.go
+++ b/membership/view.go
@@ -108,8 +108,8 @@
 	inList      bool
 	absentSince time.Time
 	// incarnation is the highest one that has answered, and incarnationAddress the address at which it
-	// last answered. inst.Address is the address in use: incarnationAddress, or listAddress if nothing
-	// has answered yet, the list has changed the address, or the member has stopped responding.
+	// last answered. inst.Address is the address in use. It is listAddress if nothing has answered yet,
+	// the list has changed the address or the member has stopped responding, else incarnationAddress.
 	incarnation        string
 	incarnationAddress string
 	// supersededAddress is the address of a process with the same ID and a lower incarnation.
--- a/once/router.go
+++ b/once/router.go
@@ -117,27 +117,27 @@
 	return owner, owner.ID != ""
 }
 
-// ownerAndSecondary returns the live entry with the highest hash of subject and instance ID, and the live
+// ownerAndSecondary returns the live entry with the highest hash of key and instance ID, and the live
 // entry with the highest hash in another data centre. If no other data centre has a live entry, the
 // secondary is the entry with the next highest hash.
-func ownerAndSecondary(subject string, instances []external.Instance) (owner, secondary external.Instance) {
-	owner = highestHash(subject, instances, func(external.Instance) bool { return true })
-	secondary = highestHash(subject, instances, func(in external.Instance) bool { return in.DataCentre != owner.DataCentre })
+func ownerAndSecondary(key string, instances []external.Instance) (owner, secondary external.Instance) {
+	owner = highestHash(key, instances, func(external.Instance) bool { return true })
+	secondary = highestHash(key, instances, func(in external.Instance) bool { return in.DataCentre != owner.DataCentre })
 	if secondary.ID == "" {
-		secondary = highestHash(subject, instances, func(in external.Instance) bool { return in.ID != owner.ID })
+		secondary = highestHash(key, instances, func(in external.Instance) bool { return in.ID != owner.ID })
 	}
 	return owner, secondary
 }
 
 // highestHash returns the allowed live entry with the highest hash. Equal hashes are ordered by ID.
-func highestHash(subject string, instances []external.Instance, allowed func(external.Instance) bool) external.Instance {
+func highestHash(key string, instances []external.Instance, allowed func(external.Instance) bool) external.Instance {
 	var best external.Instance
 	var bestHash uint64
 	for _, in := range instances {
 		if in.Role != external.RoleEntry || in.State != external.InstanceLive || !allowed(in) {
 			continue
 		}
-		h := xxhash.Sum64String(subject + "\x00" + in.ID)
+		h := xxhash.Sum64String(key + "\x00" + in.ID)
 		if best.ID == "" || h > bestHash || h == bestHash && in.ID < best.ID {
 			best, bestHash = in, h
 		}
--- a/order/executor.go
+++ b/order/executor.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// recordOutdated reports whether the engine's state would change the last record that was read. It
-// returns false while an order is in progress or the engine is changing.
+// recordOutdated reports whether the last record that was read no longer describes the engine: the engine
+// has left the recorded state, returned to it, or restarted. It returns false while an order is in progress or the engine is changing.
 func (e *Executor) recordOutdated(ctx context.Context) bool {
 	s, err := e.engineState(ctx)
 	if err != nil || s.Changing || !e.lastRecord.Phase.Settled() {
--- a/order/world_test.go
+++ b/order/world_test.go
@@ -54,7 +54,7 @@
 	noRequests bool
 	// dialOldestUntil is the time until which planners reach the oldest living sidecar.
 	dialOldestUntil time.Time
-	started         int
+	processCount    int
 }
 
 type sidecar struct {
@@ -104,8 +104,8 @@
 
 func (sim *simulation) newProcess(kind string) *fault.Process {
 	sim.mu.Lock()
-	sim.started++
-	name := fmt.Sprintf("%s-%d", kind, sim.started)
+	sim.processCount++
+	name := fmt.Sprintf("%s-%d", kind, sim.processCount)
 	sim.mu.Unlock()
 	p := fault.NewProcess(sim.ctx, name, nil)
 	p.Hook = func(c fault.Call) fault.Action {
--- a/placement/demand.go
+++ b/placement/demand.go
@@ -29,7 +29,8 @@
 
 // measureDemand converts the offered tokens to a demand, which is zero if the snapshot's Interval is
 // zero. A kind counts as short if its mean prompt has at most MaxShortPrefill tokens. It also updates
-// the moving averages of the slack and of the rank weights.
+// the moving averages of the slack (the time a prompt can wait, divided by its prefill time) and of
+// the rank weights.
 func (p *Planner) measureDemand(s *Snapshot) workParts {
 	var d, weighted workParts
 	seconds := s.Interval.Seconds()
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -44,13 +44,13 @@
 	}
 }
 
-// lossTables holds one table of expected losses for the forecast, one for each hedged mix and one
-// for each sample of the history. The tables make the comparison of all splits fast.
+// lossTables holds one table of expected losses for the forecast, one for each variation of the mix (see
+// hedgeFactors) and one for each sample of the history. The tables make the comparison of all splits fast.
 type lossTables struct {
 	tables []lossTable
 }
 
-// hedgeFactors multiply the work of long prompts in the hedged mixes. The share of that work in the
+// hedgeFactors multiply the work of long prompts in the variations of the mix. The share of that work in the
 // total is expected to vary by half of its value during a day.
 var hedgeFactors = [...]float64{0.5, 1.5}
 
@@ -77,7 +77,7 @@
 	decodeLoss        [2][maxTableEngines + 2]float64
 }
 
-// fillLossTables fills the planner's loss tables for the forecast demand, the hedged mixes and the
+// fillLossTables fills the planner's loss tables for the forecast demand, the variations of the mix and the
 // history, for a pool of the given size. The result is valid until the next round.
 func (p *Planner) fillLossTables(expected workParts, size int) *lossTables {
 	l := &p.tables
--- a/planning/planning_test.go
+++ b/planning/planning_test.go
@@ -166,8 +166,8 @@
 	})
 }
 
-// Guards against an engine that stays without its models after a crash. It crashes 5.2 s or 30 s
-// after the entry's start; its first order executes from 1 s to 2 s, so it is done both times.
+// Guards against an engine that stays without its models after a crash. The engine's first order
+// executes from 1 s to 2 s after the entry's start. Both crashes, at 5.2 s and at 30 s, come after it.
 func TestCrashedEngineIsReconciled(t *testing.T) {
 	for _, after := range []time.Duration{30 * time.Second, 5200 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
--- a/sidecar/execute.go
+++ b/sidecar/execute.go
@@ -180,9 +180,9 @@
 
 // Cancel cancels an attempt whose caller has disconnected. It does nothing if the attempt is not in
 // flight.
-func (s *Sidecar) Cancel(requestID string, number uint32) {
+func (s *Sidecar) Cancel(requestID string, attempt uint32) {
 	s.mu.Lock()
-	a := s.inFlight[attemptKey{requestID, number}]
+	a := s.inFlight[attemptKey{requestID, attempt}]
 	s.mu.Unlock()
 	if a != nil {
 		a.cancel(context.Canceled)
--- a/test/path/hosts_test.go
+++ b/test/path/hosts_test.go
@@ -17,8 +17,8 @@
 	"github.com/quetzallug/quetzallug/standin/engine"
 )
 
-// kv returns the key-value service as the process sees it: calls of a killed process fail, and
-// calls of a frozen one block until it resumes.
+// kv returns the key-value service as the process sees it: calls that read or write keys fail
+// if the process was killed, and block while it is frozen. Lease calls are passed on unchanged.
 func (p *process) kv() external.KV { return &processKV{p.dep.store, p} }
 
 type processKV struct {
